--- a/src/pearhead/router/admit.py
+++ b/src/pearhead/router/admission.py
@@ -14,23 +14,23 @@
 from pearhead.router.job import Job
 from pearhead.runtime.clock import SECOND, Clock
 
-SMOOTHING = 0.1
+EWMA_WEIGHT = 0.1
 COME_BACK_LIMIT_MICROS = 12 * SECOND
 # Ok(True): it may begin. Ok(False): its entry moved, and it queues anew. Err: it can't run any more.
-Turn = Result[bool, Refusal]
+AdmissionResult = Result[bool, Refusal]
 
 
 @dataclass(eq=False)
 class _Waiter:
     job: Job
-    turn_future: asyncio.Future[Turn]
+    admission_future: asyncio.Future[AdmissionResult]
 
-    def settle(self, turn: Turn) -> None:
-        if not self.turn_future.done():
-            self.turn_future.set_result(turn)
+    def settle(self, turn: AdmissionResult) -> None:
+        if not self.admission_future.done():
+            self.admission_future.set_result(turn)
 
     def was_admitted(self) -> bool:
-        future = self.turn_future
+        future = self.admission_future
         return future.done() and not future.cancelled() and future.result() == Ok(True)
 
 
@@ -41,13 +41,15 @@
         self.waiters_by_tenant: OrderedDict[str, deque[_Waiter]] = OrderedDict()
         self.waiting_count = 0
         self.mean_micros = 0.0
-        self.told_at = 0
+        self.last_retry_micros = 0
 
     def tell(self, wait_micros: int, concurrency: int, now_micros: int) -> int:
         """When to come back: a turn of its own behind those who were told before (§8.2)."""
-        self.told_at = max(self.told_at, now_micros + wait_micros) + int(self.mean_micros / concurrency)
-        self.told_at = min(self.told_at, now_micros + COME_BACK_LIMIT_MICROS)
-        return self.told_at - now_micros
+        self.last_retry_micros = max(self.last_retry_micros, now_micros + wait_micros) + int(
+            self.mean_micros / concurrency
+        )
+        self.last_retry_micros = min(self.last_retry_micros, now_micros + COME_BACK_LIMIT_MICROS)
+        return self.last_retry_micros - now_micros
 
     def expected_wait(self, entry: CapabilityEntry, tenant_name: str) -> float:
         """Turns go round the waiting tenants, so a tenant waits for its own queue times theirs."""
@@ -56,12 +58,12 @@
         return self.mean_micros * (ahead_count + 1) / entry.concurrency
 
 
-class Admission:
+class AdmissionController:
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.queues: dict[str, _EntryQueue] = {}
 
-    async def admit(self, job: Job) -> Turn:
+    async def admit(self, job: Job) -> AdmissionResult:
         assert job.entry is not None and job.tenant is not None
         entry, tenant_name = job.entry, job.tenant.name
         queue = self.queues.setdefault(entry.name, _EntryQueue())
@@ -86,27 +88,29 @@
         queue.waiters_by_tenant.setdefault(tenant_name, deque()).append(waiter)
         queue.waiting_count += 1
 
-        def give_up() -> None:
-            own_wait = int(queue.expected_wait(entry, tenant_name))
-            waiter.settle(Err(Refusal(ErrorKind.DEADLINE_PASSED, "waited for its turn to the deadline", own_wait)))
+        def reject_at_deadline() -> None:
+            tenant_wait_micros = int(queue.expected_wait(entry, tenant_name))
+            waiter.settle(
+                Err(Refusal(ErrorKind.DEADLINE_PASSED, "waited for its turn to the deadline", tenant_wait_micros))
+            )
 
-        deadline_timer = self.clock.after(job.left_micros(self.clock.now()), give_up)
+        deadline_timer = self.clock.after(job.left_micros(self.clock.now()), reject_at_deadline)
         is_over = False
         try:
-            turn = await waiter.turn_future
+            turn = await waiter.admission_future
             is_over = True
             return turn
         finally:
             deadline_timer.cancel()
             # Out of the queue before the refusal goes out, so that it never runs (§8.3).
-            self._forget(queue, tenant_name, waiter)
+            self._remove_waiter(queue, tenant_name, waiter)
             if not is_over and waiter.was_admitted():
                 self.leave_place(entry, tenant_name)
 
     def waiting_count(self) -> int:
         return sum(queue.waiting_count for queue in self.queues.values())
 
-    def review(self, judge: Callable[[Job], Turn]) -> None:
+    def review(self, judge: Callable[[Job], AdmissionResult]) -> None:
         """What waits and can't run any more gets its final answer now, not at its turn (§8.3)."""
         for queue in self.queues.values():
             for waiters in list(queue.waiters_by_tenant.values()):
@@ -118,7 +122,7 @@
     def leave_place(self, entry: CapabilityEntry, tenant_name: str, held_micros: int = 0) -> None:
         queue = self.queues[entry.name]
         if held_micros:
-            queue.mean_micros += SMOOTHING * (held_micros - queue.mean_micros)
+            queue.mean_micros += EWMA_WEIGHT * (held_micros - queue.mean_micros)
         queue.running_count -= 1
         queue.running_by_tenant[tenant_name] -= 1
         if not queue.running_by_tenant[tenant_name]:
@@ -138,7 +142,7 @@
         queue.waiting_count -= 1
         if not queue.waiters_by_tenant[next_tenant]:
             del queue.waiters_by_tenant[next_tenant]
-        if not waiter.turn_future.done():
+        if not waiter.admission_future.done():
             self._begin(queue, next_tenant)
             waiter.settle(Ok(True))
         return True
@@ -147,7 +151,7 @@
         queue.running_count += 1
         queue.running_by_tenant[tenant_name] = queue.running_by_tenant.get(tenant_name, 0) + 1
 
-    def _forget(self, queue: _EntryQueue, tenant_name: str, waiter: _Waiter) -> None:
+    def _remove_waiter(self, queue: _EntryQueue, tenant_name: str, waiter: _Waiter) -> None:
         tenant_waiters = queue.waiters_by_tenant.get(tenant_name, deque())
         if waiter in tenant_waiters:
             tenant_waiters.remove(waiter)
--- a/src/pearhead/router/part_salt.py
+++ b/src/pearhead/router/cache_salt_builder.py
@@ -9,27 +9,29 @@
 from pearhead.config.description import Tenant, owner_of
 from pearhead.config.view import View
 from pearhead.invalidation.listener import Listener
-from pearhead.router.opaque import PromptPart
+from pearhead.router.opaque_request import PromptPart
 
-PART_LIMIT = 2**63
+PART_NUMBER_LIMIT = 2**63
 
 
 @dataclass(frozen=True)
-class SaltText:
+class CacheSalt:
     """`is_fresh`: purge knows the revision of each part now, so fetches may be planned (§6.4)."""
 
     text: str
     is_fresh: bool
 
 
-class PartSalt:
+class CacheSaltBuilder:
     """Owner, line, weights version, and the revisions of parts that are not at the first."""
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
         self.owners: tuple[View | None, dict[str, str]] = (None, {})
 
-    def salt(self, view: View, tenant: Tenant | None, line: str, version: int, parts: Sequence[PromptPart]) -> SaltText:
+    def salt(
+        self, view: View, tenant: Tenant | None, line: str, version: int, parts: Sequence[PromptPart]
+    ) -> CacheSalt:
         owner = self._owner(view, tenant)
         changed = []
         is_fresh = True
@@ -42,7 +44,7 @@
             if revision != 1:
                 changed.append(f"{number}.{revision}")
         text = f"{owner}\0{line}\0{version}\0{'/'.join(changed)}"
-        return SaltText(hashlib.blake2b(text.encode(), digest_size=9).hexdigest(), is_fresh)
+        return CacheSalt(hashlib.blake2b(text.encode(), digest_size=9).hexdigest(), is_fresh)
 
     def _owner(self, view: View, tenant: Tenant | None) -> str:
         """A group's name is with those kept apart: who leaves a group shares nothing made before (§6.7)."""
@@ -61,6 +63,6 @@
 def part_number(part: str) -> int:
     """Parts are named in hexadecimal; other names are hashed."""
     try:
-        return int(part, 16) % PART_LIMIT
+        return int(part, 16) % PART_NUMBER_LIMIT
     except ValueError:
-        return int.from_bytes(hashlib.blake2b(part.encode(), digest_size=8).digest(), "big") % PART_LIMIT
+        return int.from_bytes(hashlib.blake2b(part.encode(), digest_size=8).digest(), "big") % PART_NUMBER_LIMIT
--- a/src/pearhead/router/edge.py
+++ b/src/pearhead/router/client_http_server.py
@@ -33,27 +33,27 @@
 from pearhead.config.description import Limits
 from pearhead.router.drain import DRAINING_DETAIL, DrainSchedule, DrainState
 from pearhead.router.errors import ErrorKind, Refusal
-from pearhead.router.lingering import LingeringSockets
-from pearhead.router.opaque import AnswerPen, OpaqueRequest
+from pearhead.router.lingering_close import LingeringSockets
+from pearhead.router.opaque_request import OpaqueRequest, ResponseWriter
 from pearhead.runtime.clock import MILLI, SECOND, Clock, Timer
 
 LOGGER = logging.getLogger("pearhead")
-Handler = Callable[[OpaqueRequest, AnswerPen], Awaitable[None]]
+OpaqueRequestHandler = Callable[[OpaqueRequest, ResponseWriter], Awaitable[None]]
 # A head that is too large is read on this far, so that it can be answered.
-HEAD_SPARE_BYTES = 65_536
+OVERSIZED_HEAD_MARGIN_BYTES = 65_536
 BODY_TIMEOUT_SECONDS = 30.0
 # So long is the rest of a request that was refused read away, as a caller that still sends may miss the answer.
-REFUSED_BODY_SECONDS = 2.0
+REJECTED_BODY_READ_SECONDS = 2.0
 # Tornado's own bound; the limits in force are checked here.
 NO_BODY_LIMIT = 2**62
-LENGTH_DIGITS = 18
+MAX_CONTENT_LENGTH_DIGITS = 18
 # At the end no more connections are accepted than this, however fast callers make them.
-MOST_ACCEPTED = 4_096
-LEAST_LOOK_MICROS = 20 * MILLI
+MAX_FINAL_ACCEPTS = 4_096
+MIN_TIMEOUT_CHECK_MICROS = 20 * MILLI
 # SO_LINGER switched on with no time to linger: closing sends a reset and drops what was not sent.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 # Limits that became shorter are followed this late at most.
-MOST_LOOK_MICROS = SECOND
+MAX_TIMEOUT_CHECK_MICROS = SECOND
 
 
 @dataclass(frozen=True)
@@ -72,7 +72,7 @@
         return cls(**{name: value for name, value in told.items() if value > 0})
 
 
-class RequestReader(Protocol):
+class RequestParser(Protocol):
     """Reads what came as a request, in the words of the place where the node runs."""
 
     def read(
@@ -82,7 +82,7 @@
     def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]: ...
 
 
-class ConnectionPen:
+class ConnectionResponseWriter:
     """The caller's end, written as it comes. After a drain began, each answer ends its connection."""
 
     def __init__(self, connection: HTTPConnection, closes: Callable[[], bool]) -> None:
@@ -91,23 +91,23 @@
         self.closes = closes
         self.gone = False
         self.is_over = False
-        self.ends_with_connection = False
-        self.on_gone: Callable[[], object] = lambda: None
+        self.is_delimited_by_close = False
+        self.on_disconnect: Callable[[], object] = lambda: None
         connection.set_close_callback(self._close)
 
     def begin(self, status: int, reason: str, headers: HTTPHeaders) -> None:
         if self.closes():
             headers["Connection"] = "close"
             self.connection._disconnect_on_finish = True
-        start = ResponseStartLine("HTTP/1.1", status, reason or _reason_of(status))
-        self._ignore(self.connection.write_headers(start, headers))
-        self.ends_with_connection = not (self.connection._chunking_output or "Content-Length" in headers)
+        start = ResponseStartLine("HTTP/1.1", status, reason or _reason_phrase(status))
+        self._ignore_write_result(self.connection.write_headers(start, headers))
+        self.is_delimited_by_close = not (self.connection._chunking_output or "Content-Length" in headers)
         if not self.gone:
             self.connection.stream.set_nodelay(True)
 
     def write(self, chunk: bytes) -> None:
         if not self.gone:
-            self._ignore(self.connection.write(chunk))
+            self._ignore_write_result(self.connection.write(chunk))
 
     def finish(self) -> None:
         self.is_over = True
@@ -117,7 +117,7 @@
     def abort(self) -> None:
         """Without chunks or a length, a plain close would say that the answer is complete: it is reset instead."""
         self.is_over = True
-        if self.ends_with_connection and not self.is_gone():
+        if self.is_delimited_by_close and not self.is_gone():
             self.connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.connection.close()
 
@@ -126,15 +126,15 @@
 
     def _close(self) -> None:
         self.gone = True
-        self.on_gone()
+        self.on_disconnect()
 
     @staticmethod
-    def _ignore(written: asyncio.Future[None]) -> None:
+    def _ignore_write_result(written: asyncio.Future[None]) -> None:
         written.add_done_callback(lambda future: future.cancelled() or future.exception())
 
 
 class _RequestDelegate(HTTPMessageDelegate):
-    def __init__(self, edge: RequestEdge, connection: HTTPConnection) -> None:
+    def __init__(self, edge: ClientConnectionManager, connection: HTTPConnection) -> None:
         self.edge = edge
         self.connection = connection
         self.start: Any = None
@@ -142,19 +142,19 @@
         self.chunks: list[bytes] = []
         self.body_size = 0
         self.arrived_micros = 0
-        self.refused: ConnectionPen | None = None
+        self.refused: ConnectionResponseWriter | None = None
 
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
         assert isinstance(start_line, RequestStartLine)
         self.start, self.headers = start_line, headers
         self.arrived_micros = self.edge.clock.now()
-        stream = self.edge.take_head(self.connection)
+        stream = self.edge.complete_head(self.connection)
         self.edge.reading[self] = None
         if not self.edge.drain.may_accept():
             self.refuse_draining()
         elif stream.is_head_too_large:
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
-        elif _told_length(headers) > self.edge.limits().body_bytes:
+        elif _declared_content_length(headers) > self.edge.limits().body_bytes:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def data_received(self, chunk: bytes) -> None:
@@ -171,18 +171,18 @@
             return
         told = self.edge.reader.read(self.start.method, self.start.path, self.headers, b"", self.arrived_micros)
         request = None if isinstance(told, Err) else told.ok_value
-        self._answer_early(Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request)
+        self._respond_early(Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request)
 
     def _refuse(self, status: HTTPStatus, detail: str) -> None:
-        self._answer_early(Refusal(ErrorKind.TOO_LARGE, detail), status)
+        self._respond_early(Refusal(ErrorKind.TOO_LARGE, detail), status)
 
-    def _answer_early(self, refusal: Refusal, status: int = 0, request: OpaqueRequest | None = None) -> None:
+    def _respond_early(self, refusal: Refusal, status: int = 0, request: OpaqueRequest | None = None) -> None:
         """Answers at once and ends the connection; what still comes is read and dropped for a while first."""
         assert isinstance(self.connection, HTTP1Connection)
         self.chunks = []
         self.headers.pop("Expect", None)
-        self.connection.set_body_timeout(REFUSED_BODY_SECONDS)
-        self.refused = ConnectionPen(self.connection, lambda: True)
+        self.connection.set_body_timeout(REJECTED_BODY_READ_SECONDS)
+        self.refused = ConnectionResponseWriter(self.connection, lambda: True)
         self.edge.refuse(self.refused, self.start.method, refusal, status, request)
 
     def finish(self) -> None:
@@ -200,7 +200,7 @@
 class ClientStream(IOStream):
     """A caller's connection that tells the edge of each head as it comes in."""
 
-    def __init__(self, connection: socket.socket, edge: RequestEdge, **settings: Any) -> None:
+    def __init__(self, connection: socket.socket, edge: ClientConnectionManager, **settings: Any) -> None:
         super().__init__(connection, **settings)
         self.edge = edge
         self.is_head_too_large = False
@@ -209,7 +209,7 @@
         """Called with what was read of a head, each time that more came."""
         if self._read_regex is None:
             return super()._check_max_bytes(delimiter, size)
-        self.edge.note_head(self, size)
+        self.edge.track_head(self, size)
 
     def close_fd(self) -> None:
         """While the node drains, a connection ends once its last answer is delivered."""
@@ -219,11 +219,11 @@
         else:
             super().close_fd()
 
-    def has_next(self) -> bool:
+    def has_next_request(self) -> bool:
         """Between two requests: whether the next has begun to arrive."""
-        return bool(self._read_buffer_size) or self.has_unread()  # The library has no other word for it.
+        return bool(self._read_buffer_size) or self.has_unread_bytes()  # The library has no other word for it.
 
-    def has_unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes wait that this process has not read yet."""
         if self.socket is None:
             return False
@@ -233,12 +233,12 @@
             return False
 
 
-class ClientServer(HTTPServer):
+class ClientHttpServer(HTTPServer):
     """Takes callers' connections for an edge, which bounds their times instead of Tornado."""
 
-    edge: RequestEdge
+    edge: ClientConnectionManager
 
-    def initialize(self, edge: RequestEdge) -> None:  # type: ignore[override]
+    def initialize(self, edge: ClientConnectionManager) -> None:  # type: ignore[override]
         super().initialize(edge, max_body_size=NO_BODY_LIMIT, body_timeout=BODY_TIMEOUT_SECONDS)
         self.conn_params.header_timeout = None
         self.edge = edge
@@ -251,13 +251,13 @@
     def stop_accepting(self) -> None:
         """Takes the connections that are made already, closes the listening sockets and all idle connections."""
         for listener in list(self._sockets.values()):
-            self._accept_waiting(listener)
+            self._accept_backlog(listener)
         self.stop()
         self.edge.close_idle()
 
-    def _accept_waiting(self, listener: socket.socket) -> None:
+    def _accept_backlog(self, listener: socket.socket) -> None:
         """The kernel would reset those that nobody accepted."""
-        for _ in range(MOST_ACCEPTED):
+        for _ in range(MAX_FINAL_ACCEPTS):
             try:
                 connection, address = listener.accept()
             except OSError:
@@ -281,7 +281,7 @@
         super().on_close(server_conn)
 
 
-class RequestEdge(HTTPServerConnectionDelegate):
+class ClientConnectionManager(HTTPServerConnectionDelegate):
     """`limits`: those in force now; asked for each head, so cheap. `resting` and `heads` hold since when a connection
     has been idle, or its head coming in, the longest first; `reading`: requests whose body comes in; `streams`: all
     connections. Without a `drain` it never drains."""
@@ -289,8 +289,8 @@
     def __init__(
         self,
         clock: Clock,
-        reader: RequestReader,
-        handler: Handler,
+        reader: RequestParser,
+        handler: OpaqueRequestHandler,
         limits: Callable[[], ClientLimits],
         drain: DrainState | None = None,
     ) -> None:
@@ -298,22 +298,22 @@
         self.reader = reader
         self.handler = handler
         self.limits = limits
-        self.drain = drain or DrainState(clock, DrainSchedule.of_grace(SECOND))
+        self.drain = drain or DrainState(clock, DrainSchedule.for_grace_period(SECOND))
         self.lingering = LingeringSockets()
         self.streams: set[ClientStream] = set()
         self.reading: dict[_RequestDelegate, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.resting: dict[ClientStream, int] = {}
+        self.idle_since: dict[ClientStream, int] = {}
         self.heads: dict[ClientStream, int] = {}
-        self.look_timer: Timer | None = None
+        self.timeout_check_timer: Timer | None = None
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> HTTPMessageDelegate:
         assert isinstance(request_conn, HTTP1Connection) and isinstance(request_conn.stream, ClientStream)
         stream = request_conn.stream
         stream.is_head_too_large = False
-        self.resting[stream] = self.clock.now()
-        self._plan_look()
-        if not self.drain.may_accept() and not stream.has_next():
+        self.idle_since[stream] = self.clock.now()
+        self._schedule_timeout_check()
+        if not self.drain.may_accept() and not stream.has_next_request():
             # The library finds it closed when it goes on to read.
             stream.close()
         return _RequestDelegate(self, request_conn)
@@ -321,55 +321,55 @@
     def on_close(self, server_conn: object) -> None:
         return None
 
-    def note_head(self, stream: ClientStream, size: int) -> None:
+    def track_head(self, stream: ClientStream, size: int) -> None:
         """So much of a head was read by now."""
         if stream not in self.heads:
-            self.resting.pop(stream, None)
+            self.idle_since.pop(stream, None)
             self.heads[stream] = self.clock.now()
         limit_bytes = self.limits().header_bytes
         if size > limit_bytes:
             stream.is_head_too_large = True
-        if size > limit_bytes + HEAD_SPARE_BYTES:
-            _write_bare(stream, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+        if size > limit_bytes + OVERSIZED_HEAD_MARGIN_BYTES:
+            _write_bare_response(stream, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             raise UnsatisfiableReadError("the head is too large")
 
-    def take_head(self, connection: HTTPConnection) -> ClientStream:
+    def complete_head(self, connection: HTTPConnection) -> ClientStream:
         """A head was read whole: from now on its connection is neither idle nor late."""
         assert isinstance(connection, HTTP1Connection) and isinstance(connection.stream, ClientStream)
         self.forget(connection.stream)
         return connection.stream
 
     def forget(self, stream: ClientStream) -> None:
-        self.resting.pop(stream, None)
+        self.idle_since.pop(stream, None)
         self.heads.pop(stream, None)
 
-    def _plan_look(self) -> None:
-        if self.look_timer is not None or not (self.resting or self.heads):
+    def _schedule_timeout_check(self) -> None:
+        if self.timeout_check_timer is not None or not (self.idle_since or self.heads):
             return
         limits, now_micros = self.limits(), self.clock.now()
-        left_micros = MOST_LOOK_MICROS
-        for book, limit_micros in ((self.heads, limits.header_micros), (self.resting, limits.idle_micros)):
+        left_micros = MAX_TIMEOUT_CHECK_MICROS
+        for book, limit_micros in ((self.heads, limits.header_micros), (self.idle_since, limits.idle_micros)):
             for since_micros in list(book.values())[:1]:
                 left_micros = min(left_micros, since_micros + limit_micros - now_micros)
-        self.look_timer = self.clock.after(max(left_micros, LEAST_LOOK_MICROS), self._look)
+        self.timeout_check_timer = self.clock.after(max(left_micros, MIN_TIMEOUT_CHECK_MICROS), self._look)
 
     def _look(self) -> None:
         """Ends connections whose time is over, but none that has sent what is not read yet or not taken yet."""
-        self.look_timer = None
+        self.timeout_check_timer = None
         limits, now_micros = self.limits(), self.clock.now()
-        for stream in _begun_by(self.heads, now_micros - limits.header_micros):
-            if stream.reading() and not stream.has_unread():
-                _write_bare(stream, HTTPStatus.REQUEST_TIMEOUT)
+        for stream in _started_by(self.heads, now_micros - limits.header_micros):
+            if stream.reading() and not stream.has_unread_bytes():
+                _write_bare_response(stream, HTTPStatus.REQUEST_TIMEOUT)
                 stream.close()
-        for stream in _begun_by(self.resting, now_micros - limits.idle_micros):
-            if stream.reading() and not stream.has_unread():
+        for stream in _started_by(self.idle_since, now_micros - limits.idle_micros):
+            if stream.reading() and not stream.has_unread_bytes():
                 stream.close()
-        self._plan_look()
+        self._schedule_timeout_check()
 
     def close_idle(self) -> None:
         """Ends the connections of which nothing is left to be read; what has begun to arrive is read and answered."""
-        for stream in list(self.resting):
-            if stream.reading() and not stream.has_unread():
+        for stream in list(self.idle_since):
+            if stream.reading() and not stream.has_unread_bytes():
                 stream.close()
 
     def refuse_incoming(self) -> None:
@@ -378,7 +378,7 @@
             delegate.refuse_draining()
             delegate.finish()
         for stream in list(self.heads):
-            _write_bare(stream, HTTPStatus.SERVICE_UNAVAILABLE)
+            _write_bare_response(stream, HTTPStatus.SERVICE_UNAVAILABLE)
             stream.close()
 
     def open_count(self) -> int:
@@ -391,16 +391,16 @@
 
     def refuse(
         self,
-        pen: ConnectionPen,
+        pen: ConnectionResponseWriter,
         method: str,
         refusal: Refusal,
         status: int = 0,
         request: OpaqueRequest | None = None,
     ) -> None:
         """Writes an answer of this node itself; `status` is the reader's own unless it is told."""
-        told_status, headers, answer = self.reader.refusal(request, refusal)
+        default_status, headers, answer = self.reader.refusal(request, refusal)
         headers["Content-Length"] = str(len(answer))
-        pen.begin(status or told_status, "", headers)
+        pen.begin(status or default_status, "", headers)
         if method != "HEAD":
             pen.write(answer)
 
@@ -412,7 +412,7 @@
         body: bytes,
         arrived_micros: int,
     ) -> None:
-        pen = ConnectionPen(connection, self.drain.is_draining)
+        pen = ConnectionResponseWriter(connection, self.drain.is_draining)
         request = self.reader.read(start.method, start.path, headers, body, arrived_micros)
         if isinstance(request, Err):
             self.refuse(pen, start.method, request.err_value)
@@ -422,11 +422,11 @@
             return pen.finish()
         task = asyncio.get_running_loop().create_task(self._run(request.ok_value, pen))
         # Nobody reads the answer any more: its worker is let go of.
-        pen.on_gone = task.cancel
+        pen.on_disconnect = task.cancel
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _run(self, request: OpaqueRequest, pen: ConnectionPen) -> None:
+    async def _run(self, request: OpaqueRequest, pen: ConnectionResponseWriter) -> None:
         try:
             await self.handler(request, pen)
         except StreamClosedError:
@@ -438,24 +438,24 @@
                 pen.abort()
 
 
-def _reason_of(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return HTTPStatus(status).phrase
     except ValueError:
         return "Unknown"
 
 
-def _told_length(headers: HTTPHeaders) -> int:
+def _declared_content_length(headers: HTTPHeaders) -> int:
     """What can't be read is left to Tornado, which answers 400."""
     text = headers.get("Content-Length", "")
-    return int(text) if text.isdecimal() and len(text) <= LENGTH_DIGITS else 0
+    return int(text) if text.isdecimal() and len(text) <= MAX_CONTENT_LENGTH_DIGITS else 0
 
 
-def _begun_by(book: dict[ClientStream, int], begun_micros: int) -> list[ClientStream]:
+def _started_by(book: dict[ClientStream, int], begun_micros: int) -> list[ClientStream]:
     return list(takewhile(lambda stream: book[stream] <= begun_micros, book))
 
 
-def _write_bare(stream: IOStream, status: HTTPStatus) -> None:
+def _write_bare_response(stream: IOStream, status: HTTPStatus) -> None:
     """An answer where there is no request to answer yet; a caller that is gone misses it."""
     head = f"HTTP/1.1 {status.value} {status.phrase}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     written = stream.write(head.encode())
--- a/src/pearhead/router/costs.py
+++ b/src/pearhead/router/cost_estimator.py
@@ -4,15 +4,15 @@
 
 import statistics
 
-SMOOTHING = 0.3
-PREFILL_BEGINNING = 100.0
-FETCH_BEGINNING = 20.0
+EWMA_WEIGHT = 0.3
+INITIAL_PREFILL_RATE = 100.0
+INITIAL_FETCH_RATE = 20.0
 # A figure outside is a defect of a clock or of a worker, and teaches nothing.
-LEAST_MICROS, MOST_MICROS = 1.0, 5_000.0
+MIN_RATE_MICROS, MAX_RATE_MICROS = 1.0, 5_000.0
 LEAST_TOKENS = 100
 
 
-class CostBook:
+class CostEstimator:
     """Microseconds a token. What is not known yet is taken from the other workers of the line, else from
     the beginning; each figure moves by a share of the way, and within bounds."""
 
@@ -26,10 +26,10 @@
         if known is not None:
             return known
         others = [rate for (other_line, _), rate in self.prefill_rates.items() if other_line == line]
-        return statistics.median(others) if others else PREFILL_BEGINNING
+        return statistics.median(others) if others else INITIAL_PREFILL_RATE
 
     def fetch_rate(self, source: str, target: str) -> float:
-        return self.fetch_rates.get((source, target), FETCH_BEGINNING)
+        return self.fetch_rates.get((source, target), INITIAL_FETCH_RATE)
 
     def stream_micros(self, entry: str, worker: str) -> float:
         """How long results of an entry stream, from their first line to the closing one."""
@@ -39,18 +39,23 @@
         others = [micros for (other_entry, _), micros in self.smoothed_micros.items() if other_entry == entry]
         return statistics.median(others) if others else 0.0
 
-    def take_stream(self, entry: str, worker: str, micros: int) -> None:
+    def record_stream(self, entry: str, worker: str, micros: int) -> None:
         held_micros = self.stream_micros(entry, worker) or float(micros)
-        self.smoothed_micros[entry, worker] = held_micros + SMOOTHING * (micros - held_micros)
+        self.smoothed_micros[entry, worker] = held_micros + EWMA_WEIGHT * (micros - held_micros)
 
-    def take_prefill(self, line: str, worker: str, tokens: int, micros: float) -> None:
+    def record_prefill(self, line: str, worker: str, tokens: int, micros: float) -> None:
         self._take(self.prefill_rates, (line, worker), self.prefill_rate(line, worker), tokens, micros)
 
     def take_fetch(self, source: str, target: str, tokens: int, micros: float) -> None:
         self._take(self.fetch_rates, (source, target), self.fetch_rate(source, target), tokens, micros)
 
     def _take(
-        self, rates: dict[tuple[str, str], float], key: tuple[str, str], held_rate: float, tokens: int, micros: float
+        self,
+        rates: dict[tuple[str, str], float],
+        key: tuple[str, str],
+        previous_rate: float,
+        tokens: int,
+        micros: float,
     ) -> None:
-        if tokens >= LEAST_TOKENS and LEAST_MICROS <= micros / tokens <= MOST_MICROS:
-            rates[key] = held_rate + SMOOTHING * (micros / tokens - held_rate)
+        if tokens >= LEAST_TOKENS and MIN_RATE_MICROS <= micros / tokens <= MAX_RATE_MICROS:
+            rates[key] = previous_rate + EWMA_WEIGHT * (micros / tokens - previous_rate)
--- a/src/pearhead/router/drain.py
+++ b/src/pearhead/router/drain.py
@@ -19,11 +19,11 @@
 POLL_MICROS = 20 * MILLI
 # Long enough for two missed readiness checks. What a caller sends until 3 s after SIGTERM is to be answered, and the
 # process may hear of SIGTERM late.
-MOST_HANDOVER_MICROS = 2_700 * MILLI
+MAX_HANDOVER_MICROS = 2_700 * MILLI
 HANDOVER_SHARE = 3 / 8
 # From the last end to the kill: what is left to write, and the teardown of the process on a slow machine.
-MOST_MARGIN_MICROS = SECOND
-MARGIN_SHARE = 1 / 8
+MAX_END_MARGIN_MICROS = SECOND
+END_MARGIN_SHARE = 1 / 8
 # Of that margin, so much may go to writing out the last answers.
 FLUSH_SHARE = 1 / 4
 DRAINING_DETAIL = "this node is leaving"
@@ -50,11 +50,11 @@
     flush_micros: int
 
     @classmethod
-    def of_grace(cls, grace_micros: int) -> DrainSchedule:
+    def for_grace_period(cls, grace_micros: int) -> DrainSchedule:
         """For a process that is killed `grace_micros` after SIGTERM."""
-        margin_micros = min(MOST_MARGIN_MICROS, int(grace_micros * MARGIN_SHARE))
+        margin_micros = min(MAX_END_MARGIN_MICROS, int(grace_micros * END_MARGIN_SHARE))
         return cls(
-            handover_micros=min(MOST_HANDOVER_MICROS, int(grace_micros * HANDOVER_SHARE)),
+            handover_micros=min(MAX_HANDOVER_MICROS, int(grace_micros * HANDOVER_SHARE)),
             end_micros=grace_micros - margin_micros,
             flush_micros=int(margin_micros * FLUSH_SHARE),
         )
@@ -119,7 +119,7 @@
             self.on_violation(f"{unanswered_count} requests are open at the end")
 
 
-class DrainingEdge(Protocol):
+class DrainableServer(Protocol):
     """The node's end towards its callers."""
 
     def stop_accepting(self) -> None:
@@ -135,7 +135,7 @@
         """Requests without a whole answer."""
 
 
-class OpenRequests(Protocol):
+class DrainableRequests(Protocol):
     """The requests that the node has accepted. `taken_count`: how many since the process started."""
 
     taken_count: int
@@ -147,29 +147,29 @@
         """Gives each its final answer, or cuts it if a part of another answer was written."""
 
 
-class FrontDrain:
+class DrainCoordinator:
     """Leads an edge and its requests through the phases."""
 
-    def __init__(self, state: DrainState, edge: DrainingEdge, requests: OpenRequests) -> None:
+    def __init__(self, state: DrainState, edge: DrainableServer, requests: DrainableRequests) -> None:
         self.state = state
         self.edge = edge
         self.requests = requests
-        self.ending: asyncio.Future[None] | None = None
+        self.end_task: asyncio.Future[None] | None = None
 
     async def run(self) -> None:
         """Returns when the process may end: when nothing is open, or at the last end."""
         self.state.begin()
-        open_before, taken_before = self.requests.open_count(), self.requests.taken_count
+        open_before, accepted_before = self.requests.open_count(), self.requests.taken_count
         # Also with nothing open: callers still come until they have learned that this node leaves.
-        await self._wait_until(self.state.schedule.handover_micros, ends_idle=False)
+        await self._wait_until(self.state.schedule.handover_micros, stop_when_idle=False)
         self.edge.stop_accepting()
-        await self._wait_until(self.state.schedule.end_micros, ends_idle=True)
+        await self._wait_until(self.state.schedule.end_micros, stop_when_idle=True)
         open_after = self.requests.open_count()
         await self.end()
         LOGGER.info(
             "router: The drain is over. open_before=%d taken=%d cut=%d",
             open_before,
-            self.requests.taken_count - taken_before,
+            self.requests.taken_count - accepted_before,
             open_after,
         )
 
@@ -178,9 +178,9 @@
 
         Called again while it is under way, it waits for the same end.
         """
-        if self.ending is None:
-            self.ending = asyncio.ensure_future(self._end_once())
-        await asyncio.shield(self.ending)
+        if self.end_task is None:
+            self.end_task = asyncio.ensure_future(self._end_once())
+        await asyncio.shield(self.end_task)
 
     async def _end_once(self) -> None:
         self.state.end()
@@ -198,11 +198,11 @@
         open_connections = self.edge.open_count()
         return not open_connections and not self.requests.open_count()
 
-    async def _wait_until(self, since_begin_micros: int, ends_idle: bool) -> None:
+    async def _wait_until(self, since_begin_micros: int, stop_when_idle: bool) -> None:
         """Until that time, or with `ends_idle` until nothing is open; lets the edge close what it delivered."""
         assert self.state.begun_micros is not None
         end_micros = self.state.begun_micros + since_begin_micros
         while self.state.clock.now() < end_micros:
-            if self._is_idle() and ends_idle:
+            if self._is_idle() and stop_when_idle:
                 return
             await rest(self.state.clock, min(POLL_MICROS, end_micros - self.state.clock.now()))
--- a/src/pearhead/router/errors.py
+++ b/src/pearhead/router/errors.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class ErrorResult:
+class ErrorResponseSpec:
     status: int
     ran: str
     come_back_seconds: int
@@ -36,22 +36,22 @@
 NOT_RUN = "not_run"
 UNKNOWN = "unknown"
 
-ERROR_TABLE: dict[ErrorKind, ErrorResult] = {
-    ErrorKind.MALFORMED: ErrorResult(400, NOT_RUN, 0),
-    ErrorKind.UNKNOWN_FIELD: ErrorResult(400, NOT_RUN, 0),
-    ErrorKind.BAD_KEY: ErrorResult(401, NOT_RUN, 0),
-    ErrorKind.NOT_ENTITLED: ErrorResult(403, NOT_RUN, 0),
-    ErrorKind.UNKNOWN_MODEL: ErrorResult(404, NOT_RUN, 0),
-    ErrorKind.UNKNOWN_KIND: ErrorResult(404, NOT_RUN, 0),
-    ErrorKind.UNKNOWN_ROUTE: ErrorResult(404, NOT_RUN, 0),
-    ErrorKind.TOO_LARGE: ErrorResult(413, NOT_RUN, 0),
-    ErrorKind.DEADLINE_PASSED: ErrorResult(408, NOT_RUN, 1),
-    ErrorKind.TENANT_BUSY: ErrorResult(429, NOT_RUN, 1),
-    ErrorKind.OVERLOADED: ErrorResult(503, NOT_RUN, 1),
-    ErrorKind.NO_WORKER: ErrorResult(503, NOT_RUN, 1),
-    ErrorKind.NOT_CURRENT: ErrorResult(503, NOT_RUN, 1),
-    ErrorKind.DRAINING: ErrorResult(503, NOT_RUN, 1),
-    ErrorKind.OUTCOME_UNKNOWN: ErrorResult(502, UNKNOWN, 0),
+ERROR_TABLE: dict[ErrorKind, ErrorResponseSpec] = {
+    ErrorKind.MALFORMED: ErrorResponseSpec(400, NOT_RUN, 0),
+    ErrorKind.UNKNOWN_FIELD: ErrorResponseSpec(400, NOT_RUN, 0),
+    ErrorKind.BAD_KEY: ErrorResponseSpec(401, NOT_RUN, 0),
+    ErrorKind.NOT_ENTITLED: ErrorResponseSpec(403, NOT_RUN, 0),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponseSpec(404, NOT_RUN, 0),
+    ErrorKind.UNKNOWN_KIND: ErrorResponseSpec(404, NOT_RUN, 0),
+    ErrorKind.UNKNOWN_ROUTE: ErrorResponseSpec(404, NOT_RUN, 0),
+    ErrorKind.TOO_LARGE: ErrorResponseSpec(413, NOT_RUN, 0),
+    ErrorKind.DEADLINE_PASSED: ErrorResponseSpec(408, NOT_RUN, 1),
+    ErrorKind.TENANT_BUSY: ErrorResponseSpec(429, NOT_RUN, 1),
+    ErrorKind.OVERLOADED: ErrorResponseSpec(503, NOT_RUN, 1),
+    ErrorKind.NO_WORKER: ErrorResponseSpec(503, NOT_RUN, 1),
+    ErrorKind.NOT_CURRENT: ErrorResponseSpec(503, NOT_RUN, 1),
+    ErrorKind.DRAINING: ErrorResponseSpec(503, NOT_RUN, 1),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponseSpec(502, UNKNOWN, 0),
 }
 
 
--- a/src/pearhead/router/event_stream.py
+++ b/src/pearhead/router/event_stream.py
@@ -18,7 +18,7 @@
 VersionReader = Callable[[bytes], int | None]
 
 
-def _tells_no_version(event: bytes) -> int | None:
+def _no_event_version(event: bytes) -> int | None:
     return None
 
 
@@ -28,7 +28,7 @@
     `last_id` is that of the last event given out. After a `violation` nothing of the run is given out any more.
     """
 
-    def __init__(self, last_id: str = "", read_version: VersionReader = _tells_no_version) -> None:
+    def __init__(self, last_id: str = "", read_version: VersionReader = _no_event_version) -> None:
         self.sequence = StreamSequence(last_id)
         self.read_version = read_version
         self.pending = b""
@@ -55,7 +55,7 @@
             if end is None:
                 break
             event, self.pending = self.pending[: end.end()], self.pending[end.end() :]
-            action = self.sequence.take(read_fields(event, self.read_version(event)))
+            action = self.sequence.take(parse_event_fields(event, self.read_version(event)))
             if isinstance(action, Err):
                 self.violation = action.err_value
             elif action.ok_value is EventAction.FORWARD:
@@ -69,7 +69,7 @@
         return self.violation is None and not self.pending
 
 
-def read_fields(event: bytes, version: int | None = None) -> EventFields:
+def parse_event_fields(event: bytes, version: int | None = None) -> EventFields:
     """The last id counts, as the format says."""
     ids = EVENT_ID.findall(event)
     event_id = ids[-1].decode("latin1").strip() if ids else ""
--- a/src/pearhead/router/fleet_budget.py
+++ b/src/pearhead/router/fleet_retry_budget.py
@@ -5,7 +5,7 @@
 from pearhead.runtime.clock import Clock
 
 
-class FleetBudget:
+class FleetRetryBudget:
     """A node may spend its share of what the fleet may: a part of its own requests, and of the free tries.
 
     `ratio`: tries a request; `slack`: free tries of the whole fleet in `window_micros`. Four fifths of both are used,
@@ -22,9 +22,9 @@
         self.credits: dict[str, tuple[float, int]] = {}
         self.spent = 0
 
-    def pay_in(self, service: str, node_count: int) -> None:
+    def deposit(self, service: str, node_count: int) -> None:
         credit = self._credit(service, node_count) + self.ratio
-        self.credits[service] = (min(credit, self._most(node_count)), self.clock.now())
+        self.credits[service] = (min(credit, self._max_credit(node_count)), self.clock.now())
 
     def take_out(self, service: str, node_count: int) -> bool:
         credit = self._credit(service, node_count)
@@ -34,13 +34,13 @@
         self.spent += 1
         return True
 
-    def _most(self, node_count: int) -> float:
+    def _max_credit(self, node_count: int) -> float:
         # Half of a window's slack at once: the other half comes back within the window.
         return max(1.0, self.slack / max(node_count, 1) / 2)
 
     def _credit(self, service: str, node_count: int) -> float:
         now_micros = self.clock.now()
-        most = self._most(node_count)
+        most = self._max_credit(node_count)
         credit, at_micros = self.credits.get(service, (most, now_micros))
         grown = (now_micros - at_micros) / self.window_micros * self.slack / max(node_count, 1) / 2
         return min(credit + grown, most)
--- a/src/pearhead/router/front.py
+++ b/src/pearhead/router/front.py
@@ -12,9 +12,9 @@
 from tornado.web import Application, RequestHandler, stream_request_body
 
 from pearhead.config.startup import Startup, is_operator
-from pearhead.router.carry import ConnectionGoneError
 from pearhead.router.errors import ERROR_TABLE, NOT_RUN, ErrorKind, Refusal
-from pearhead.router.job import read_job
+from pearhead.router.job import parse_job
+from pearhead.router.job_transport import ClientDisconnectedError
 from pearhead.router.node import NodeProcess
 from pearhead.runtime.metrics import metrics_routes
 
@@ -45,7 +45,7 @@
         if self.body_size > self.startup.bodyLimitBytes:
             self._refuse(Refusal(ErrorKind.TOO_LARGE, f"over {self.startup.bodyLimitBytes} bytes"))
             return
-        request = read_job(b"".join(self.body_chunks))
+        request = parse_job(b"".join(self.body_chunks))
         if isinstance(request, Err):
             self._refuse(request.err_value)
             return
@@ -68,7 +68,7 @@
             # Waits while the caller is slow: nothing piles up here.
             await self.flush()
         except StreamClosedError as fault:
-            raise ConnectionGoneError from fault
+            raise ClientDisconnectedError from fault
 
     def on_connection_close(self) -> None:
         if self.job_task is not None:
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -10,29 +10,29 @@
 from pearhead.config.view import View
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
+from pearhead.router.cache_salt_builder import CacheSaltBuilder
+from pearhead.router.client_http_server import ClientLimits
 from pearhead.router.core_commander import CoreCommander
 from pearhead.router.drain import DrainSchedule, DrainState
-from pearhead.router.edge import ClientLimits
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
 from pearhead.router.kept_gatherer import KeptGatherer
 from pearhead.router.kept_index import KeptIndex
-from pearhead.router.load_book import LoadBook
 from pearhead.router.node_count import NodeCount
-from pearhead.router.opaque import AnswerHead, Dialect
-from pearhead.router.part_salt import PartSalt
-from pearhead.router.placer import Placer
-from pearhead.router.read_book import ReadBook
+from pearhead.router.opaque_request import ProtocolAdapter, ResponseHead
+from pearhead.router.prefill_tracker import PrefillTracker
 from pearhead.router.relay import Relay
+from pearhead.router.request_proxy import RequestProxy
 from pearhead.router.roll_out import RollOut
 from pearhead.router.roster import RosterKeeper
 from pearhead.router.roster_recorder import RosterRecorder
 from pearhead.router.stats_log import StatsLog
 from pearhead.router.term import TermKeeper
-from pearhead.router.upstream import UpstreamPool
+from pearhead.router.upstream_pool import UpstreamPool
 from pearhead.router.version_book import VersionBook
 from pearhead.router.weights_clock import WeightsClock
 from pearhead.router.worker_control import Backend, WorkerControl
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerSelector
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import KeptNote, ReadNote, Record, UseNote
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -71,7 +71,7 @@
     least_kept_tokens: int = 512
     log_stats_micros: int = 60 * SECOND
     leaving_micros: int = 3 * SECOND
-    drain_schedule: DrainSchedule = DrainSchedule.of_grace(GRACE_MICROS)
+    drain_schedule: DrainSchedule = DrainSchedule.for_grace_period(GRACE_MICROS)
 
 
 class GatewayProcess:
@@ -82,7 +82,7 @@
         clock: Clock,
         net: Net,
         control: WorkerControl,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         chance: random.Random,
     ) -> None:
         self.startup = startup
@@ -105,7 +105,7 @@
         self.keeper = TermKeeper(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
         self.listener = Listener(self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros)
         self.shared_count = NodeCount(clock, settings.serve_on_micros)
-        self.loads = LoadBook(clock)
+        self.loads = WorkerLoadTracker(clock)
         self.index = KeptIndex()
         self.versions = VersionBook(clock)
         self.weights = WeightsClock(clock, self.keeper, startup.oldWeightsMicros)
@@ -153,23 +153,23 @@
             startup.holdMicros,
         )
         self.pool = UpstreamPool(clock)
-        self.placer = Placer(
+        self.placer = WorkerSelector(
             clock,
             startup.area,
             lambda: self.rosters.roster,
             self.versions,
             self.index,
             self.loads,
-            PartSalt(self.listener),
+            CacheSaltBuilder(self.listener),
             self.weights.may_use,
             self._sample,
             self.relay.is_active,
         )
-        budget = FleetBudget(clock, settings.retry_ratio, settings.retry_slack, settings.retry_window_micros)
-        self.reads = ReadBook(clock, self.placer.expect, self._tell_read)
+        budget = FleetRetryBudget(clock, settings.retry_ratio, settings.retry_slack, settings.retry_window_micros)
+        self.reads = PrefillTracker(clock, self.placer.expect, self._tell_read)
         self.courier.on_tell("read_note", self._take_read)
         self.drain = DrainState(clock, settings.drain_schedule, self._take_drain_violation)
-        self.gate = Gate(
+        self.gate = RequestProxy(
             clock,
             self,
             self.placer,
@@ -248,7 +248,7 @@
         """Front nodes that this one shares with, itself among them."""
         return self.shared_count.note(len(self.directory.members("router")) + 1)
 
-    def _note_versions(self, worker: str, head: AnswerHead) -> None:
+    def _note_versions(self, worker: str, head: ResponseHead) -> None:
         for line, version in head.versions.items():
             self.roll_out.note_version(worker, line, version)
 
--- a/src/pearhead/router/holder.py
+++ b/src/pearhead/router/holder.py
@@ -15,9 +15,9 @@
 from pearhead.config.view import View, WorkerFact
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
-from pearhead.router.carry import MayBegin
 from pearhead.router.command_session import CommandSession
 from pearhead.router.index import CopyIndex
+from pearhead.router.job_transport import SendPrecondition
 from pearhead.router.term import TermKeeper
 from pearhead.router.wave import (
     DRAIN_MICROS,
@@ -50,10 +50,10 @@
 class WorkerLink(Protocol):
     """Commands and reports of one worker or store, over its own published edge."""
 
-    async def claim(self, address: str, fence: int, may_begin: MayBegin) -> Result[dict[str, Any], str]: ...
+    async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]: ...
 
     async def load(
-        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: MayBegin
+        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]: ...
 
     async def events(self, address: str, life: str, after: int) -> Result[dict[str, Any], str]: ...
--- a/src/pearhead/router/job.py
+++ b/src/pearhead/router/job.py
@@ -15,7 +15,7 @@
 from pearhead.router.errors import ErrorKind, Refusal
 
 JOB_ID_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,64}\Z")
-DEPTH_LIMIT_TEXT = "nested too deep"
+NESTING_LIMIT_TEXT = "nested too deep"
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class WrittenJob:
+class JobRequest:
     model: str
     kind: str
     body: str
@@ -52,7 +52,7 @@
 
 @dataclass
 class Job:
-    request: WrittenJob
+    request: JobRequest
     job_id: str
     arrived_micros: int
     view: View
@@ -67,14 +67,14 @@
         return self.deadlineMicros - now_micros
 
 
-def read_job(body_bytes: bytes) -> Result[WrittenJob, Refusal]:
+def parse_job(body_bytes: bytes) -> Result[JobRequest, Refusal]:
     try:
         data: Any = json.loads(body_bytes)
     except RecursionError:
-        return Err(Refusal(ErrorKind.MALFORMED, DEPTH_LIMIT_TEXT))
+        return Err(Refusal(ErrorKind.MALFORMED, NESTING_LIMIT_TEXT))
     except ValueError as fault:
         return Err(Refusal(ErrorKind.MALFORMED, str(fault)))
-    checked = read_checked(WrittenJob, data)
+    checked = read_checked(JobRequest, data)
     if isinstance(checked, Err):
         is_unknown = all(f.endswith("unknown field") for f in checked.err_value)
         kind = ErrorKind.UNKNOWN_FIELD if is_unknown else ErrorKind.MALFORMED
--- a/src/pearhead/router/nominate.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -11,7 +11,7 @@
 from pearhead.config.view import View, WorkerFact
 from pearhead.invalidation.key import cache_salt, chain_keys
 from pearhead.invalidation.listener import Listener
-from pearhead.router.costs import CostBook
+from pearhead.router.cost_estimator import CostEstimator
 from pearhead.router.errors import ErrorKind, Refusal
 from pearhead.router.index import CopyIndex
 from pearhead.router.job import Job, Placement
@@ -20,12 +20,12 @@
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
 LOAD_FACTOR = 1.25
-FETCH_FIXED_MICROS = 5 * MILLI
-UNSOUND_MICROS = 2 * SECOND
-TOLD_UNSOUND_MICROS = 1_500 * MILLI
+FETCH_OVERHEAD_MICROS = 5 * MILLI
+FAILED_WORKER_BACKOFF_MICROS = 2 * SECOND
+REPORTED_UNHEALTHY_MICROS = 1_500 * MILLI
 
 
-class Nominator:
+class JobScheduler:
     def __init__(
         self, keeper: TermKeeper, listener: Listener, index: CopyIndex, clock: Clock, old_weights_micros: int
     ) -> None:
@@ -36,12 +36,12 @@
         self.old_weights_micros = old_weights_micros
         self.running_counts: dict[str, int] = {}
         self.pending_tokens: dict[str, int] = {}
-        self.others_counts: dict[str, int] = {}
-        self.others_tokens: dict[str, int] = {}
-        self.told_unsound_until: dict[str, int] = {}
-        self.unsound_until: dict[str, int] = {}
-        self.costs = CostBook()
-        self.over_waves: set[tuple[str, int]] = set()
+        self.remote_running_counts: dict[str, int] = {}
+        self.remote_pending_tokens: dict[str, int] = {}
+        self.reported_unhealthy_until: dict[str, int] = {}
+        self.unhealthy_until: dict[str, int] = {}
+        self.costs = CostEstimator()
+        self.finished_waves: set[tuple[str, int]] = set()
         self.uses_index = True
 
     def nominate(self, job: Job) -> Result[Placement, Refusal]:
@@ -51,7 +51,11 @@
         candidates = self._candidates(view, job, is_model)
         if not candidates:
             return Err(
-                Refusal(ErrorKind.NO_WORKER, f"no sound worker of {job.entry.service}", self._rest_micros(view, job))
+                Refusal(
+                    ErrorKind.NO_WORKER,
+                    f"no sound worker of {job.entry.service}",
+                    self._backoff_remaining_micros(view, job),
+                )
             )
         if not is_model:
             chosen_worker = min(candidates, key=lambda w: (self.running_counts.get(w.name, 0), w.name))
@@ -59,7 +63,7 @@
         placement = self._place_on_model(view, job, candidates)
         wait_micros = self.wait_micros(job.entry, placement.worker.name, placement.missed_tokens)
         # An idle worker is always tried: an estimate that refused all jobs would never be put right.
-        is_idle = not self.waiting_of(placement.worker.name) and not self.load_of(placement.worker.name)
+        is_idle = not self.waiting_tokens_of(placement.worker.name) and not self.running_jobs_of(placement.worker.name)
         if wait_micros > job.left_micros(self.clock.now()) and not is_idle:
             # Refused while it has not run: sent, it would be cut at its deadline (§8.5).
             return Err(
@@ -106,36 +110,36 @@
         if not self.running_counts[worker]:
             del self.running_counts[worker]
 
-    def take_load(self, worker: str, running: int, waiting_tokens: int) -> None:
+    def record_load_report(self, worker: str, running: int, waiting_tokens: int) -> None:
         """What a worker says it runs, less what this node sent there, is the other nodes' (§8.5)."""
-        self.others_counts[worker] = max(0, running - self.running_counts.get(worker, 0))
-        self.others_tokens[worker] = max(0, waiting_tokens - self.pending_tokens.get(worker, 0))
+        self.remote_running_counts[worker] = max(0, running - self.running_counts.get(worker, 0))
+        self.remote_pending_tokens[worker] = max(0, waiting_tokens - self.pending_tokens.get(worker, 0))
 
-    def take_start(self, worker: str, tokens: int) -> None:
+    def record_remote_start(self, worker: str, tokens: int) -> None:
         """Another node sent a long prefill; the worker's next word says what is left of it."""
-        self.others_tokens[worker] = self.others_tokens.get(worker, 0) + tokens
+        self.remote_pending_tokens[worker] = self.remote_pending_tokens.get(worker, 0) + tokens
 
     def wait_micros(self, entry: CapabilityEntry, worker: str, missed_tokens: int) -> int:
         """Until the job would end: what lies before it, its own prefill, and its stream (§8.5)."""
         prefill_rate = self.costs.prefill_rate(entry.line, worker)
         stream_micros = self.costs.stream_micros(entry.name, worker)
-        return int((self.waiting_of(worker) + missed_tokens) * prefill_rate + stream_micros)
+        return int((self.waiting_tokens_of(worker) + missed_tokens) * prefill_rate + stream_micros)
 
-    def waiting_of(self, worker: str) -> int:
-        return self.pending_tokens.get(worker, 0) + self.others_tokens.get(worker, 0)
+    def waiting_tokens_of(self, worker: str) -> int:
+        return self.pending_tokens.get(worker, 0) + self.remote_pending_tokens.get(worker, 0)
 
-    def load_of(self, worker: str) -> int:
-        return self.running_counts.get(worker, 0) + self.others_counts.get(worker, 0)
+    def running_jobs_of(self, worker: str) -> int:
+        return self.running_counts.get(worker, 0) + self.remote_running_counts.get(worker, 0)
 
     def take_fault(self, worker: str) -> None:
         """A worker that failed a job rests a while; its soundness is judged by jobs, not by pings."""
-        self.unsound_until[worker] = self.clock.now() + UNSOUND_MICROS
+        self.unhealthy_until[worker] = self.clock.now() + FAILED_WORKER_BACKOFF_MICROS
 
-    def take_unsound(self, worker: str) -> None:
-        self.told_unsound_until[worker] = self.clock.now() + TOLD_UNSOUND_MICROS
+    def record_reported_unhealthy(self, worker: str) -> None:
+        self.reported_unhealthy_until[worker] = self.clock.now() + REPORTED_UNHEALTHY_MICROS
 
-    def take_success(self, worker: str) -> None:
-        self.unsound_until.pop(worker, None)
+    def record_success(self, worker: str) -> None:
+        self.unhealthy_until.pop(worker, None)
 
     def _candidates(self, view: View, job: Job, is_model: bool) -> list[WorkerFact]:
         assert job.entry is not None
@@ -148,17 +152,19 @@
             and w.name not in job.tried_workers
             and (not is_model or self.weights_allowed(view, job.entry.line, w.name))
         ]
-        sound_ones = [w for w in found if self.unsound_until.get(w.name, 0) <= now_micros]
+        healthy_workers = [w for w in found if self.unhealthy_until.get(w.name, 0) <= now_micros]
         # What a holder told may be its own trouble: it decides only while others are left (§7.5).
-        return [w for w in sound_ones if self.told_unsound_until.get(w.name, 0) <= now_micros] or sound_ones
+        return [
+            w for w in healthy_workers if self.reported_unhealthy_until.get(w.name, 0) <= now_micros
+        ] or healthy_workers
 
-    def _rest_micros(self, view: View, job: Job) -> int:
+    def _backoff_remaining_micros(self, view: View, job: Job) -> int:
         """When the first resting worker is tried again; a roll-out's wave, where none is loaded (§8.2)."""
         assert job.entry is not None
         now_micros = self.clock.now()
         rests = [
             until - now_micros
-            for name, until in self.unsound_until.items()
+            for name, until in self.unhealthy_until.items()
             if until > now_micros and name in view.workers and view.workers[name].service == job.entry.service
         ]
         return min(rests, default=WAVE_MICROS)
@@ -178,9 +184,9 @@
         entry = job.entry
         line, owner = entry.line, owner_of(job.tenant)
         present = view.weights[line]
-        on_present = [w for w in candidates if view.loads[w.name].weights_revision == present.revision]
-        if len(on_present) < len(candidates):
-            candidates = self._candidates_in_roll_out(view, job, candidates, on_present)
+        on_current_weights = [w for w in candidates if view.loads[w.name].weights_revision == present.revision]
+        if len(on_current_weights) < len(candidates):
+            candidates = self._candidates_in_roll_out(view, job, candidates, on_current_weights)
         parts = [p.part for p in job.request.prefix]
         revisions: list[int] = []
         for part in parts:
@@ -190,37 +196,41 @@
             revisions.append(revision)
         known = list(zip(parts, revisions, strict=False))
 
-        def keys_on(weights_revision: int) -> list[str]:
+        def keys_for_weights(weights_revision: int) -> list[str]:
             return chain_keys(owner, line, weights_revision, known)
 
-        present_keys = keys_on(present.revision)
-        kept_counts = {
+        current_keys = keys_for_weights(present.revision)
+        cached_part_counts = {
             w.name: self.index.longest_kept(
                 w.name,
                 view.loads[w.name],
-                present_keys if w in on_present else keys_on(view.loads[w.name].weights_revision),
+                current_keys if w in on_current_weights else keys_for_weights(view.loads[w.name].weights_revision),
             )
             if self.uses_index
             else 0
             for w in candidates
         }
         # Bounded load: a hot prefix does not pile onto one worker (§8.5).
-        total_count = sum(self.load_of(w.name) for w in candidates) + 1
+        total_count = sum(self.running_jobs_of(w.name) for w in candidates) + 1
         load_limit = math.ceil(LOAD_FACTOR * total_count / len(candidates))
-        free = [w for w in candidates if self.load_of(w.name) < load_limit]
+        free = [w for w in candidates if self.running_jobs_of(w.name) < load_limit]
         tokens = [p.tokens for p in job.request.prefix]
-        rank_text = present_keys[0] if present_keys and self.uses_index else job.job_id
+        rank_text = current_keys[0] if current_keys and self.uses_index else job.job_id
 
         def rank(worker: WorkerFact) -> tuple[int, int, bytes]:
             name_hash = hashlib.blake2b(f"{rank_text}/{worker.name}".encode(), digest_size=8).digest()
-            if present_keys and self.uses_index:
-                missed_tokens = sum(tokens[kept_counts[worker.name] :])
-                return (self.wait_micros(entry, worker.name, missed_tokens), -kept_counts[worker.name], name_hash)
-            return (0, self.load_of(worker.name), name_hash)
+            if current_keys and self.uses_index:
+                missed_tokens = sum(tokens[cached_part_counts[worker.name] :])
+                return (
+                    self.wait_micros(entry, worker.name, missed_tokens),
+                    -cached_part_counts[worker.name],
+                    name_hash,
+                )
+            return (0, self.running_jobs_of(worker.name), name_hash)
 
         chosen_worker = min(free, key=rank)
         chosen_load = view.loads[chosen_worker.name]
-        keys = keys_on(chosen_load.weights_revision)
+        keys = keys_for_weights(chosen_load.weights_revision)
         self.index.note_parts(owner, line, [p for p, _ in known], keys)
         # With nothing known to be current, the salt is the job's own: nothing can be reused.
         salt = cache_salt(owner, line, chosen_load.weights_revision) if keys else f"job:{job.job_id}"
@@ -230,16 +240,16 @@
             chosen_load.weights_revision,
             salt,
             keys,
-            kept_counts[chosen_worker.name],
-            sum(tokens[kept_counts[chosen_worker.name] :]),
+            cached_part_counts[chosen_worker.name],
+            sum(tokens[cached_part_counts[chosen_worker.name] :]),
             why=f"keeps {kept_counts[chosen_worker.name]} of {len(parts)} parts",
         )
-        if chosen_worker in on_present and self.uses_index:
-            self._plan_fetch(view, job, placement, on_present)
+        if chosen_worker in on_current_weights and self.uses_index:
+            self._plan_fetch(view, job, placement, on_current_weights)
         return placement
 
     def _candidates_in_roll_out(
-        self, view: View, job: Job, candidates: list[WorkerFact], on_present: list[WorkerFact]
+        self, view: View, job: Job, candidates: list[WorkerFact], on_current_weights: list[WorkerFact]
     ) -> list[WorkerFact]:
         assert job.entry is not None
         line = job.entry.line
@@ -247,17 +257,21 @@
         wave_workers = first_wave(view, job.entry.service, present.revision)
         # Those that load first are left alone while others on the old weights remain; these go on until the
         # whole wave serves, or its first worker would be sent everything (§7.3).
-        waiting = [w for w in candidates if w not in on_present and w.name not in wave_workers]
+        waiting = [w for w in candidates if w not in on_current_weights and w.name not in wave_workers]
         seen_micros = self.keeper.first_seen.get((line, present.revision), 0)
-        is_wave_over = (line, present.revision) in self.over_waves or (
+        is_wave_finished = (line, present.revision) in self.finished_waves or (
             is_wave_serving(view, job.entry.service, present.revision)
             # The rest begins to load now, whoever of the wave is late.
             or self.clock.now() - seen_micros > WAVE_MICROS - SPREAD_MICROS
         )
-        if is_wave_over:
+        if is_wave_finished:
             # It stays over, whoever leaves of it: the rest has begun to load.
-            self.over_waves.add((line, present.revision))
-        return on_present if is_wave_over and on_present else on_present + waiting or candidates
+            self.finished_waves.add((line, present.revision))
+        return (
+            on_current_weights
+            if is_wave_finished and on_current_weights
+            else on_current_weights + waiting or candidates
+        )
 
     def _plan_fetch(self, view: View, job: Job, placement: Placement, workers: list[WorkerFact]) -> None:
         """Fetches only what is current, tied, of the same owner, and quicker than prefill (§8.6)."""
@@ -266,18 +280,18 @@
         for worker in workers:
             if worker.name == placement.worker.name:
                 continue
-            kept_count = self.index.longest_kept(worker.name, view.loads[worker.name], placement.keys)
-            if kept_count > best_count:
-                best_source, best_count = worker, kept_count
+            cached_part_count = self.index.longest_kept(worker.name, view.loads[worker.name], placement.keys)
+            if cached_part_count > best_count:
+                best_source, best_count = worker, cached_part_count
         for _, store in sorted(view.workers.items()):
             if view.role_by_service.get(store.service) == "store" and not store.leaving:
-                kept_count = self.index.held_in_store(store.name, placement.keys)
-                if kept_count > best_count:
-                    best_source, best_count = store, kept_count
+                cached_part_count = self.index.held_in_store(store.name, placement.keys)
+                if cached_part_count > best_count:
+                    best_source, best_count = store, cached_part_count
         if best_source is None:
             return
         tokens = sum(p.tokens for p in job.request.prefix[placement.reused_parts : best_count])
-        fetch_micros = FETCH_FIXED_MICROS + tokens * self.costs.fetch_rate(best_source.name, placement.worker.name)
+        fetch_micros = FETCH_OVERHEAD_MICROS + tokens * self.costs.fetch_rate(best_source.name, placement.worker.name)
         prefill_micros = tokens * self.costs.prefill_rate(job.entry.line, placement.worker.name)
         if fetch_micros < prefill_micros:
             placement.fetch_from, placement.fetch_parts = best_source, best_count
--- a/src/pearhead/router/carry.py
+++ b/src/pearhead/router/job_transport.py
@@ -12,7 +12,7 @@
 CUT = "cut"
 
 
-class CarryError(Exception):
+class JobTransportError(Exception):
     """`not_sent`: no connection. `withdrawn`: connected, and then the last check said no; no byte left.
     `refused`: the back end says it did not run. `cut`: all else."""
 
@@ -47,12 +47,12 @@
 
 
 # The last check (§8.4): whether a job may still begin, asked when the connection stands.
-MayBegin = Callable[[], bool]
+SendPrecondition = Callable[[], bool]
 
 
-class Carrier(Protocol):
+class JobTransport(Protocol):
     def carry(
-        self, worker_address: str, upstream_job: UpstreamJob, may_begin: MayBegin
+        self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         """Connects, asks `mayBegin` in one step with the first byte, then yields each event of the stream.
 
@@ -66,5 +66,5 @@
     async def write(self, line: dict[str, Any]) -> None: ...
 
 
-class ConnectionGoneError(Exception):
+class ClientDisconnectedError(Exception):
     """The caller went away."""
--- a/src/pearhead/router/kept_index.py
+++ b/src/pearhead/router/kept_index.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from pearhead.router.opaque import PromptPart
+from pearhead.router.opaque_request import PromptPart
 from pearhead.rpc.wire_pb2 import KeptNote
 
 PARTS_LIMIT = 60_000
--- a/src/pearhead/router/lingering.py
+++ b/src/pearhead/router/lingering_close.py
@@ -11,7 +11,7 @@
 import struct
 import termios
 
-READ_BYTES = 65_536
+DISCARD_CHUNK_BYTES = 65_536
 
 
 def undelivered_bytes(connection: socket.socket) -> int:
@@ -57,7 +57,7 @@
 
 def _drop_incoming(connection: socket.socket) -> None:
     try:
-        while connection.recv(READ_BYTES):
+        while connection.recv(DISCARD_CHUNK_BYTES):
             pass
     except OSError:
         return
--- a/src/pearhead/router/main.py
+++ b/src/pearhead/router/main.py
@@ -14,7 +14,7 @@
 from pearhead.router.front import build_front
 from pearhead.router.metrics import build_node_registry
 from pearhead.router.node import NodeProcess
-from pearhead.router.tornadocarrier import TornadoCarrier, TornadoWorkerLink
+from pearhead.router.tornado_transport import TornadoJobTransport, TornadoWorkerClient
 from pearhead.runtime.clock import SECOND, BootClock
 from pearhead.runtime.command import run_command
 from pearhead.runtime.daemon import open_logs, serve_until_stopped
@@ -27,7 +27,7 @@
 async def _serve(startup: Startup) -> int:
     clock = BootClock()
     net = SocketNet(startup.address)
-    node = NodeProcess(startup, clock, net, TornadoCarrier(), TornadoWorkerLink(), random.SystemRandom())
+    node = NodeProcess(startup, clock, net, TornadoJobTransport(), TornadoWorkerClient(), random.SystemRandom())
     server = DrainingServer(
         build_front(node, startup, build_node_registry(node, net)),
         max_body_size=startup.bodyLimitBytes,
--- a/src/pearhead/router/metrics.py
+++ b/src/pearhead/router/metrics.py
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry, Metric
 from prometheus_client.registry import Collector
 
-from pearhead.router.edge import RequestEdge
+from pearhead.router.client_http_server import ClientConnectionManager
 from pearhead.router.gateway import GatewayProcess
 from pearhead.router.node import NodeProcess
 from pearhead.router.roster import RosterKeeper
@@ -64,7 +64,7 @@
 class GatewayCollector(Collector):
     """Requests and connections of a front node for opaque requests."""
 
-    def __init__(self, gateway: GatewayProcess, edge: RequestEdge) -> None:
+    def __init__(self, gateway: GatewayProcess, edge: ClientConnectionManager) -> None:
         self.gateway = gateway
         self.edge = edge
 
@@ -99,7 +99,7 @@
         yield labelled_counter("requests_ended", "Jobs by outcome.", "outcome", self.node.outcome_counts)
 
 
-def build_gateway_registry(gateway: GatewayProcess, edge: RequestEdge, net: SocketNet) -> CollectorRegistry:
+def build_gateway_registry(gateway: GatewayProcess, edge: ClientConnectionManager, net: SocketNet) -> CollectorRegistry:
     """All figures of a front node for opaque requests."""
     return build_registry(
         [
--- a/src/pearhead/router/node.py
+++ b/src/pearhead/router/node.py
@@ -16,14 +16,22 @@
 from pearhead.config.startup import Startup
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
-from pearhead.router.admit import Admission, Turn
-from pearhead.router.budget import RetryBudget
-from pearhead.router.carry import CUT, WITHDRAWN, Carrier, CarryError, ConnectionGoneError, Pen, UpstreamJob
+from pearhead.router.admission import AdmissionController, AdmissionResult
 from pearhead.router.errors import ErrorKind, Refusal
 from pearhead.router.holder import HolderController, WorkerLink
 from pearhead.router.index import CopyIndex
-from pearhead.router.job import Job, Placement, WrittenJob
-from pearhead.router.nominate import Nominator
+from pearhead.router.job import Job, JobRequest, Placement
+from pearhead.router.job_scheduler import JobScheduler
+from pearhead.router.job_transport import (
+    CUT,
+    WITHDRAWN,
+    ClientDisconnectedError,
+    JobTransport,
+    JobTransportError,
+    Pen,
+    UpstreamJob,
+)
+from pearhead.router.retry_budget import RetryBudget
 from pearhead.router.term import TermKeeper
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Record
@@ -44,7 +52,7 @@
         startup: Startup,
         clock: Clock,
         net: Net,
-        carrier: Carrier,
+        carrier: JobTransport,
         link: WorkerLink,
         chance: random.Random,
     ) -> None:
@@ -66,8 +74,8 @@
         self.keeper = TermKeeper(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
         self.listener = Listener(self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros)
         self.index = CopyIndex()
-        self.nominator = Nominator(self.keeper, self.listener, self.index, clock, startup.oldWeightsMicros)
-        self.admission = Admission(clock)
+        self.nominator = JobScheduler(self.keeper, self.listener, self.index, clock, startup.oldWeightsMicros)
+        self.admission = AdmissionController(clock)
         self.budget = RetryBudget()
         self.holder = HolderController(
             self.identity,
@@ -82,10 +90,10 @@
             self.crew,
             startup.holdMicros,
         )
-        self.holder.load_watcher = self.nominator.take_load
-        self.holder.start_watcher = self.nominator.take_start
+        self.holder.load_watcher = self.nominator.record_load_report
+        self.holder.start_watcher = self.nominator.record_remote_start
         self.holder.may_serve = self.nominator.weights_allowed
-        self.holder.soundness_watcher = self.nominator.take_unsound
+        self.holder.soundness_watcher = self.nominator.record_reported_unhealthy
         self.is_draining = False
         self.is_open = False
         self.open_jobs = 0
@@ -133,7 +141,7 @@
 
     # ---- the way of a job ------------------------------------------------------------------------
 
-    async def run_job(self, key_text: str, request: WrittenJob, pen: Pen) -> Result[None, Refusal]:
+    async def run_job(self, key_text: str, request: JobRequest, pen: Pen) -> Result[None, Refusal]:
         """Ok: a whole result was written. Err before a line was written: an answer with a status;
         after: the caller's stream must be aborted."""
         job = Job(request, request.jobId or self.chance.randbytes(12).hex(), self.clock.now(), self.keeper.view)
@@ -229,7 +237,7 @@
                 self.admission.review(self._judge_waiting)
             reviewed_view = self.keeper.view
 
-    def _judge_waiting(self, job: Job) -> Turn:
+    def _judge_waiting(self, job: Job) -> AdmissionResult:
         assert job.entry is not None
         queued_name = job.entry.name
         looked = self._look(job)
@@ -261,7 +269,7 @@
 
     async def _try_on(self, job: Job, pen: Pen) -> Result[None, Refusal]:
         assert job.entry is not None
-        self.budget.pay_in(job.entry.service, job.view.description.limits.retryShare)
+        self.budget.deposit(job.entry.service, job.view.description.limits.retryShare)
         last_refusal = Refusal(ErrorKind.NO_WORKER, "no worker took the job")
         is_retry = False
         for try_number in range(TRY_LIMIT):
@@ -335,20 +343,20 @@
                         is_prefilling, first_micros = False, self.clock.now()
                         self.nominator.end_prefill(worker.name, placement.missed_tokens)
                     if event.get("id") != f"cmpl-{upstream_job.upstream_id}":
-                        raise CarryError(CUT, "a line of another job")
+                        raise JobTransportError(CUT, "a line of another job")
                     if "usage" in event:
                         stream_micros = self.clock.now() - first_micros
                         if stream_micros < job.entry.deadlineMicros:
                             # Longer ones were held up elsewhere: this process slept, or the caller did.
-                            self.nominator.costs.take_stream(job.entry.name, worker.name, stream_micros)
+                            self.nominator.costs.record_stream(job.entry.name, worker.name, stream_micros)
                         self._take_usage(job, placement, event)
-                        self.nominator.take_success(worker.name)
+                        self.nominator.record_success(worker.name)
                         await self._write(job, pen, {"end": True, "lines": line_count, "usage": event["usage"]})
                         return Ok(None)
                     await self._write(job, pen, {"line": line_count, "text": self._read_text(event)})
                     line_count += 1
-            raise CarryError(CUT, "the stream ended without its closing line")
-        except CarryError as fault:
+            raise JobTransportError(CUT, "the stream ended without its closing line")
+        except JobTransportError as fault:
             LOGGER.info(
                 "router: A job failed at a worker. job=%r worker=%s fault=%r", job.job_id, worker.name, str(fault)
             )
@@ -366,7 +374,7 @@
                 if try_number + 1 < TRY_LIMIT and self._has_credit(job):
                     return Err(Refusal(ErrorKind.NO_WORKER, fault.detail))
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, fault.detail))
-        except ConnectionGoneError:
+        except ClientDisconnectedError:
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, "the caller went away"))
         finally:
             if is_prefilling:
@@ -379,13 +387,13 @@
             async with asyncio.timeout(max(0, job.left_micros(self.clock.now())) / SECOND):
                 await pen.write({"job": job.job_id, **line})
         except TimeoutError as fault:
-            raise ConnectionGoneError from fault
+            raise ClientDisconnectedError from fault
 
     def _read_text(self, event: dict[str, Any]) -> str:
         try:
             return str(event["choices"][0]["text"])
         except (KeyError, IndexError, TypeError) as fault:
-            raise CarryError(CUT, f"an unreadable line: {fault!r}") from fault
+            raise JobTransportError(CUT, f"an unreadable line: {fault!r}") from fault
 
     def _has_credit(self, job: Job) -> bool:
         assert job.entry is not None
@@ -396,7 +404,7 @@
         assert job.entry is not None
         usage, timings = event["usage"], event.get("timings") or {}
         with contextlib.suppress(TypeError, ValueError, AttributeError):
-            self.nominator.costs.take_prefill(
+            self.nominator.costs.record_prefill(
                 job.entry.line,
                 placement.worker.name,
                 int(timings.get("prompt_n", 0)),
@@ -420,7 +428,7 @@
             "kind": "node",
             "knownMicros": now_micros - self.keeper.current_at,
             "placements": list(self.placements),
-            "unsound": sorted(w for w, end in self.nominator.unsound_until.items() if end > now_micros),
+            "unsound": sorted(w for w, end in self.nominator.unhealthy_until.items() if end > now_micros),
             "volumes": [
                 {
                     "owner": owner,
--- a/src/pearhead/router/opaque.py
+++ b/src/pearhead/router/opaque_request.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Directions:
+class ForwardingMetadata:
     """What a node tells a worker beside the request; empty ones are left out. Times in whole microseconds."""
 
     left_micros: int
@@ -58,7 +58,7 @@
     last_event_id: str = ""
 
 
-class Verdict(enum.Enum):
+class ResponseVerdict(enum.Enum):
     """What the head of a worker's answer says."""
 
     SUCCESS = "success"
@@ -66,29 +66,29 @@
     OTHER_WORKER = "other_worker"
     OTHER_VERSION = "other_version"
     FAILURE = "failure"
-    FOREIGN = "foreign"
+    UNRECOGNIZED = "foreign"
 
 
 @dataclass(frozen=True)
-class AnswerHead:
+class ResponseHead:
     """`version`: of the weights that answer, where told; `versions`: the same by the line that the request named."""
 
     status: int
     reason: str
     headers: HTTPHeaders
-    verdict: Verdict
+    verdict: ResponseVerdict
     versions: Mapping[str, int]
     version: int | None = None
 
 
-class Dialect(Protocol):
+class ProtocolAdapter(Protocol):
     """How requests and answers are written where the node runs; it translates and decides nothing."""
 
-    def outgoing_headers(self, request: OpaqueRequest, directions: Directions) -> HTTPHeaders: ...
+    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders: ...
 
     def read_head(
-        self, request: OpaqueRequest, directions: Directions, status: int, reason: str, headers: HTTPHeaders
-    ) -> AnswerHead: ...
+        self, request: OpaqueRequest, directions: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
+    ) -> ResponseHead: ...
 
     def event_version(self, event: bytes) -> int | None:
         """The version of the weights that an event of a stream says to begin with; None where it says nothing of it."""
@@ -96,7 +96,7 @@
     def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]: ...
 
 
-class AnswerPen(Protocol):
+class ResponseWriter(Protocol):
     """The caller's end of a request."""
 
     def begin(self, status: int, reason: str, headers: HTTPHeaders) -> None: ...
--- a/src/pearhead/router/read_book.py
+++ b/src/pearhead/router/prefill_tracker.py
@@ -5,21 +5,21 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from pearhead.router.opaque import OpaqueRequest
-from pearhead.router.placer import LONG_TOKENS, Choice
+from pearhead.router.opaque_request import OpaqueRequest
+from pearhead.router.worker_selector import LONG_TOKENS, WorkerChoice
 from pearhead.rpc.wire_pb2 import ReadNote
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
 WAIT_MICROS = 1_200 * MILLI
-LOST_MICROS = 1_500 * MILLI
+TRACKED_PREFILL_TTL_MICROS = 1_500 * MILLI
 
-Key = tuple[str, str]
+PrefillKey = tuple[str, str]
 
 
-class LongRead:
+class TrackedPrefill:
     """One request that reads shared parts which nobody keeps; its owner ends it in any case."""
 
-    def __init__(self, book: ReadBook, key: Key, note: ReadNote, until_micros: int) -> None:
+    def __init__(self, book: PrefillTracker, key: PrefillKey, note: ReadNote, until_micros: int) -> None:
         self.book = book
         self.key = key
         self.note = note
@@ -34,7 +34,7 @@
             self.book.tell(self.note)
 
 
-class ReadBook:
+class PrefillTracker:
     """Own reads and those that other nodes told of. `expect`: a worker keeps parts now; `tell`: to all nodes."""
 
     def __init__(
@@ -43,15 +43,15 @@
         self.clock = clock
         self.expect = expect
         self.tell = tell
-        self.reads: dict[Key, LongRead] = {}
+        self.reads: dict[PrefillKey, TrackedPrefill] = {}
 
-    def begin(self, choice: Choice, request: OpaqueRequest) -> LongRead | None:
+    def begin(self, choice: WorkerChoice, request: OpaqueRequest) -> TrackedPrefill | None:
         """Called once it is sent and counted as the worker's use; None if others gain nothing by knowing."""
-        key = _key_of(choice, request)
+        key = _prefill_key(choice, request)
         if key is None:
             return None
         note = ReadNote(worker=choice.backend.name, salt=choice.salt, part=[p.part for p in request.parts[:-1]])
-        read = self.reads[key] = LongRead(self, key, note, self.clock.now() + LOST_MICROS)
+        read = self.reads[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
         self.tell(note)
         return read
 
@@ -63,23 +63,23 @@
         held = self.reads.get(key)
         if not note.is_over:
             if held is None or held.until_micros <= self.clock.now():
-                self.reads[key] = LongRead(self, key, note, self.clock.now() + LOST_MICROS)
+                self.reads[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
         elif held is not None and held.note.worker == note.worker:
             held.note.is_kept = note.is_kept
             self.close(held)
         elif note.is_kept:
             self.expect(note.worker, note.salt, note.part)
 
-    def close(self, read: LongRead) -> None:
+    def close(self, read: TrackedPrefill) -> None:
         if self.reads.get(read.key) is read:
             del self.reads[read.key]
         if read.note.is_kept:
             self.expect(read.note.worker, read.note.salt, read.note.part)
         read.is_over.set()
 
-    async def wait_for(self, choice: Choice, request: OpaqueRequest, limit_micros: int) -> bool:
+    async def wait_for(self, choice: WorkerChoice, request: OpaqueRequest, limit_micros: int) -> bool:
         """Waits for the end of a read of the same parts; whether there was one, so that it is placed anew."""
-        key = _key_of(choice, request)
+        key = _prefill_key(choice, request)
         read = self.reads.get(key) if key is not None else None
         if read is None:
             return False
@@ -93,7 +93,7 @@
         return True
 
 
-def _key_of(choice: Choice, request: OpaqueRequest) -> Key | None:
+def _prefill_key(choice: WorkerChoice, request: OpaqueRequest) -> PrefillKey | None:
     """The last shared part: it is kept only behind all before it."""
     shared = request.parts[:-1]
     if not shared or choice.missing_tokens - request.parts[-1].tokens < LONG_TOKENS:
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from pearhead.discovery.directory import Directory
-from pearhead.router.load_book import LoadBook
 from pearhead.router.rendezvous import score_of
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import KeptNote, Record, RelayNote, UseNote, WorkerUse
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -57,7 +57,7 @@
         courier: Courier,
         directory: Directory,
         clock: Clock,
-        loads: LoadBook,
+        loads: WorkerLoadTracker,
         take_kept: Callable[[str, str, KeptNote], None],
         direct_limit: int = DIRECT_LIMIT,
     ) -> None:
--- a/src/pearhead/router/budget.py
+++ b/src/pearhead/router/retry_budget.py
@@ -13,7 +13,7 @@
         self.job_count = 0
         self.retry_count = 0
 
-    def pay_in(self, service: str, share: float) -> None:
+    def deposit(self, service: str, share: float) -> None:
         self.job_count += 1
         self.tokens[service] = min(self.tokens.get(service, 0.0) + share, BURST_LIMIT)
 
--- a/src/pearhead/router/stream_sequence.py
+++ b/src/pearhead/router/stream_sequence.py
@@ -13,9 +13,9 @@
 from result import Err, Ok, Result
 
 # An id with more digits is no number that a worker counts events by.
-ID_DIGITS = 18
+MAX_EVENT_ID_DIGITS = 18
 # So many equal steps between ids show that each following event is one such step further.
-STEPS_TO_LEARN = 2
+MIN_EQUAL_STEPS = 2
 
 
 class StreamViolation(enum.Enum):
@@ -48,7 +48,7 @@
     version: int | None = None
 
 
-class StepRecord:
+class EventIdStepTracker:
     """Learns from the ids given out how far apart consecutive events are."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
 
     def is_gap(self, step: int) -> bool:
         """Whether an event so far behind the last one must have others before it."""
-        return self.is_regular and self.equal_steps >= STEPS_TO_LEARN and step > self.step
+        return self.is_regular and self.equal_steps >= MIN_EQUAL_STEPS and step > self.step
 
 
 class StreamSequence:
@@ -78,10 +78,10 @@
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
         self.version: int | None = None
-        self.steps = StepRecord()
+        self.steps = EventIdStepTracker()
         self.has_forwarded = False
         self.is_position_known = True
-        self.owes_event = False
+        self.is_event_missing = False
         self._run_version: int | None = None
         self._is_joining = False
         self._has_skipped = False
@@ -106,7 +106,7 @@
 
     def note_partial_event(self) -> None:
         """A run broke off inside an event, so at least one more belongs to the answer."""
-        self.owes_event = True
+        self.is_event_missing = True
 
     def take(self, event: EventFields) -> Result[EventAction, StreamViolation]:
         """What to do with the next whole event of the run."""
@@ -124,7 +124,7 @@
         """The run's framing was complete; whether the answer may end as complete, too."""
         if self._is_joining and self._has_skipped and not self._has_reached_last:
             return StreamViolation.POSITION_MISSED
-        return StreamViolation.ENDED_EARLY if self.owes_event else None
+        return StreamViolation.ENDED_EARLY if self.is_event_missing else None
 
     def _take_without_id(self, event: EventFields) -> Result[EventAction, StreamViolation]:
         if not event.has_data:
@@ -134,7 +134,7 @@
         if not self.accepts_version(self._run_version):
             return Err(StreamViolation.VERSION_WENT_BACK)
         self.is_position_known = False
-        return Ok(self._note_forwarded())
+        return Ok(self._record_forwarded())
 
     def _join(self, event_id: str) -> Result[EventAction, StreamViolation]:
         """Skips what the caller has, and verifies that the first event that it hasn't follows directly."""
@@ -159,15 +159,15 @@
             self.steps.take(int(event_id) - int(self.last_id))
         self.last_id = event_id
         self.is_position_known = True
-        return Ok(self._note_forwarded())
+        return Ok(self._record_forwarded())
 
-    def _note_forwarded(self) -> EventAction:
+    def _record_forwarded(self) -> EventAction:
         self.has_forwarded = True
-        self.owes_event = False
+        self.is_event_missing = False
         if self._run_version is not None:
             self.version = self._run_version
         return EventAction.FORWARD
 
 
 def _is_number(text: str) -> bool:
-    return text.isascii() and text.isdigit() and len(text) <= ID_DIGITS
+    return text.isascii() and text.isdigit() and len(text) <= MAX_EVENT_ID_DIGITS
--- a/src/pearhead/router/tornadocarrier.py
+++ b/src/pearhead/router/tornado_transport.py
@@ -14,13 +14,21 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpclient import TCPClient
 
-from pearhead.router.carry import CUT, NOT_SENT, REFUSED, WITHDRAWN, CarryError, MayBegin, UpstreamJob
+from pearhead.router.job_transport import (
+    CUT,
+    NOT_SENT,
+    REFUSED,
+    WITHDRAWN,
+    JobTransportError,
+    SendPrecondition,
+    UpstreamJob,
+)
 from pearhead.runtime.clock import SECOND
 from pearhead.runtime.socketnet import split_address
 
 CONNECT_SECONDS = 1.0
 LINE_LIMIT = 1024 * 1024
-QUEUED_CHUNKS = 8
+MAX_QUEUED_CHUNKS = 8
 
 
 class _StreamDelegate(HTTPMessageDelegate):
@@ -29,7 +37,7 @@
     def __init__(self) -> None:
         self.status = 0
         self.is_whole = False
-        self.chunk_queue: asyncio.Queue[bytes | None] = asyncio.Queue(QUEUED_CHUNKS)
+        self.chunk_queue: asyncio.Queue[bytes | None] = asyncio.Queue(MAX_QUEUED_CHUNKS)
 
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
         assert isinstance(start_line, ResponseStartLine)
@@ -42,12 +50,12 @@
         self.is_whole = True
 
 
-class TornadoCarrier:
+class TornadoJobTransport:
     def __init__(self) -> None:
         self.tcp_client = TCPClient()
 
     async def carry(
-        self, worker_address: str, upstream_job: UpstreamJob, may_begin: MayBegin
+        self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         limit_seconds = upstream_job.limit_micros / SECOND
         event_loop = asyncio.get_running_loop()
@@ -59,7 +67,7 @@
                 self.tcp_client.connect(host_name, port_number), min(CONNECT_SECONDS, limit_seconds)
             )
         except (OSError, StreamClosedError, TimeoutError) as fault:
-            raise CarryError(NOT_SENT, f"could not connect: {fault!r}") from fault
+            raise JobTransportError(NOT_SENT, f"could not connect: {fault!r}") from fault
         delegate = _StreamDelegate()
         connection = HTTP1Connection(
             upstream_stream, True, HTTP1ConnectionParameters(no_keep_alive=True, decompress=False)
@@ -78,7 +86,7 @@
             )
             start_line = RequestStartLine("POST", "/v1/completions", "HTTP/1.1")
             if not may_begin():
-                raise CarryError(WITHDRAWN, "it may not begin any more")
+                raise JobTransportError(WITHDRAWN, "it may not begin any more")
             # No await stands between the check and the first byte.
             connection.write_headers(start_line, headers, body_bytes)
             connection.finish()
@@ -86,7 +94,7 @@
             async for event in self._events(delegate, end_seconds):
                 yield event
             if not delegate.is_whole:
-                raise CarryError(CUT, "the connection was cut")
+                raise JobTransportError(CUT, "the connection was cut")
         finally:
             upstream_stream.close()
             if read_task is not None:
@@ -108,7 +116,7 @@
             try:
                 chunk = await asyncio.wait_for(delegate.chunk_queue.get(), max(0.0, left_seconds))
             except TimeoutError as fault:
-                raise CarryError(CUT, "the deadline passed while it ran") from fault
+                raise JobTransportError(CUT, "the deadline passed while it ran") from fault
             if chunk is not None:
                 pending += chunk
             if delegate.status and delegate.status != 200:
@@ -123,20 +131,20 @@
                 try:
                     event = json.loads(line_bytes[6:])
                 except ValueError as fault:
-                    raise CarryError(CUT, "an unreadable line") from fault
+                    raise JobTransportError(CUT, "an unreadable line") from fault
                 if not isinstance(event, dict):
-                    raise CarryError(CUT, "an unreadable line")
+                    raise JobTransportError(CUT, "an unreadable line")
                 yield event
             if len(pending) > LINE_LIMIT:
-                raise CarryError(CUT, "a line over the limit")
+                raise JobTransportError(CUT, "a line over the limit")
             if chunk is None:
                 return
 
     def _refuse(self, delegate: _StreamDelegate, body_bytes: bytes) -> None:
         """Only the documented refusals say that it did not run: 404 model, 429 full, 503 loading."""
         if not delegate.is_whole or delegate.status not in (404, 429, 503):
-            raise CarryError(CUT, f"status {delegate.status}")
-        raise CarryError(REFUSED, f"status {delegate.status}: {body_bytes[:200]!r}")
+            raise JobTransportError(CUT, f"status {delegate.status}")
+        raise JobTransportError(REFUSED, f"status {delegate.status}: {body_bytes[:200]!r}")
 
 
 class _ReplyDelegate(HTTPMessageDelegate):
@@ -155,15 +163,15 @@
         self.is_whole = True
 
 
-class TornadoWorkerLink:
+class TornadoWorkerClient:
     def __init__(self) -> None:
         self.tcp_client = TCPClient()
 
-    async def claim(self, address: str, fence: int, may_begin: MayBegin) -> Result[dict[str, Any], str]:
+    async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
         return await self._command(address, "/v1/claim", {"fence": fence}, ("life", "fence"), SECOND, may_begin)
 
     async def load(
-        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: MayBegin
+        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]:
         body = {"fence": fence, "model": f"{line}@{weights}"}
         return await self._command(address, "/v1/load", body, ("life", "sequence"), limit_micros, may_begin)
@@ -173,16 +181,16 @@
         address: str,
         path: str,
         body: dict[str, Any],
-        wanted_names: tuple[str, ...],
+        required_fields: tuple[str, ...],
         limit_micros: int,
-        may_begin: MayBegin,
+        may_begin: SendPrecondition,
     ) -> Result[dict[str, Any], str]:
         """As a job's way: connect, ask whether the term still holds, send in the same step (§7.2)."""
         try:
             async with asyncio.timeout(limit_micros / SECOND):
                 stream = await asyncio.wait_for(self.tcp_client.connect(*split_address(address)), CONNECT_SECONDS)
                 try:
-                    return await self._send_command(stream, address, path, body, wanted_names, may_begin)
+                    return await self._send_command(stream, address, path, body, required_fields, may_begin)
                 finally:
                     stream.close()
         except (OSError, StreamClosedError, TimeoutError, ValueError) as fault:
@@ -194,8 +202,8 @@
         address: str,
         path: str,
         body: dict[str, Any],
-        wanted_names: tuple[str, ...],
-        may_begin: MayBegin,
+        required_fields: tuple[str, ...],
+        may_begin: SendPrecondition,
     ) -> Result[dict[str, Any], str]:
         connection = HTTP1Connection(stream, True, HTTP1ConnectionParameters(no_keep_alive=True))
         body_bytes = json.dumps(body).encode()
@@ -215,7 +223,7 @@
         await connection.read_response(delegate)
         if not delegate.is_whole or delegate.status != 200:
             return Err(f"status {delegate.status}: {delegate.body[:200]!r}")
-        return self._read(delegate.body, wanted_names)
+        return self._read(delegate.body, required_fields)
 
     async def events(self, address: str, life: str, after: int) -> Result[dict[str, Any], str]:
         request = HTTPRequest(
@@ -226,15 +234,15 @@
         )
         return await self._fetch(request, ("life", "sequence", "whole", "kept", "dropped", "changed"))
 
-    async def _fetch(self, request: HTTPRequest, wanted_names: tuple[str, ...]) -> Result[dict[str, Any], str]:
+    async def _fetch(self, request: HTTPRequest, required_fields: tuple[str, ...]) -> Result[dict[str, Any], str]:
         try:
             response = await AsyncHTTPClient().fetch(request)
-            return self._read(response.body, wanted_names)
+            return self._read(response.body, required_fields)
         except (HTTPClientError, OSError, ValueError) as fault:
             return Err(repr(fault))
 
-    def _read(self, body_bytes: bytes, wanted_names: tuple[str, ...]) -> Result[dict[str, Any], str]:
+    def _read(self, body_bytes: bytes, required_fields: tuple[str, ...]) -> Result[dict[str, Any], str]:
         data = json.loads(body_bytes)
-        if not isinstance(data, dict) or any(name not in data for name in wanted_names):
+        if not isinstance(data, dict) or any(name not in data for name in required_fields):
             return Err("an unreadable answer")
         return Ok(data)
--- a/src/pearhead/router/upstream.py
+++ b/src/pearhead/router/upstream_pool.py
@@ -20,19 +20,19 @@
 
 CONNECT_MICROS = 300 * MILLI
 IDLE_MICROS = 4 * SECOND
-IDLE_MARGIN_MICROS = 1_200 * MILLI
-USER_TIMEOUT_MILLIS = 3_000
-ANSWER_LIMIT = 64 * 1024 * 1024
-KEEP_ALIVE_TIME = re.compile(r"timeout\s*=\s*(\d+)")
+KEEP_ALIVE_MARGIN_MICROS = 1_200 * MILLI
+TCP_USER_TIMEOUT_MILLIS = 3_000
+MAX_UPSTREAM_BODY_BYTES = 64 * 1024 * 1024
+KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(r"timeout\s*=\s*(\d+)")
 # A connection that broke after less rest was not forgotten for its rest.
-FORGOTTEN_LEAST_MICROS = 50 * MILLI
-FORGETFUL_MICROS = 10 * SECOND
-ANY_REST_MICROS = 3_600 * SECOND
-NO_ROOM = "no connection: as many as this node may have there are in use"
+MIN_EARLY_CLOSE_IDLE_MICROS = 50 * MILLI
+EARLY_CLOSE_TTL_MICROS = 10 * SECOND
+UNLIMITED_IDLE_MICROS = 3_600 * SECOND
+POOL_EXHAUSTED = "no connection: as many as this node may have there are in use"
 
 
 @dataclass(frozen=True)
-class CallTerms:
+class CallLimits:
     """What a request asks of its connection. `share`: connections of this node to the worker, kept and in use, beyond
     which none is kept; `most`: the most in use, none is opened beyond; zero: not told. `rested_micros`: the longest
     rest of a kept connection that may take it.
@@ -41,17 +41,17 @@
     limit_micros: int
     share: int = 0
     most: int = 0
-    rested_micros: int = ANY_REST_MICROS
+    rested_micros: int = UNLIMITED_IDLE_MICROS
 
 
 @dataclass(frozen=True)
-class _Kept:
+class _IdleConnection:
     stream: IOStream
     since_micros: int
     until_micros: int
 
 
-class _AnswerDelegate(HTTPMessageDelegate):
+class _ResponseDelegate(HTTPMessageDelegate):
     """Gathers one answer. `stream`: its connection, whose end is that of an answer without a length."""
 
     def __init__(self, stream: IOStream) -> None:
@@ -94,7 +94,7 @@
     """One request on one connection. Its owner calls `close` in any case; a clean one keeps the connection."""
 
     def __init__(
-        self, pool: UpstreamPool, address: str, stream: IOStream, terms: CallTerms, kept: _Kept | None = None
+        self, pool: UpstreamPool, address: str, stream: IOStream, terms: CallLimits, kept: _IdleConnection | None = None
     ) -> None:
         self.pool = pool
         self.address = address
@@ -102,13 +102,13 @@
         self.terms = terms
         self.kept = kept
         self.rested_micros = pool.clock.now() - kept.since_micros if kept is not None else 0
-        self.delegate = _AnswerDelegate(stream)
+        self.delegate = _ResponseDelegate(stream)
         self.reader: asyncio.Task[None] | None = None
         self.headers: HTTPHeaders | None = None
 
     def send(self, method: str, target: str, headers: HTTPHeaders, body: bytes) -> None:
         """Writes the whole request in one step."""
-        parameters = HTTP1ConnectionParameters(max_header_size=65_536, max_body_size=ANSWER_LIMIT)
+        parameters = HTTP1ConnectionParameters(max_header_size=65_536, max_body_size=MAX_UPSTREAM_BODY_BYTES)
         connection = HTTP1Connection(self.stream, True, parameters)
         connection.write_headers(RequestStartLine(method, target, "HTTP/1.1"), headers, body or None)
         connection.finish()
@@ -128,7 +128,7 @@
         found = await asyncio.wait_for(asyncio.shield(self.delegate.head), max(limit_micros, 0) / SECOND)
         self.headers = found[2] if found else None
         if found is None and self.kept is not None:
-            self.pool.note_broken(self.address, self.rested_micros)
+            self.pool.record_early_close(self.address, self.rested_micros)
         return found
 
     async def chunks(self, limit: Callable[[], int]) -> AsyncIterator[bytes]:
@@ -152,9 +152,9 @@
             is_kept = await self._is_reusable()
         finally:
             if self.reader is None and self.kept is not None:
-                self.pool.put_back(self.address, self.kept)
+                self.pool.add_idle_connection(self.address, self.kept)
             elif is_kept and self.headers is not None:
-                self.pool.give_back(self.address, self.stream, self.headers, self.terms.share)
+                self.pool.return_to_pool(self.address, self.stream, self.headers, self.terms.share)
             else:
                 self.stream.close()
 
@@ -162,7 +162,7 @@
         """What was not asked for of a whole answer is dropped: only its end matters here."""
         if self.reader is None:
             return False
-        if not self.delegate.is_whole or self.headers is None or _says_close(self.headers):
+        if not self.delegate.is_whole or self.headers is None or _has_connection_close(self.headers):
             self.reader.cancel()
             return False
         await asyncio.wait([self.reader], timeout=0.05)
@@ -176,23 +176,23 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.idle: dict[str, deque[_Kept]] = {}
+        self.idle: dict[str, deque[_IdleConnection]] = {}
         self.open: dict[str, set[IOStream]] = {}
-        self.forgetful: dict[str, tuple[int, int]] = {}
+        self.early_close_bounds: dict[str, tuple[int, int]] = {}
         self.opened = 0
         self.reused = 0
 
-    async def call(self, address: str, terms: CallTerms) -> Result[UpstreamCall, str]:
+    async def call(self, address: str, terms: CallLimits) -> Result[UpstreamCall, str]:
         """A kept connection that is surely quiet, or a new one. Nothing was sent when it is an error."""
-        kept = self._take_kept(address, terms)
+        kept = self._take_idle(address, terms)
         if kept is not None:
             self.reused += 1
             return Ok(UpstreamCall(self, address, kept.stream, terms, kept))
         if not self._make_room(address, terms):
-            return Err(NO_ROOM)
+            return Err(POOL_EXHAUSTED)
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLIS)
+        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLIS)
         stream = IOStream(raw)
         self.open.setdefault(address, set()).add(stream)
         try:
@@ -208,15 +208,15 @@
         self.opened += 1
         return Ok(UpstreamCall(self, address, stream, terms))
 
-    def _take_kept(self, address: str, terms: CallTerms) -> _Kept | None:
+    def _take_idle(self, address: str, terms: CallLimits) -> _IdleConnection | None:
         """The one that rested least; what rested too long for this request is left for others."""
         waiting = self.idle.get(address)
         now_micros = self.clock.now()
-        forgotten_micros = self._forgotten_micros(address)
+        max_idle_micros = self._max_idle_micros(address)
         while waiting:
             kept = waiting[-1]
             rested_micros = now_micros - kept.since_micros
-            is_usable = now_micros < kept.until_micros and rested_micros < forgotten_micros and is_quiet(kept.stream)
+            is_usable = now_micros < kept.until_micros and rested_micros < max_idle_micros and is_quiet(kept.stream)
             if is_usable and rested_micros > terms.rested_micros:
                 return None
             waiting.pop()
@@ -226,13 +226,13 @@
             kept.stream.close()
         return None
 
-    def _make_room(self, address: str, terms: CallTerms) -> bool:
+    def _make_room(self, address: str, terms: CallLimits) -> bool:
         """Whether one more may be opened; idle ones make way for it."""
-        if not terms.share or self._is_within(address, terms.share - 1):
+        if not terms.share or self._shrink_to(address, terms.share - 1):
             return True
         return not terms.most or self.open_count(address) < max(terms.most, terms.share)
 
-    def _is_within(self, address: str, most: int) -> bool:
+    def _shrink_to(self, address: str, most: int) -> bool:
         """Whether no more than that are open once idle ones have made way, those that rested longest first."""
         waiting = self.idle.get(address)
         while self.open_count(address) > most:
@@ -247,44 +247,44 @@
         streams.difference_update([stream for stream in streams if stream.closed()])
         return len(streams)
 
-    def give_back(self, address: str, stream: IOStream, headers: HTTPHeaders, share: int = 0) -> None:
-        told = KEEP_ALIVE_TIME.search(headers.get("Keep-Alive", ""))
-        kept_micros = int(told.group(1)) * SECOND - IDLE_MARGIN_MICROS if told else IDLE_MICROS
-        if share and not self._is_within(address, share):
+    def return_to_pool(self, address: str, stream: IOStream, headers: HTTPHeaders, share: int = 0) -> None:
+        told = KEEP_ALIVE_TIMEOUT_PATTERN.search(headers.get("Keep-Alive", ""))
+        kept_micros = int(told.group(1)) * SECOND - KEEP_ALIVE_MARGIN_MICROS if told else IDLE_MICROS
+        if share and not self._shrink_to(address, share):
             stream.close()
             return
         now_micros = self.clock.now()
-        self.put_back(address, _Kept(stream, now_micros, now_micros + kept_micros))
+        self.add_idle_connection(address, _IdleConnection(stream, now_micros, now_micros + kept_micros))
 
-    def put_back(self, address: str, kept: _Kept) -> None:
+    def add_idle_connection(self, address: str, kept: _IdleConnection) -> None:
         if kept.until_micros <= self.clock.now() or not is_quiet(kept.stream):
             kept.stream.close()
             return
         kept.stream.set_close_callback(kept.stream.close)
         self.idle.setdefault(address, deque()).append(kept)
 
-    def note_broken(self, address: str, rested_micros: int) -> None:
+    def record_early_close(self, address: str, rested_micros: int) -> None:
         """A kept connection ended without an answer: the worker may have forgotten it, and those that rest as long."""
-        if rested_micros < FORGOTTEN_LEAST_MICROS:
+        if rested_micros < MIN_EARLY_CLOSE_IDLE_MICROS:
             return
-        bound_micros = min(rested_micros // 2, self._forgotten_micros(address))
-        self.forgetful[address] = (bound_micros, self.clock.now() + FORGETFUL_MICROS)
+        bound_micros = min(rested_micros // 2, self._max_idle_micros(address))
+        self.early_close_bounds[address] = (bound_micros, self.clock.now() + EARLY_CLOSE_TTL_MICROS)
 
-    def _forgotten_micros(self, address: str) -> int:
+    def _max_idle_micros(self, address: str) -> int:
         """The rest from which on kept connections to it are not used."""
-        bound_micros, until_micros = self.forgetful.get(address, (0, 0))
-        return bound_micros if until_micros > self.clock.now() else ANY_REST_MICROS
+        bound_micros, until_micros = self.early_close_bounds.get(address, (0, 0))
+        return bound_micros if until_micros > self.clock.now() else UNLIMITED_IDLE_MICROS
 
     def forget(self, address: str) -> None:
         """The worker is gone: another may get its address."""
-        self.forgetful.pop(address, None)
+        self.early_close_bounds.pop(address, None)
         for kept in self.idle.pop(address, ()):
             kept.stream.close()
 
     def sweep(self) -> None:
         now_micros = self.clock.now()
         for address, waiting in list(self.idle.items()):
-            lasting: deque[_Kept] = deque()
+            lasting: deque[_IdleConnection] = deque()
             for kept in waiting:
                 if kept.until_micros > now_micros and is_quiet(kept.stream):
                     lasting.append(kept)
@@ -295,7 +295,9 @@
             else:
                 del self.idle[address]
         self.open = {address: streams for address, streams in self.open.items() if self.open_count(address)}
-        self.forgetful = {address: told for address, told in self.forgetful.items() if told[1] > now_micros}
+        self.early_close_bounds = {
+            address: told for address, told in self.early_close_bounds.items() if told[1] > now_micros
+        }
 
 
 def is_quiet(stream: IOStream) -> bool:
@@ -310,5 +312,5 @@
         return False
 
 
-def _says_close(headers: HTTPHeaders) -> bool:
+def _has_connection_close(headers: HTTPHeaders) -> bool:
     return "close" in (token.strip().lower() for token in headers.get("Connection", "").split(","))
--- a/src/pearhead/router/load_book.py
+++ b/src/pearhead/router/worker_load_tracker.py
@@ -8,12 +8,12 @@
 from pearhead.rpc.wire_pb2 import UseNote, WorkerUse
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
-TOLD_MICROS = 1_500 * MILLI
-FAULT_REST_MICROS = SECOND
-FAULT_REST_LIMIT_MICROS = 4 * SECOND
-PACE_LEAST, PACE_MOST = 0.5, 6.0
-PACE_WEIGHT = 0.1
-PACE_TOKENS = 1_000
+LOAD_REPORT_TTL_MICROS = 1_500 * MILLI
+FAILURE_BACKOFF_MICROS = SECOND
+MAX_FAILURE_BACKOFF_MICROS = 4 * SECOND
+MIN_SLOWDOWN, MAX_SLOWDOWN = 0.5, 6.0
+SLOWDOWN_EWMA_WEIGHT = 0.1
+MIN_SLOWDOWN_SAMPLE_TOKENS = 1_000
 
 
 @dataclass
@@ -25,15 +25,15 @@
     held_tokens: int = 0
 
 
-class LoadBook:
+class WorkerLoadTracker:
     """Own use is exact; told use is up to a round and a way old and ends with its teller's silence."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.own: dict[str, Use] = {}
         self.told: dict[str, tuple[int, int, dict[str, WorkerUse]]] = {}
-        self.rests_until: dict[str, int] = {}
-        self.fault_counts: dict[str, int] = {}
+        self.backoff_until: dict[str, int] = {}
+        self.consecutive_failures: dict[str, int] = {}
         self.paces: dict[str, float] = {}
         self.read_rates = ReadRates(clock)
         self.totals: dict[str, Use] = {}
@@ -47,7 +47,7 @@
         use.held_tokens += held_tokens
         self._change(worker, 1, waiting_tokens, held_tokens)
 
-    def first_event(self, worker: str, waiting_tokens: int) -> None:
+    def record_first_event(self, worker: str, waiting_tokens: int) -> None:
         self.own[worker].waiting_tokens -= waiting_tokens
         self._change(worker, 0, -waiting_tokens, 0)
 
@@ -76,13 +76,17 @@
         held = self.told.get(teller)
         if held is not None and held[0] >= note.serial:
             return
-        self.told[teller] = (note.serial, self.clock.now() + TOLD_MICROS, {use.worker: use for use in note.use})
+        self.told[teller] = (
+            note.serial,
+            self.clock.now() + LOAD_REPORT_TTL_MICROS,
+            {use.worker: use for use in note.use},
+        )
         self.totals_until = 0
 
-    def use_of(self, worker: str) -> Use:
+    def current_load(self, worker: str) -> Use:
         """Of all nodes together."""
         if self.clock.now() >= self.totals_until:
-            self._sum_up()
+            self._rebuild_totals()
         return self.totals.get(worker, Use())
 
     def own_running(self) -> int:
@@ -92,25 +96,25 @@
 
     def take_fault(self, worker: str) -> None:
         """It failed a request or could not be reached: it rests, longer each time, and then gets one anew."""
-        count = self.fault_counts[worker] = self.fault_counts.get(worker, 0) + 1
-        rest_micros = min(FAULT_REST_MICROS * 2 ** (count - 1), FAULT_REST_LIMIT_MICROS)
-        self.rests_until[worker] = self.clock.now() + rest_micros
+        count = self.consecutive_failures[worker] = self.consecutive_failures.get(worker, 0) + 1
+        rest_micros = min(FAILURE_BACKOFF_MICROS * 2 ** (count - 1), MAX_FAILURE_BACKOFF_MICROS)
+        self.backoff_until[worker] = self.clock.now() + rest_micros
 
-    def take_success(self, worker: str) -> None:
-        self.rests_until.pop(worker, None)
-        self.fault_counts.pop(worker, None)
+    def record_success(self, worker: str) -> None:
+        self.backoff_until.pop(worker, None)
+        self.consecutive_failures.pop(worker, None)
 
-    def is_resting(self, worker: str) -> bool:
-        return self.rests_until.get(worker, 0) > self.clock.now()
+    def is_backed_off(self, worker: str) -> bool:
+        return self.backoff_until.get(worker, 0) > self.clock.now()
 
-    def learn_pace(self, worker: str, read_tokens: int, expected_micros: int, seen_micros: int) -> None:
+    def learn_slowdown(self, worker: str, read_tokens: int, expected_micros: int, seen_micros: int) -> None:
         """How much longer than reckoned its first events take, within bounds; short requests pass by what waits."""
-        if read_tokens < PACE_TOKENS:
+        if read_tokens < MIN_SLOWDOWN_SAMPLE_TOKENS:
             return
-        seen = min(max(seen_micros / max(expected_micros, 5 * MILLI), PACE_LEAST), PACE_MOST)
-        self.paces[worker] = self.pace_of(worker) * (1 - PACE_WEIGHT) + seen * PACE_WEIGHT
+        seen = min(max(seen_micros / max(expected_micros, 5 * MILLI), MIN_SLOWDOWN), MAX_SLOWDOWN)
+        self.paces[worker] = self.slowdown_of(worker) * (1 - SLOWDOWN_EWMA_WEIGHT) + seen * SLOWDOWN_EWMA_WEIGHT
 
-    def pace_of(self, worker: str) -> float:
+    def slowdown_of(self, worker: str) -> float:
         return self.paces.get(worker, 1.0)
 
     def _change(self, worker: str, running: int, waiting_tokens: int, held_tokens: int) -> None:
@@ -120,7 +124,7 @@
         total.waiting_tokens += waiting_tokens
         total.held_tokens += held_tokens
 
-    def _sum_up(self) -> None:
+    def _rebuild_totals(self) -> None:
         now_micros = self.clock.now()
         self.told = {teller: told for teller, told in self.told.items() if told[1] > now_micros}
         self.totals = {
--- a/src/pearhead/testbed/simulator/edges.py
+++ b/src/pearhead/testbed/simulator/edges.py
@@ -11,7 +11,15 @@
 
 from result import Err, Result
 
-from pearhead.router.carry import CUT, NOT_SENT, REFUSED, WITHDRAWN, CarryError, MayBegin, UpstreamJob
+from pearhead.router.job_transport import (
+    CUT,
+    NOT_SENT,
+    REFUSED,
+    WITHDRAWN,
+    JobTransportError,
+    SendPrecondition,
+    UpstreamJob,
+)
 from pearhead.runtime.clock import SECOND
 from pearhead.testbed.simulator.world import LINK_MICROS, Machine
 from pearhead.testbed.workermodel import (
@@ -88,7 +96,7 @@
         self.watch = watch
 
     async def carry(
-        self, worker_address: str, upstream_job: UpstreamJob, may_begin: MayBegin
+        self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         worker, node, world = self.back_ends[worker_address].machine, self.machine, self.world
         events: asyncio.Queue[Any] = asyncio.Queue()
@@ -126,9 +134,9 @@
                         hand_back(event)
                 hand_back(END)
             except WorkerRefusalError as refusal:
-                hand_back(CarryError(REFUSED, refusal.why))
+                hand_back(JobTransportError(REFUSED, refusal.why))
             except asyncio.CancelledError:
-                hand_back(CarryError(CUT, "reset"))
+                hand_back(JobTransportError(CUT, "reset"))
                 raise
 
         def send() -> None:
@@ -136,7 +144,7 @@
             if is_closed:
                 return
             if not may_begin():
-                events.put_nowait(CarryError(WITHDRAWN, "it may not begin any more"))
+                events.put_nowait(JobTransportError(WITHDRAWN, "it may not begin any more"))
                 return
             self.watch(upstream_job.upstream_id, worker.name)
             worker_life = worker.life
@@ -145,23 +153,23 @@
                 if world.is_cut(node.name, worker.name):
                     return
                 if not worker.is_alive or worker.life != worker_life:
-                    hand_back(CarryError(CUT, "reset"))
+                    hand_back(JobTransportError(CUT, "reset"))
                     return
                 worker.gate(lambda: run_tasks.append(worker.crew.start(run())))()
 
             world.loop.call_later(world.link_micros() / SECOND, arrive)
 
         def fail(why: str) -> None:
-            events.put_nowait(CarryError(NOT_SENT, why))
+            events.put_nowait(JobTransportError(NOT_SENT, why))
 
         open_connection(node, worker, JOB, upstream_job.limit_micros, send, fail)
-        node.after(upstream_job.limit_micros, lambda: events.put_nowait(CarryError(CUT, "deadline")))
+        node.after(upstream_job.limit_micros, lambda: events.put_nowait(JobTransportError(CUT, "deadline")))
         try:
             while True:
                 item = await events.get()
                 if item is END:
                     return
-                if isinstance(item, CarryError):
+                if isinstance(item, JobTransportError):
                     raise item
                 yield item
         finally:
@@ -189,11 +197,11 @@
         self.back_ends = back_ends
         self.watch = watch
 
-    async def claim(self, address: str, fence: int, may_begin: MayBegin) -> Result[dict[str, Any], str]:
+    async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
         return await self._command(address, fence, lambda model: model.claim(fence), SECOND, may_begin)
 
     async def load(
-        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: MayBegin
+        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]:
         return await self._command(
             address, fence, lambda model: model.load(fence, f"{line}@{weights}"), limit_micros, may_begin
@@ -205,7 +213,7 @@
         fence: int,
         command: Callable[[WorkerModel], Coroutine[Any, Any, dict[str, Any]]],
         limit_micros: int,
-        may_begin: MayBegin,
+        may_begin: SendPrecondition,
     ) -> Result[dict[str, Any], str]:
         back_end = self.back_ends[address]
         sent_micros = 0
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -15,7 +15,7 @@
 from pearhead.consensus.wal import WalCorruptError
 from pearhead.control_plane.core import CoreProcess
 from pearhead.router.errors import ERROR_TABLE, NOT_RUN, Refusal
-from pearhead.router.job import read_job
+from pearhead.router.job import parse_job
 from pearhead.router.node import NodeProcess
 from pearhead.rpc.wire_pb2 import Command, CommandResult, PurgeNote, Worker
 from pearhead.runtime.clock import MILLI, SECOND
@@ -601,7 +601,7 @@
             node = self.nodes[node_name]
             if not node.is_open:
                 return NOT_OPEN
-            request = read_job(json.dumps(job).encode()).unwrap()
+            request = parse_job(json.dumps(job).encode()).unwrap()
             return await node.run_job(tenant_key(self.deployment, tenant), request, pen)
 
         given_result: Any = await self.world.call_into(machine, OUTSIDE, work, JOB_MICROS)
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -13,9 +13,9 @@
 from pearhead.control_plane.core import CoreProcess
 from pearhead.control_plane.fleet import Fleet
 from pearhead.invalidation.key import cache_salt, chain_keys
-from pearhead.router import nominate
-from pearhead.router.carry import CUT, CarryError, MayBegin, UpstreamJob
+from pearhead.router import job_scheduler
 from pearhead.router.job import Job
+from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
 from pearhead.router.node import NodeProcess
 from pearhead.rpc.wire_pb2 import BumpPart, Command, JoinAsk, JoinResult, TakeHold
 from pearhead.testbed.simulator.control_mutations import CONTROL_MUTATIONS, Mutation, Prepare
@@ -44,7 +44,7 @@
         real_carry = node.carrier.carry
 
         async def carry(
-            worker_address: str, upstream_job: UpstreamJob, may_begin: MayBegin
+            worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
             async for event in real_carry(worker_address, upstream_job, may_begin):
                 if "usage" in event or node.chance.random() > 0.05:
@@ -63,13 +63,13 @@
         real_carry = node.carrier.carry
 
         async def carry(
-            worker_address: str, upstream_job: UpstreamJob, may_begin: MayBegin
+            worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
             try:
                 async for event in real_carry(worker_address, upstream_job, may_begin):
                     yield event
-            except CarryError as fault:
-                raise CarryError("not_sent" if fault.stage == CUT else fault.stage, fault.detail) from fault
+            except JobTransportError as fault:
+                raise JobTransportError("not_sent" if fault.stage == CUT else fault.stage, fault.detail) from fault
 
         node.carrier.carry = carry  # type: ignore[method-assign]
 
--- a/tests/test_carrier.py
+++ b/tests/test_carrier.py
@@ -7,8 +7,8 @@
 from contextlib import aclosing
 from typing import Any
 
-from pearhead.router.carry import CUT, NOT_SENT, REFUSED, WITHDRAWN, CarryError, UpstreamJob
-from pearhead.router.tornadocarrier import TornadoCarrier
+from pearhead.router.job_transport import CUT, NOT_SENT, REFUSED, WITHDRAWN, JobTransportError, UpstreamJob
+from pearhead.router.tornado_transport import TornadoJobTransport
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -48,11 +48,11 @@
 
     async def carry(self, address: str, limit_micros: int = 5_000_000) -> list[dict[str, Any]]:
         upstream_job = UpstreamJob("u", "m", "b", "s", "t", limit_micros=limit_micros)
-        async with aclosing(TornadoCarrier().carry(address, upstream_job, self.may_begin)) as events:
+        async with aclosing(TornadoJobTransport().carry(address, upstream_job, self.may_begin)) as events:
             return [event async for event in events]
 
     async def stage(self, address: str, limit_micros: int = 5_000_000) -> str:
-        with self.assertRaises(CarryError) as caught:
+        with self.assertRaises(JobTransportError) as caught:
             await self.carry(address, limit_micros)
         return caught.exception.stage
 
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -13,9 +13,9 @@
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
 from pearhead.invalidation.serializer import Serializer
-from pearhead.router.carry import MayBegin
 from pearhead.router.holder import HolderController, _Report
 from pearhead.router.index import CopyIndex
+from pearhead.router.job_transport import SendPrecondition
 from pearhead.router.term import TermKeeper
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import BumpPart, Command, PurgeNote, Record
@@ -64,11 +64,11 @@
         changed, self.changed = self.changed, []
         return Ok({"life": "1", "sequence": 1, "whole": False, "kept": [], "dropped": [], "changed": changed})
 
-    async def claim(self, address: str, fence: int, may_begin: MayBegin) -> Result[dict[str, Any], str]:
+    async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
         return Err("not asked for")
 
     async def load(
-        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: MayBegin
+        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]:
         return Err("not asked for")
 
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -17,10 +17,15 @@
 from pearhead.config.description import Limits
 from pearhead.config.startup import Startup
 from pearhead.config.view import View
-from pearhead.router.edge import HEAD_SPARE_BYTES, ClientLimits, ClientServer, RequestEdge
+from pearhead.router.client_http_server import (
+    OVERSIZED_HEAD_MARGIN_BYTES,
+    ClientConnectionManager,
+    ClientHttpServer,
+    ClientLimits,
+)
 from pearhead.router.errors import ERROR_TABLE, Refusal
 from pearhead.router.gateway import GatewayProcess, GatewaySettings
-from pearhead.router.opaque import AnswerPen, OpaqueRequest
+from pearhead.router.opaque_request import OpaqueRequest, ResponseWriter
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
 
@@ -122,8 +127,8 @@
         self.taken: list[OpaqueRequest] = []
         self.go_on = asyncio.Event()
         self.go_on.set()
-        self.edge = RequestEdge(self.clock, PlainReader(), self.serve, lambda: self.limits)
-        self.server = ClientServer(self.edge)
+        self.edge = ClientConnectionManager(self.clock, PlainReader(), self.serve, lambda: self.limits)
+        self.server = ClientHttpServer(self.edge)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
@@ -135,7 +140,7 @@
         self.server.stop()
         await self.server.close_all_connections()
 
-    async def serve(self, request: OpaqueRequest, pen: AnswerPen) -> None:
+    async def serve(self, request: OpaqueRequest, pen: ResponseWriter) -> None:
         self.taken.append(request)
         await self.go_on.wait()
         pen.begin(200, "OK", HTTPHeaders({"Content-Length": "2"}))
@@ -164,7 +169,7 @@
 
     async def test_a_head_without_end_is_told_so_and_not_read_for_ever(self) -> None:
         caller = await self.connect()
-        caller.writer.write(head_of(500 + 2 * HEAD_SPARE_BYTES)[:-4])
+        caller.writer.write(head_of(500 + 2 * OVERSIZED_HEAD_MARGIN_BYTES)[:-4])
         self.assertIn((await caller.answer())[0][:12], (b"HTTP/1.1 431", b""), "lost where more was sent than read")
         self.assertTrue(await caller.has_ended())
 
@@ -210,29 +215,29 @@
         caller = await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
         for _ in range(3):
-            await self.until(lambda: len(self.edge.resting) == 1)
+            await self.until(lambda: len(self.edge.idle_since) == 1)
             self.clock.advance(12 * SECOND)
             self.assertIn(OK_HEAD, await caller.ask(), "taken up after four fifths")
-        await self.until(lambda: len(self.edge.resting) == 1)
+        await self.until(lambda: len(self.edge.idle_since) == 1)
         self.clock.advance(15 * SECOND - 1)
         self.assertIn(OK_HEAD, await caller.ask())
-        await self.until(lambda: len(self.edge.resting) == 1)
+        await self.until(lambda: len(self.edge.idle_since) == 1)
         self.clock.advance(15 * SECOND)
         self.assertTrue(await caller.has_ended())
 
     async def test_each_connection_has_its_own_idle_time_which_may_change(self) -> None:
         early, late = await self.connect(), await self.connect()
         self.assertIn(OK_HEAD, await early.ask())
-        await self.until(lambda: len(self.edge.resting) == 2)
+        await self.until(lambda: len(self.edge.idle_since) == 2)
         self.clock.advance(4 * SECOND)
         self.assertIn(OK_HEAD, await late.ask())
-        await self.until(lambda: len(self.edge.resting) == 2)
+        await self.until(lambda: len(self.edge.idle_since) == 2)
         self.limits = ClientLimits(idle_micros=5 * SECOND)
         self.clock.advance(2 * SECOND)
         self.assertTrue(await early.has_ended())
         self.assertIn(OK_HEAD, await late.ask())
         self.limits = ClientLimits(idle_micros=50 * SECOND)
-        await self.until(lambda: len(self.edge.resting) == 1)
+        await self.until(lambda: len(self.edge.idle_since) == 1)
         self.clock.advance(40 * SECOND)
         self.assertIn(OK_HEAD, await late.ask(), "a longer one holds for a connection that stands")
 
@@ -261,7 +266,7 @@
         waits, sends = await self.connect(), await self.connect()
         waits.writer.write(GET)
         sends.writer.write(post(b"b", length=2))
-        await self.until(lambda: len(self.taken) == 1 and not self.edge.heads and not self.edge.resting)
+        await self.until(lambda: len(self.taken) == 1 and not self.edge.heads and not self.edge.idle_since)
         self.clock.advance(60 * SECOND)
         self.go_on.set()
         sends.writer.write(b"b")
@@ -273,7 +278,7 @@
         caller, half = await self.connect(), await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
         half.writer.write(GET[:10])
-        await self.until(lambda: len(self.edge.resting) == 1 and len(self.edge.heads) == 1)
+        await self.until(lambda: len(self.edge.idle_since) == 1 and len(self.edge.heads) == 1)
         caller.socket_of()._sock.send(GET)
         half.socket_of()._sock.send(GET[10:])
         self.clock.advance(20 * SECOND)
@@ -283,8 +288,8 @@
     async def test_a_request_that_was_read_whole_but_not_taken_yet_keeps_its_connection(self) -> None:
         caller = await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
-        await self.until(lambda: len(self.edge.resting) == 1)
-        stream = next(iter(self.edge.resting))
+        await self.until(lambda: len(self.edge.idle_since) == 1)
+        stream = next(iter(self.edge.idle_since))
         caller.socket_of()._sock.send(GET)
         stream._handle_read()
         self.assertEqual(len(self.taken), 1, "not taken yet")
@@ -295,9 +300,9 @@
         for request in (b"", GET[:5], GET):
             caller = await self.connect()
             caller.writer.write(request)
-            await self.until(lambda: bool(self.edge.resting or self.edge.heads))
+            await self.until(lambda: bool(self.edge.idle_since or self.edge.heads))
             caller.writer.close()
-        await self.until(lambda: not self.edge.resting and not self.edge.heads)
+        await self.until(lambda: not self.edge.idle_since and not self.edge.heads)
         self.clock.advance(2 * SECOND)
         self.assertEqual(
             [t for t in self.clock.timers if not t.is_cancelled], [], "an edge without callers never wakes"
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -14,12 +14,12 @@
 
 from pearhead.config.description import Description, Route, Split
 from pearhead.config.view import View
-from pearhead.router.drain import DrainPhase, DrainSchedule, DrainState, FrontDrain
-from pearhead.router.edge import ClientLimits, ClientServer, RequestEdge
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate
-from pearhead.router.lingering import LingeringSockets
-from pearhead.router.load_book import LoadBook
+from pearhead.router.client_http_server import ClientConnectionManager, ClientHttpServer, ClientLimits
+from pearhead.router.drain import DrainCoordinator, DrainPhase, DrainSchedule, DrainState
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.lingering_close import LingeringSockets
+from pearhead.router.request_proxy import RequestProxy
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND, rest
 from tests.test_client_limits import OK_HEAD, PATIENCE_SECONDS, Caller, HandClock, PlainReader, post
 from tests.test_gate import FakeCurrent, FakeDialect, FakePlacer
@@ -102,29 +102,29 @@
     async def asyncSetUp(self) -> None:
         self.clock = HandClock()
         self.violations: list[str] = []
-        self.state = DrainState(self.clock, DrainSchedule.of_grace(GRACE_MICROS), self.violations.append)
+        self.state = DrainState(self.clock, DrainSchedule.for_grace_period(GRACE_MICROS), self.violations.append)
         self.worker = FakeWorker(self.clock)
         placer: Any = FakePlacer()
         pool: Any = self.worker
-        self.gate = Gate(
+        self.gate = RequestProxy(
             self.clock,
             FakeCurrent(make_view()),
             placer,
-            LoadBook(self.clock),
+            WorkerLoadTracker(self.clock),
             pool,
-            FleetBudget(self.clock, 0.2, 50, 10 * SECOND),
+            FleetRetryBudget(self.clock, 0.2, 50, 10 * SECOND),
             FakeDialect(),
             lambda: 1,
             lambda worker, head: None,
             drain=self.state,
         )
-        self.edge = RequestEdge(self.clock, PlainReader(), self.gate.serve, ClientLimits, self.state)
-        self.server = ClientServer(self.edge)
+        self.edge = ClientConnectionManager(self.clock, PlainReader(), self.gate.serve, ClientLimits, self.state)
+        self.server = ClientHttpServer(self.edge)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
         self.callers: list[Caller] = []
-        self.drain = FrontDrain(self.state, self.server, self.gate)
+        self.drain = DrainCoordinator(self.state, self.server, self.gate)
 
     async def asyncTearDown(self) -> None:
         for caller in self.callers:
@@ -407,12 +407,12 @@
 
 class DrainStateTest(unittest.TestCase):
     def test_the_schedule_follows_the_time_until_the_kill(self) -> None:
-        usual = DrainSchedule.of_grace(8 * SECOND)
+        usual = DrainSchedule.for_grace_period(8 * SECOND)
         self.assertEqual((usual.handover_micros, usual.end_micros), (2_700 * MILLI, 7 * SECOND))
-        short = DrainSchedule.of_grace(4 * SECOND)
+        short = DrainSchedule.for_grace_period(4 * SECOND)
         self.assertEqual((short.handover_micros, short.end_micros), (1_500 * MILLI, 3_500 * MILLI))
         for grace_micros in (SECOND, 4 * SECOND, 8 * SECOND, 30 * SECOND):
-            schedule = DrainSchedule.of_grace(grace_micros)
+            schedule = DrainSchedule.for_grace_period(grace_micros)
             self.assertLess(schedule.handover_micros, 3 * SECOND)
             self.assertGreater(schedule.end_micros, grace_micros * 5 // 6, "the last sixth has begun")
             left_micros = grace_micros - schedule.end_micros - schedule.flush_micros
@@ -420,7 +420,7 @@
 
     def test_phases_go_by_time_alone(self) -> None:
         clock = HandClock()
-        state = DrainState(clock, DrainSchedule.of_grace(GRACE_MICROS))
+        state = DrainState(clock, DrainSchedule.for_grace_period(GRACE_MICROS))
         self.assertIs(state.phase(), DrainPhase.SERVING)
         state.begin()
         found = []
@@ -434,7 +434,7 @@
     def test_the_invariant_is_told_when_it_is_broken_and_only_then(self) -> None:
         clock = HandClock()
         told: list[str] = []
-        state = DrainState(clock, DrainSchedule.of_grace(GRACE_MICROS), told.append)
+        state = DrainState(clock, DrainSchedule.for_grace_period(GRACE_MICROS), told.append)
         state.check_send("a")
         state.begin()
         clock.advance(2_699 * MILLI)
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -15,10 +15,10 @@
 from pearhead.config.startup import Startup
 from pearhead.config.view import View
 from pearhead.router.errors import ErrorKind
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import hash_key
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
 from pearhead.router.gateway import GatewayProcess, GatewaySettings
-from pearhead.router.opaque import OpaqueRequest
+from pearhead.router.opaque_request import OpaqueRequest
+from pearhead.router.request_proxy import hash_key
 from pearhead.router.weights_clock import WeightsClock
 from pearhead.rpc.wire_pb2 import Record
 from pearhead.runtime.bench import Bench
@@ -136,7 +136,7 @@
         self.assertEqual(self.gateway.node_count(), NODE_COUNT)
 
     async def test_a_node_that_is_cut_off_takes_no_larger_share_while_it_serves_on(self) -> None:
-        budget = FleetBudget(self.bench, 0.2, SLACK, WINDOW_MICROS)
+        budget = FleetRetryBudget(self.bench, 0.2, SLACK, WINDOW_MICROS)
         self.gateway.node_count()
         # Records of nodes that are not heard of any more have ended by now, and the node serves on.
         self.bench.now_micros += WINDOW_MICROS
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -17,8 +17,8 @@
 
 from pearhead.config.startup import Startup
 from pearhead.config.view import ENTRY_SECTIONS, View
-from pearhead.router.carry import CUT, CarryError, MayBegin, UpstreamJob
 from pearhead.router.front import HandlerPen, build_front
+from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
 from pearhead.router.node import NodeProcess
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import BootClock
@@ -36,13 +36,13 @@
         self.cut_after: int | None = None
         self.wrong_after: int | None = None
         self.trailing: list[dict[str, Any]] = []
-        self.may_begin: MayBegin = lambda: True
+        self.may_begin: SendPrecondition = lambda: True
         self.yielded_count = 0
         self.started_count = 0
         self.closed = asyncio.Event()
 
     async def carry(
-        self, worker_address: str, upstream_job: UpstreamJob, may_begin: MayBegin
+        self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         self.started_count += 1
         self.may_begin = may_begin
@@ -52,7 +52,7 @@
                 if number == self.wrong_after:
                     yield {"id": "cmpl-another", "choices": [{"text": "another's"}]}
                 if number == self.cut_after:
-                    raise CarryError(CUT, "scripted")
+                    raise JobTransportError(CUT, "scripted")
                 await asyncio.sleep(0)
                 self.yielded_count += 1
                 yield {"id": identity, "choices": [{"text": self.text}]}
@@ -64,11 +64,11 @@
 
 
 class NoLink:
-    async def claim(self, address: str, fence: int, may_begin: MayBegin) -> Result[dict[str, Any], str]:
+    async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
         return Err("none")
 
     async def load(
-        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: MayBegin
+        self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]:
         return Err("none")
 
@@ -211,7 +211,7 @@
     async def test_a_line_of_another_job_cuts_the_stream_and_never_reaches_the_caller(self) -> None:
         for wrong_after, wanted in ((0, (502, True, 1)), (1, (200, False, 1))):
             self.carrier.wrong_after = wrong_after
-            self.node.nominator.unsound_until.clear()
+            self.node.nominator.unhealthy_until.clear()
             self.send(self.notice())
             status, body, is_whole = await self.given_result()
             self.assertEqual((status, is_whole, len(body.splitlines())), wanted)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -12,13 +12,13 @@
 from pearhead.config.description import Description, Route, Split, Tenant
 from pearhead.config.view import View
 from pearhead.router.errors import ERROR_TABLE, ErrorKind, Refusal
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate, hash_key
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import AnswerHead, Directions, OpaqueRequest, PromptPart, Verdict
-from pearhead.router.placer import Choice
-from pearhead.router.read_book import ReadBook
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, PromptPart, ResponseHead, ResponseVerdict
+from pearhead.router.prefill_tracker import PrefillTracker
+from pearhead.router.request_proxy import RequestProxy, hash_key
 from pearhead.router.worker_control import Backend
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerChoice
 from pearhead.rpc.wire_pb2 import ReadNote
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
@@ -79,18 +79,18 @@
 
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
-    ) -> Result[Choice, Refusal]:
+    ) -> Result[WorkerChoice, Refusal]:
         free = [n for n in ("w1", "w2", "w3") if n not in excluded]
         if not free:
             return Err(Refusal(ErrorKind.NO_WORKER))
         self.chosen.append(free[0])
         backend = Backend(free[0], "127.0.0.1:1", "z", "s", 4, False, {"l": 2}, 0)
-        return Ok(Choice(backend, "s", "l", 2, "salt", 0, self.missing_tokens, "", "", 1_000))
+        return Ok(WorkerChoice(backend, "s", "l", 2, "salt", 0, self.missing_tokens, "", "", 1_000))
 
     def knows_workers(self) -> bool:
         return True
 
-    def stands(self, view: View, choice: Choice) -> bool:
+    def stands(self, view: View, choice: WorkerChoice) -> bool:
         return self.does_stand
 
     def expect(self, worker: str, salt: str, parts: Iterable[str]) -> None:
@@ -107,7 +107,7 @@
 
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
-    ) -> Result[Choice, Refusal]:
+    ) -> Result[WorkerChoice, Refusal]:
         if self.bench.now() < self.known_micros:
             return Err(Refusal(ErrorKind.NO_WORKER))
         return super().choose(view, route, request, tenant, excluded)
@@ -117,14 +117,19 @@
 
 
 class FakeDialect:
-    def outgoing_headers(self, request: OpaqueRequest, directions: Directions) -> HTTPHeaders:
+    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders:
         return HTTPHeaders({"Tenant": directions.tenant, "Last": directions.last_event_id})
 
     def read_head(
-        self, request: OpaqueRequest, directions: Directions, status: int, reason: str, headers: HTTPHeaders
-    ) -> AnswerHead:
-        verdict = {200: Verdict.SUCCESS, 503: Verdict.NOT_RUN, 421: Verdict.OTHER_WORKER, 299: Verdict.FOREIGN}
-        return AnswerHead(status, reason, headers, verdict.get(status, Verdict.FAILURE), {})
+        self, request: OpaqueRequest, directions: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
+    ) -> ResponseHead:
+        verdict = {
+            200: ResponseVerdict.SUCCESS,
+            503: ResponseVerdict.NOT_RUN,
+            421: ResponseVerdict.OTHER_WORKER,
+            299: ResponseVerdict.UNRECOGNIZED,
+        }
+        return ResponseHead(status, reason, headers, verdict.get(status, ResponseVerdict.FAILURE), {})
 
     def event_version(self, event: bytes) -> int | None:
         return None
@@ -212,18 +217,18 @@
     ) -> FakePen:
         bench = Bench()
         self.pool, self.placer, self.pen = FakePool(calls), getattr(self, "placer", FakePlacer()), FakePen()
-        self.loads = LoadBook(bench)
-        self.gate = Gate(
+        self.loads = WorkerLoadTracker(bench)
+        self.gate = RequestProxy(
             bench,
             FakeCurrent(make_view(**fields)),
             self.placer,  # type: ignore[arg-type]
             self.loads,
             self.pool,  # type: ignore[arg-type]
-            FleetBudget(bench, 0.2, 50, 10 * SECOND),
+            FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
             FakeDialect(),
             lambda: 1,
             lambda worker, head: None,
-            ReadBook(bench, self.placer.expect, tell),
+            PrefillTracker(bench, self.placer.expect, tell),
         )
         request = OpaqueRequest(
             "id", "POST", path, "h", path, HTTPHeaders(), b"", bench.now(), hash_key(key), parts=parts
@@ -316,13 +321,13 @@
 
     async def test_a_node_that_knows_nothing_yet_does_not_call_all_back_at_once(self) -> None:
         bench, dialect = Bench(), NotingDialect()
-        gate = Gate(
+        gate = RequestProxy(
             bench,
             FakeCurrent(None),
             FakePlacer(),  # type: ignore[arg-type]
-            LoadBook(bench),
+            WorkerLoadTracker(bench),
             FakePool([]),  # type: ignore[arg-type]
-            FleetBudget(bench, 0.2, 50, 10 * SECOND),
+            FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
             dialect,
             lambda: 1,
             lambda worker, head: None,
@@ -347,13 +352,13 @@
             bench = TickingBench()
             began_micros = bench.now()
             current = LateCurrent(make_view(), bench, began_micros + known_micros)
-            gate = Gate(
+            gate = RequestProxy(
                 bench,
                 current,
                 FakePlacer(),  # type: ignore[arg-type]
-                LoadBook(bench),
+                WorkerLoadTracker(bench),
                 FakePool([]),  # type: ignore[arg-type]
-                FleetBudget(bench, 0.2, 50, 10 * SECOND),
+                FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
                 FakeDialect(),
                 lambda: 1,
                 lambda worker, head: None,
@@ -380,13 +385,13 @@
             bench = TickingBench()
             began_micros = bench.now()
             placer = LatePlacer(bench, began_micros + 500_000)
-            gate = Gate(
+            gate = RequestProxy(
                 bench,
                 FakeCurrent(make_view(**STREAM)),
                 placer,  # type: ignore[arg-type]
-                LoadBook(bench),
+                WorkerLoadTracker(bench),
                 FakePool([FakeCall(HEAD, tuple(EVENTS))]),  # type: ignore[arg-type]
-                FleetBudget(bench, 0.2, 50, 10 * SECOND),
+                FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
                 FakeDialect(),
                 lambda: 1,
                 lambda worker, head: None,
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -19,7 +19,7 @@
 from pearhead.control_plane.fleet import Fleet
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.serializer import Serializer
-from pearhead.router.job import WrittenJob
+from pearhead.router.job import JobRequest
 from pearhead.router.node import NodeProcess
 from pearhead.router.term import TermKeeper
 from pearhead.rpc.courier import Courier
@@ -92,7 +92,7 @@
     return node
 
 
-NOTICE = WrittenJob(ACADEMY.line, "notice", "b")
+NOTICE = JobRequest(ACADEMY.line, "notice", "b")
 KEY = tenant_key(ACADEMY, "trial")
 
 
@@ -359,10 +359,10 @@
             await asyncio.sleep(0)
             return Ok(True)
 
-        from pearhead.router import admit as admit_module
+        from pearhead.router import admission as admit_module
 
-        admit_module.Admission._queue_type = admit_module._EntryQueue  # type: ignore[attr-defined]
-        self.check(cancel_against_carry, self.swap(admit_module.Admission, "admit", admit), 3)
+        admit_module.AdmissionController._queue_type = admit_module._EntryQueue  # type: ignore[attr-defined]
+        self.check(cancel_against_carry, self.swap(admit_module.AdmissionController, "admit", admit), 3)
 
     def test_bump_against_retransmission_and_leader_change(self) -> None:
         real_apply = Fleet.apply
--- a/tests/test_kept_index.py
+++ b/tests/test_kept_index.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pearhead.router.kept_index import KeptIndex
-from pearhead.router.opaque import PromptPart
+from pearhead.router.opaque_request import PromptPart
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 
 PARTS = (PromptPart("a", 100), PromptPart("b", 50), PromptPart("c", 10))
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -14,10 +14,10 @@
 from pearhead.config.description import Description, Route, Split, Tenant
 from pearhead.config.view import View
 from pearhead.router.errors import ERROR_TABLE, ErrorKind, Refusal
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate, hash_key
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import Directions, OpaqueRequest, Verdict
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, ResponseVerdict
+from pearhead.router.request_proxy import RequestProxy, hash_key
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool
@@ -28,7 +28,7 @@
 
 SEAL = "X-Answer-Seal"
 SENT = {"X-Request-Id": "r1", "Authorization": "Token k", "X-Deadline": "800"}
-DIRECTIONS = Directions(800 * MILLI, "i-1", tenant="t")
+DIRECTIONS = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
@@ -36,7 +36,7 @@
 
 
 class DialectTest(unittest.TestCase):
-    def verdict(self, status: int, headers: dict[str, str]) -> Verdict:
+    def verdict(self, status: int, headers: dict[str, str]) -> ResponseVerdict:
         return PlatformDialect().read_head(read(SENT), DIRECTIONS, status, "", HTTPHeaders(headers)).verdict
 
     def test_no_answer_of_our_own_bears_a_seal(self) -> None:
@@ -56,25 +56,29 @@
 
     def test_only_a_whole_answer_of_the_right_worker_is_a_success(self) -> None:
         good = {"X-Request-Id": "r1", SEAL: "s"}
-        self.assertIs(self.verdict(200, good), Verdict.SUCCESS)
-        self.assertIs(self.verdict(200, {"X-Request-Id": "r1"}), Verdict.FOREIGN, "no seal")
-        self.assertIs(self.verdict(200, {**good, "X-Request-Id": "r2"}), Verdict.FOREIGN, "of another request")
-        self.assertIs(self.verdict(200, {SEAL: "s"}), Verdict.FOREIGN, "of no request")
-        self.assertIs(self.verdict(200, {**good, "Content-Encoding": "gzip"}), Verdict.FOREIGN)
+        self.assertIs(self.verdict(200, good), ResponseVerdict.SUCCESS)
+        self.assertIs(self.verdict(200, {"X-Request-Id": "r1"}), ResponseVerdict.UNRECOGNIZED, "no seal")
         self.assertIs(
-            self.verdict(500, {**good, "X-Request-Id": "r2"}), Verdict.FOREIGN, "a failure of another request"
+            self.verdict(200, {**good, "X-Request-Id": "r2"}), ResponseVerdict.UNRECOGNIZED, "of another request"
         )
-        self.assertIs(self.verdict(500, good), Verdict.FAILURE)
-        self.assertIs(self.verdict(503, {**good, "X-Not-Run": "full"}), Verdict.NOT_RUN)
-        self.assertIs(self.verdict(421, {"X-Instance": "i-2"}), Verdict.OTHER_WORKER)
-        self.assertIs(self.verdict(421, {"X-Instance": "i-1"}), Verdict.OTHER_VERSION)
+        self.assertIs(self.verdict(200, {SEAL: "s"}), ResponseVerdict.UNRECOGNIZED, "of no request")
+        self.assertIs(self.verdict(200, {**good, "Content-Encoding": "gzip"}), ResponseVerdict.UNRECOGNIZED)
+        self.assertIs(
+            self.verdict(500, {**good, "X-Request-Id": "r2"}),
+            ResponseVerdict.UNRECOGNIZED,
+            "a failure of another request",
+        )
+        self.assertIs(self.verdict(500, good), ResponseVerdict.FAILURE)
+        self.assertIs(self.verdict(503, {**good, "X-Not-Run": "full"}), ResponseVerdict.NOT_RUN)
+        self.assertIs(self.verdict(421, {"X-Instance": "i-2"}), ResponseVerdict.OTHER_WORKER)
+        self.assertIs(self.verdict(421, {"X-Instance": "i-1"}), ResponseVerdict.OTHER_VERSION)
 
     def test_a_worker_gets_neither_key_nor_what_the_caller_says_of_its_tenant(self) -> None:
         request = read({**SENT, "X-Tenant": "other", "X-Urgency": "0", "X-Expect-Version": "9", "Own": "kept"})
         outgoing = PlatformDialect().outgoing_headers(request, DIRECTIONS)
         self.assertEqual((outgoing["X-Tenant"], outgoing["X-Expect-Instance"], outgoing["Own"]), ("t", "i-1", "kept"))
         self.assertEqual({"Authorization", "X-Urgency", "X-Expect-Version"} & set(outgoing), set())
-        nobody = PlatformDialect().outgoing_headers(request, Directions(800 * MILLI, "i-1"))
+        nobody = PlatformDialect().outgoing_headers(request, ForwardingMetadata(800 * MILLI, "i-1"))
         self.assertNotIn("X-Tenant", nobody)
 
 
@@ -90,15 +94,17 @@
 
 class NotingDirections(FakeDialect):
     def __init__(self) -> None:
-        self.seen: list[Directions] = []
+        self.seen: list[ForwardingMetadata] = []
 
-    def outgoing_headers(self, request: OpaqueRequest, directions: Directions) -> HTTPHeaders:
+    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders:
         self.seen.append(directions)
         return super().outgoing_headers(request, directions)
 
 
 class GateTimesTest(unittest.IsolatedAsyncioTestCase):
-    async def send(self, wait_micros: int, tenant_urgency: int = 5, route_urgency: int = 5) -> tuple[int, Directions]:
+    async def send(
+        self, wait_micros: int, tenant_urgency: int = 5, route_urgency: int = 5
+    ) -> tuple[int, ForwardingMetadata]:
         """How long a worker's answer is waited for, and what the worker is told."""
         bench, call, dialect = Bench(), NotingCall(HEAD, (b"ok",)), NotingDirections()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, urgency=route_urgency)
@@ -107,12 +113,12 @@
         view.__dict__["description"] = Description(tenants=[tenant], routes=[route])
         placer: Any = FakePlacer()
         pool: Any = FakePool([call])
-        budget = FleetBudget(bench, 0.2, 50, 10 * SECOND)
-        gate = Gate(
+        budget = FleetRetryBudget(bench, 0.2, 50, 10 * SECOND)
+        gate = RequestProxy(
             bench,
             FakeCurrent(view),
             placer,
-            LoadBook(bench),
+            WorkerLoadTracker(bench),
             pool,
             budget,
             dialect,
--- a/tests/test_load_book.py
+++ b/tests/test_load_book.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.load_book import LoadBook
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.rpc.wire_pb2 import UseNote, WorkerUse
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
@@ -14,7 +14,7 @@
 class LoadBookTest(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
-        self.loads = LoadBook(self.bench)
+        self.loads = WorkerLoadTracker(self.bench)
 
     def tell(self, teller: str, serial: int, running: int) -> None:
         self.loads.take(teller, UseNote(serial=serial, use=[WorkerUse(worker="w", running=running, waiting_tokens=7)]))
@@ -24,43 +24,43 @@
         self.tell("n1", 2, 3)
         self.tell("n1", 1, 9)
         self.tell("n2", 1, 1)
-        use = self.loads.use_of("w")
+        use = self.loads.current_load("w")
         self.assertEqual((use.running, use.waiting_tokens, use.held_tokens), (5, 114, 150))
-        self.loads.first_event("w", 100)
-        self.assertEqual(self.loads.use_of("w").waiting_tokens, 14)
+        self.loads.record_first_event("w", 100)
+        self.assertEqual(self.loads.current_load("w").waiting_tokens, 14)
         self.bench.now_micros += 2 * SECOND
-        self.assertEqual(self.loads.use_of("w").running, 1, "tellers fell silent")
+        self.assertEqual(self.loads.current_load("w").running, 1, "tellers fell silent")
         self.loads.end("w", 0, 150)
-        use = self.loads.use_of("w")
+        use = self.loads.current_load("w")
         self.assertEqual((use.running, use.held_tokens, self.loads.own_running()), (0, 0, 0))
 
     def test_a_worker_that_fails_rests_longer_each_time_and_a_success_ends_it(self) -> None:
         rests = []
         for _ in range(4):
             self.loads.take_fault("w")
-            rests.append(self.loads.rests_until["w"] - self.bench.now())
+            rests.append(self.loads.backoff_until["w"] - self.bench.now())
         self.assertEqual(rests, [SECOND, 2 * SECOND, 4 * SECOND, 4 * SECOND])
-        self.assertTrue(self.loads.is_resting("w"))
-        self.loads.take_success("w")
-        self.assertFalse(self.loads.is_resting("w"))
+        self.assertTrue(self.loads.is_backed_off("w"))
+        self.loads.record_success("w")
+        self.assertFalse(self.loads.is_backed_off("w"))
 
     def test_paces_stay_within_bounds(self) -> None:
         for _ in range(200):
-            self.loads.learn_pace("w", 2_000, 10 * MILLI, 10 * SECOND)
-        self.assertLessEqual(self.loads.pace_of("w"), 6.0)
+            self.loads.learn_slowdown("w", 2_000, 10 * MILLI, 10 * SECOND)
+        self.assertLessEqual(self.loads.slowdown_of("w"), 6.0)
 
 
 class FleetBudgetTest(unittest.TestCase):
     def test_all_nodes_together_stay_within_the_fleets_budget_in_any_window(self) -> None:
         for nodes, requests in ((1, 50), (9, 15), (63, 1)):
             bench = Bench()
-            budgets = [FleetBudget(bench, 0.2, 58, 10 * SECOND) for _ in range(nodes)]
+            budgets = [FleetRetryBudget(bench, 0.2, 58, 10 * SECOND) for _ in range(nodes)]
             spent: list[int] = []
             for _ in range(400):
                 bench.now_micros += 100 * MILLI
                 for budget in budgets:
                     if requests >= 10 or bench.now_micros % (1_000 * MILLI) == 0:
-                        budget.pay_in("s", nodes)
+                        budget.deposit("s", nodes)
                 taken = 0
                 for budget in budgets:
                     while budget.take_out("s", nodes):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -27,8 +27,8 @@
 from pearhead.consensus.state import Role  # noqa: E402
 from pearhead.control_plane.core import CoreProcess  # noqa: E402
 from pearhead.control_plane.metrics import CoreCollector  # noqa: E402
-from pearhead.router.drain import DrainSchedule, DrainState, FrontDrain
-from pearhead.router.edge import RequestEdge  # noqa: E402
+from pearhead.router.client_http_server import ClientConnectionManager  # noqa: E402
+from pearhead.router.drain import DrainCoordinator, DrainSchedule, DrainState
 from pearhead.router.front import build_front  # noqa: E402
 from pearhead.router.gateway import GatewayProcess, GatewaySettings  # noqa: E402
 from pearhead.router.metrics import RosterCollector, build_gateway_registry, build_node_registry  # noqa: E402
@@ -111,9 +111,9 @@
     return GatewayProcess(startup, GatewaySettings(), clock, net, unused, unused, random.Random(1))
 
 
-def build_edge(clock: Any) -> RequestEdge:
+def build_edge(clock: Any) -> ClientConnectionManager:
     unused: Any = None
-    return RequestEdge(clock, unused, unused, unused)
+    return ClientConnectionManager(clock, unused, unused, unused)
 
 
 class GatewayFiguresTest(unittest.TestCase):
@@ -482,7 +482,7 @@
     async def test_a_drain_ends_with_its_counts(self) -> None:
         clock, requests = BootClock(), _CountedRequests()
         schedule = DrainSchedule(handover_micros=20 * MILLI, end_micros=40 * MILLI, flush_micros=20 * MILLI)
-        drain = FrontDrain(DrainState(clock, schedule), _QuietEdge(), requests)
+        drain = DrainCoordinator(DrainState(clock, schedule), _QuietEdge(), requests)
         with self.assertLogs(LOGGER, "INFO") as caught:
             draining = asyncio.create_task(drain.run())
             await rest(clock, 10 * MILLI)
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -17,15 +17,15 @@
 
 from pearhead.config.description import Description, Route, Split, Tenant
 from pearhead.config.view import View
-from pearhead.router.edge import ClientLimits, ClientServer, RequestEdge
+from pearhead.router.client_http_server import ClientConnectionManager, ClientHttpServer, ClientLimits
 from pearhead.router.errors import Refusal
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate, hash_key
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import AnswerPen, OpaqueRequest
-from pearhead.router.placer import Choice
-from pearhead.router.upstream import CallTerms, UpstreamPool
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.opaque_request import OpaqueRequest, ResponseWriter
+from pearhead.router.request_proxy import RequestProxy, hash_key
+from pearhead.router.upstream_pool import CallLimits, UpstreamPool
 from pearhead.router.worker_control import Backend
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerChoice
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND, BootClock
 from tests.test_client_limits import PlainReader
@@ -99,24 +99,24 @@
 
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
-    ) -> Result[Choice, Refusal]:
+    ) -> Result[WorkerChoice, Refusal]:
         backend = Backend("w1", self.address, "z", "s", 4, False, {}, 0)
-        return Ok(Choice(backend, "s", "", None, "", 0, 0, "", "", 1_000))
+        return Ok(WorkerChoice(backend, "s", "", None, "", 0, 0, "", "", 1_000))
 
 
-def make_gate(address: str, stream: bool, deadline_micros: int) -> Gate:
+def make_gate(address: str, stream: bool, deadline_micros: int) -> RequestProxy:
     route = Route("r", "h", "/", [Split("s", 1)], deadline_micros, stream=stream, public=True)
     view = View()
     view.__dict__["description"] = Description(routes=[route])
     clock = BootClock()
     placer: Any = AddressPlacer(address)
-    return Gate(
+    return RequestProxy(
         clock,
         FakeCurrent(view),
         placer,
-        LoadBook(clock),
+        WorkerLoadTracker(clock),
         UpstreamPool(clock),
-        FleetBudget(clock, 0.2, 50, 10 * SECOND),
+        FleetRetryBudget(clock, 0.2, 50, 10 * SECOND),
         FakeDialect(),
         lambda: 1,
         lambda worker, head: None,
@@ -179,15 +179,15 @@
         self.ends: list[float] = []
         bound = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port = bound[0].getsockname()[1]
-        self.edge = RequestEdge(BootClock(), PlainReader(), self.serve, ClientLimits)
-        self.server = ClientServer(self.edge)
+        self.edge = ClientConnectionManager(BootClock(), PlainReader(), self.serve, ClientLimits)
+        self.server = ClientHttpServer(self.edge)
         self.server.add_sockets(bound)
 
     async def asyncTearDown(self) -> None:
         self.server.stop()
         await self.server.close_all_connections()
 
-    async def serve(self, request: OpaqueRequest, pen: AnswerPen) -> None:
+    async def serve(self, request: OpaqueRequest, pen: ResponseWriter) -> None:
         try:
             await self.gate.serve(request, pen)
         finally:
@@ -272,7 +272,7 @@
     """UNASKED: a worker that answers before it has read a long body gets that body to its end, or nothing more."""
 
     async def ask(self, pool: UpstreamPool, address: str, method: str, body: bytes) -> None:
-        call = (await pool.call(address, CallTerms(SECOND))).unwrap()
+        call = (await pool.call(address, CallLimits(SECOND))).unwrap()
         headers = HTTPHeaders({"Host": "h"})
         if body:
             headers["Content-Length"] = str(len(body))
@@ -321,7 +321,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = UpstreamPool(Bench())
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        call = (await pool.call(address, CallTerms(SECOND))).unwrap()
+        call = (await pool.call(address, CallLimits(SECOND))).unwrap()
         call.send("GET", "/x", HTTPHeaders({"Host": "h"}), b"")
         await call.head(4 * SECOND)
         found = [chunk async for chunk in call.chunks(lambda: 4 * SECOND)]
@@ -374,12 +374,12 @@
         )
         bound = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         port = bound[0].getsockname()[1]
-        gates: list[Gate] = []
+        gates: list[RequestProxy] = []
 
-        async def serve(request: OpaqueRequest, pen: AnswerPen) -> None:
+        async def serve(request: OpaqueRequest, pen: ResponseWriter) -> None:
             await gates[-1].serve(request, pen)
 
-        server = ClientServer(RequestEdge(BootClock(), PlainReader(), serve, ClientLimits))
+        server = ClientHttpServer(ClientConnectionManager(BootClock(), PlainReader(), serve, ClientLimits))
         server.add_sockets(bound)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for stream in (False, True):
@@ -409,7 +409,7 @@
     async def test_a_connection_that_is_not_taken_is_an_error_and_nothing_stays_open(self) -> None:
         address, held = fill_backlog()
         pool = UpstreamPool(BootClock())
-        given = await pool.call(address, CallTerms(100 * MILLI))
+        given = await pool.call(address, CallLimits(100 * MILLI))
         self.assertIsInstance(given, Err)
         self.assertEqual(pool.open_count(address), 0)
         for opened in held:
@@ -424,13 +424,13 @@
         call = FakeCall(HEAD, (b"ok",))
         pool: Any = ClosingPool(pen, call)
         placer: Any = FakePlacer()
-        gate = Gate(
+        gate = RequestProxy(
             bench,
             FakeCurrent(make_view()),
             placer,
-            LoadBook(bench),
+            WorkerLoadTracker(bench),
             pool,
-            FleetBudget(bench, 0.2, 50, 10 * SECOND),
+            FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
             FakeDialect(),
             lambda: 1,
             lambda worker, head: None,
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -12,17 +12,17 @@
 
 from pearhead.config.description import Description, Route, Service, Split, Tenant
 from pearhead.config.view import View
+from pearhead.router.cache_salt_builder import CacheSaltBuilder
 from pearhead.router.errors import ErrorKind
 from pearhead.router.event_stream import EventSplitter
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate, hash_key
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import Directions, OpaqueRequest, PromptPart
-from pearhead.router.part_salt import PartSalt
-from pearhead.router.placer import Placer
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, PromptPart
+from pearhead.router.request_proxy import RequestProxy, hash_key
 from pearhead.router.roster_merge import Roster
 from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerSelector
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
@@ -32,14 +32,14 @@
 from translation import _Item, _read_tenant  # noqa: E402
 
 SENT = {"X-Request-Id": "r1", "X-Model": "m", "X-Token-Count": "30,5", "X-Prompt-Prefix": "a1:20,b2:10"}
-DIRECTIONS = Directions(800 * MILLI, "i-1", tenant="t")
+DIRECTIONS = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
     return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
-def outgoing(headers: dict[str, str], directions: Directions = DIRECTIONS) -> HTTPHeaders:
+def outgoing(headers: dict[str, str], directions: ForwardingMetadata = DIRECTIONS) -> HTTPHeaders:
     return PlatformDialect().outgoing_headers(read(headers), directions)
 
 
@@ -52,7 +52,7 @@
     def test_no_word_of_a_client_on_kept_parts_reaches_a_worker(self) -> None:
         own = {"X-Cache-Salt": "other", "X-Cache-Source": "10.0.0.1:1", "X-Cache-Target": "10.0.0.2:1"}
         self.assertEqual(set(own) & set(outgoing({**SENT, **own})), set())
-        told = outgoing({**SENT, **own}, Directions(SECOND, "i-1", salt="ours"))
+        told = outgoing({**SENT, **own}, ForwardingMetadata(SECOND, "i-1", salt="ours"))
         self.assertEqual(told["X-Cache-Salt"], "ours")
         self.assertEqual({"X-Cache-Source", "X-Cache-Target"} & set(told), set())
 
@@ -103,7 +103,7 @@
         view.__dict__["description"] = Description(tenants=tenants)
         listener: Any = FakeListener()
         parts = [PromptPart("a1", 20), PromptPart("b2", 10)]
-        given = [PartSalt(listener).salt(view, tenant, "m", 1, parts).text for tenant in [*tenants, None]]
+        given = [CacheSaltBuilder(listener).salt(view, tenant, "m", 1, parts).text for tenant in [*tenants, None]]
         self.assertNotIn("", given, "without a salt, all share")
         return given
 
@@ -132,13 +132,15 @@
     COUNT = 3_000
     BOUND = 0.03
 
-    def placer(self, *services: str) -> Placer:
+    def placer(self, *services: str) -> WorkerSelector:
         backends = {f"w-{name}": Backend(f"w-{name}", "10.0.0.1:1", "z", name, 8) for name in services}
         unused: Any = None
         bench = Bench()
         roster = Roster(backends)
-        loads = LoadBook(bench)
-        return Placer(bench, "z", lambda: roster, VersionBook(bench), unused, loads, unused, lambda *given: True)
+        loads = WorkerLoadTracker(bench)
+        return WorkerSelector(
+            bench, "z", lambda: roster, VersionBook(bench), unused, loads, unused, lambda *given: True
+        )
 
     def shares(self, splits: list[Split], ready: tuple[str, ...], excluded: frozenset[str]) -> dict[str, float]:
         names = [split.service for split in splits]
@@ -183,12 +185,12 @@
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, tries=2)
         view = make_view()
         view.__dict__["description"] = Description(tenants=view.description.tenants, routes=[route])
-        budget = FleetBudget(bench, 0.2, 50, 10 * SECOND)
-        gate = Gate(
+        budget = FleetRetryBudget(bench, 0.2, 50, 10 * SECOND)
+        gate = RequestProxy(
             bench,
             FakeCurrent(view),
             placer,
-            LoadBook(bench),
+            WorkerLoadTracker(bench),
             pool,
             budget,
             dialect,
@@ -216,7 +218,7 @@
         self.ends: list[int] = []
         self.note: Callable[[int], None] = lambda left_micros: None
 
-    def outgoing_headers(self, request: OpaqueRequest, directions: Directions) -> HTTPHeaders:
+    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders:
         self.note(directions.left_micros)
         return super().outgoing_headers(request, directions)
 
@@ -242,11 +244,11 @@
             bench, pen = Bench(), FakePen()
             unused: Any = None
             placer: Any = FakePlacer()
-            gate = Gate(
+            gate = RequestProxy(
                 bench,
                 FakeCurrent(None),
                 placer,
-                LoadBook(bench),
+                WorkerLoadTracker(bench),
                 unused,
                 unused,
                 FakeDialect(),
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -9,15 +9,15 @@
 
 from pearhead.config.description import Description, Route, Service, Split
 from pearhead.config.view import View
+from pearhead.router.cache_salt_builder import CacheSalt
 from pearhead.router.kept_index import KeptIndex
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import OpaqueRequest, PromptPart
-from pearhead.router.part_salt import SaltText
-from pearhead.router.placer import Choice, Placer
+from pearhead.router.opaque_request import OpaqueRequest, PromptPart
 from pearhead.router.read_rate import FIRST_MICROS, read_micros
 from pearhead.router.roster_merge import Roster
 from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerChoice, WorkerSelector
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
@@ -26,8 +26,8 @@
 
 
 class FakeSalts:
-    def salt(self, *given: Any) -> SaltText:
-        return SaltText("salt", True)
+    def salt(self, *given: Any) -> CacheSalt:
+        return CacheSalt("salt", True)
 
 
 class PlacerTest(unittest.TestCase):
@@ -38,12 +38,12 @@
         )
         self.store = Service("k", "store", store_address="10.0.0.9:1", store_zone="z", link_mbps=150_000.0)
         self.backends = {f"w{n}": Backend(f"w{n}", f"10.0.0.{n}:1", "z", "s", 24, False, {"l": 1}) for n in range(1, 7)}
-        self.loads = LoadBook(self.bench)
+        self.loads = WorkerLoadTracker(self.bench)
         self.index = KeptIndex()
         roster = Roster(self.backends)
         versions = VersionBook(self.bench)
         versions.take_roster(roster)
-        self.placer = Placer(
+        self.placer = WorkerSelector(
             self.bench,
             "z",
             lambda: roster,
@@ -73,7 +73,7 @@
             last_event_id=last_event_id,
         )
 
-    def choose(self, *tokens: int, name: str = "p", last_event_id: str = "") -> Choice:
+    def choose(self, *tokens: int, name: str = "p", last_event_id: str = "") -> WorkerChoice:
         request = self.request(*tokens, name=name, last_event_id=last_event_id)
         return self.placer.choose(self.view, ROUTE, request, None, frozenset()).unwrap()
 
@@ -194,7 +194,7 @@
         self.assertAlmostEqual(choice.expected_micros, read_micros(9_500, 0) + 12 * MILLI, delta=MILLI)
         for name in self.backends:
             for _ in range(100):
-                self.loads.learn_pace(name, 9_500, choice.expected_micros, 2 * choice.expected_micros)
-            self.assertAlmostEqual(self.loads.pace_of(name), 2.0, places=2)
+                self.loads.learn_slowdown(name, 9_500, choice.expected_micros, 2 * choice.expected_micros)
+            self.assertAlmostEqual(self.loads.slowdown_of(name), 2.0, places=2)
         self.bench.now_micros += 10 * SECOND
         self.assertEqual(self.choose(9_000, 500).expected_micros, choice.expected_micros)
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -12,14 +12,14 @@
 from pearhead.config.description import Description, Route, Service, Split, Tenant
 from pearhead.config.view import View
 from pearhead.invalidation.listener import Listener
+from pearhead.router.cache_salt_builder import CacheSalt, CacheSaltBuilder
 from pearhead.router.kept_index import KeptIndex
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import OpaqueRequest, PromptPart
-from pearhead.router.part_salt import PartSalt, SaltText
-from pearhead.router.placer import Choice, Placer
+from pearhead.router.opaque_request import OpaqueRequest, PromptPart
 from pearhead.router.roster_merge import Roster
 from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerChoice, WorkerSelector
 from pearhead.rpc.wire_pb2 import KeptNote, ModelNote
 from pearhead.rpc.wire_pb2 import KeptPart as ToldPart
 from pearhead.runtime.bench import Bench
@@ -58,15 +58,17 @@
         return self.revisions.get(part) or 1
 
 
-class PurgeTakenOut(PartSalt):
-    def salt(self, view: View, tenant: Tenant | None, line: str, version: int, parts: Sequence[PromptPart]) -> SaltText:
-        return SaltText("one salt for all", True)
+class PurgeTakenOut(CacheSaltBuilder):
+    def salt(
+        self, view: View, tenant: Tenant | None, line: str, version: int, parts: Sequence[PromptPart]
+    ) -> CacheSalt:
+        return CacheSalt("one salt for all", True)
 
 
 class Site:
     """A store and one worker at a time, and a node's placing; the memory is the emulated engine's."""
 
-    def __init__(self, salt_type: type[PartSalt]) -> None:
+    def __init__(self, salt_type: type[CacheSaltBuilder]) -> None:
         self.bench = Bench()
         self.listener = FreshListener()
         self.records: list[Record] = []
@@ -83,13 +85,13 @@
             tenants=list(TENANTS.values()),
             routes=[ROUTE],
         )
-        self.placer = Placer(
+        self.placer = WorkerSelector(
             self.bench,
             "z",
             lambda: Roster(self.backends, self.bench.now()),
             self.book,
             self.index,
-            LoadBook(self.bench),
+            WorkerLoadTracker(self.bench),
             salt_type(cast(Listener, self.listener)),
             lambda view, line, version: True,
         )
@@ -102,7 +104,7 @@
         self.book.take_note(ModelNote(worker=name, line="l", version=version))
         return EngineModel(EngineSettings(), name, name, "s", "l", version, random.Random(1), self)
 
-    def run(self, engine: EngineModel, request_id: str, tenant: str) -> Choice:
+    def run(self, engine: EngineModel, request_id: str, tenant: str) -> WorkerChoice:
         request = OpaqueRequest(request_id, "POST", "/", "h", "/", HTTPHeaders(), b"", 0, line="l", parts=PARTS)
         choice = self.placer.choose(self.view, ROUTE, request, TENANTS[tenant], frozenset()).unwrap()
         prompt = request.prompt_tokens()
@@ -168,19 +170,21 @@
 
 
 class PurgeOnTheWayTest(unittest.TestCase):
-    def play(self, salt_type: type[PartSalt], first: str, second: str, version: int) -> tuple[Site, Choice]:
+    def play(
+        self, salt_type: type[CacheSaltBuilder], first: str, second: str, version: int
+    ) -> tuple[Site, WorkerChoice]:
         site = Site(salt_type)
         site.run(site.start_worker("w1", 1), "r1", first)
         choice = site.run(site.start_worker("w2", version), "r2", second)
         return site, choice
 
     def test_the_store_serves_the_same_owner_on_the_same_weights(self) -> None:
-        site, choice = self.play(PartSalt, "one", "two", 1)
+        site, choice = self.play(CacheSaltBuilder, "one", "two", 1)
         self.assertEqual((choice.fetch_from, site.breaches() & {"STALE", "WALL"}), ("10.0.0.9:1", set()))
 
     def test_other_weights_and_other_owners_find_nothing(self) -> None:
         for first, second, version in (("one", "two", 2), ("apart", "one", 1), ("one", "apart", 1)):
-            site, choice = self.play(PartSalt, first, second, version)
+            site, choice = self.play(CacheSaltBuilder, first, second, version)
             self.assertEqual((choice.fetch_from, site.breaches() & {"STALE", "WALL"}), ("", set()))
 
     def test_taken_out_it_breaks_the_rules(self) -> None:
@@ -189,7 +193,7 @@
 
     def test_a_changed_part_and_unknown_freshness_plan_no_fetch(self) -> None:
         for revision in (2, None):
-            site = Site(PartSalt)
+            site = Site(CacheSaltBuilder)
             site.run(site.start_worker("w1", 1), "r1", "one")
             site.listener.revisions[0xA1] = revision
             self.assertEqual(site.run(site.start_worker("w2", 1), "r2", "two").fetch_from, "")
--- a/tests/test_read_book.py
+++ b/tests/test_read_book.py
@@ -8,10 +8,10 @@
 
 from tornado.httputil import HTTPHeaders
 
-from pearhead.router.opaque import OpaqueRequest, PromptPart
-from pearhead.router.placer import Choice
-from pearhead.router.read_book import ReadBook
+from pearhead.router.opaque_request import OpaqueRequest, PromptPart
+from pearhead.router.prefill_tracker import PrefillTracker
 from pearhead.router.worker_control import Backend
+from pearhead.router.worker_selector import WorkerChoice
 from pearhead.rpc.wire_pb2 import ReadNote
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
@@ -22,8 +22,8 @@
     return OpaqueRequest("id", "POST", "/", "h", "/", HTTPHeaders(), b"", 0, parts=parts)
 
 
-def make_choice(missing_tokens: int, worker: str = "w1", salt: str = "salt") -> Choice:
-    return Choice(Backend(worker, "a", "z", "s", 4), "s", "l", 1, salt, 0, missing_tokens, "", "", 1)
+def make_choice(missing_tokens: int, worker: str = "w1", salt: str = "salt") -> WorkerChoice:
+    return WorkerChoice(Backend(worker, "a", "z", "s", 4), "s", "l", 1, salt, 0, missing_tokens, "", "", 1)
 
 
 REQUEST, CHOICE = make_request(9_000, 500), make_choice(9_500)
@@ -34,7 +34,7 @@
         self.bench = Bench()
         self.told: list[ReadNote] = []
         self.kept: list[tuple[str, str, list[str]]] = []
-        self.book = ReadBook(self.bench, self.expect, self.tell)
+        self.book = PrefillTracker(self.bench, self.expect, self.tell)
 
     def tell(self, note: ReadNote) -> None:
         copy = ReadNote()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,8 +12,8 @@
 from pearhead.discovery.directory import Directory
 from pearhead.router.kept_gatherer import KeptGatherer, join_notes, pack_note
 from pearhead.router.kept_index import KeptIndex
-from pearhead.router.load_book import LoadBook
 from pearhead.router.relay import PERIOD_MICROS, Relay
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart, Record, RelayNote
 from pearhead.runtime.bench import Bench
@@ -59,7 +59,7 @@
         ]
         self.queue: list[tuple[str, str, RelayNote]] = []
         self.kept: dict[str, list[int]] = {r.identity: [] for r in self.records}
-        self.loads = {r.identity: LoadBook(self.bench) for r in self.records}
+        self.loads = {r.identity: WorkerLoadTracker(self.bench) for r in self.records}
         self.dead: set[str] = set()
         self.chance = random.Random(7)
         self.lost_share = 0.0
@@ -97,7 +97,7 @@
                     self.relays[address]._take(own, own, note)
 
     def seen_running(self, name: str) -> int:
-        return self.loads[name].use_of("w").running
+        return self.loads[name].current_load("w").running
 
 
 class KeptFleet:
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -22,13 +22,13 @@
 from pearhead.config.description import Description, Route, Service, Split
 from pearhead.config.view import View
 from pearhead.router.errors import ErrorKind, Refusal
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate
-from pearhead.router.load_book import LoadBook
-from pearhead.router.opaque import Directions, OpaqueRequest, Verdict
-from pearhead.router.placer import Choice
-from pearhead.router.upstream import CallTerms, UpstreamPool, is_quiet
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, ResponseVerdict
+from pearhead.router.request_proxy import RequestProxy
+from pearhead.router.upstream_pool import CallLimits, UpstreamPool, is_quiet
 from pearhead.router.worker_control import Backend, LoadOrder, OrderOutcome
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_selector import WorkerChoice
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
 
@@ -165,13 +165,13 @@
         for number, worker in enumerate(self.workers):
             if f"w{number}" not in excluded:
                 backend = Backend(f"w{number}", worker.address, "z", "s", self.capacity)
-                return Ok(Choice(backend, "s", "", None, "", 0, 0, "", "", 1_000))
+                return Ok(WorkerChoice(backend, "s", "", None, "", 0, 0, "", "", 1_000))
         return Err(Refusal(ErrorKind.NO_WORKER))
 
     def knows_workers(self) -> bool:
         return True
 
-    def stands(self, view: View, choice: Choice) -> bool:
+    def stands(self, view: View, choice: WorkerChoice) -> bool:
         return True
 
     def expect(self, *told: object) -> None:
@@ -197,11 +197,11 @@
         self.workers = list(workers)
         self.bench = Bench()
         self.pool = UpstreamPool(self.bench)
-        self.loads = LoadBook(self.bench)
+        self.loads = WorkerLoadTracker(self.bench)
         self.connection_limit = connection_limit
         self.nodes = nodes
         self.capacity = capacity
-        self.budget = FleetBudget(self.bench, 0.2, 50, 10 * SECOND)
+        self.budget = FleetRetryBudget(self.bench, 0.2, 50, 10 * SECOND)
 
     async def __aenter__(self) -> Site:
         for worker in self.workers:
@@ -217,7 +217,7 @@
                 writer.transport.abort()
 
     async def ask(self, request_id: str, body: bytes = b"b", method: str = "POST", **fields: Any) -> Pen:
-        gate = Gate(
+        gate = RequestProxy(
             self.bench,
             FixedView(self.connection_limit, **fields),
             InTurn(self.workers, self.capacity),  # type: ignore[arg-type]
@@ -285,13 +285,15 @@
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
         """Each status that promises, and a success: with another's id it is nobody's answer here."""
         request = PlatformDialect().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
-        directions = Directions(800 * MILLI, "w1")
+        directions = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
             headers = HTTPHeaders({"X-Request-Id": "one", **more})
             head = PlatformDialect().read_head(request, directions, status, "", headers)
-            self.assertIs(head.verdict, Verdict.FOREIGN, status)
+            self.assertIs(head.verdict, ResponseVerdict.UNRECOGNIZED, status)
         own = HTTPHeaders({"X-Request-Id": "two", "X-Instance": "w2"})
-        self.assertIs(PlatformDialect().read_head(request, directions, 421, "", own).verdict, Verdict.OTHER_WORKER)
+        self.assertIs(
+            PlatformDialect().read_head(request, directions, 421, "", own).verdict, ResponseVerdict.OTHER_WORKER
+        )
 
     async def test_what_follows_a_whole_answer_ends_its_connection_whenever_it_comes(self) -> None:
         for after in (b"stray", answer("one"), answer("two")):
@@ -407,7 +409,7 @@
             await site.ask("one")
             site.bench.now_micros += 10 * MILLI
             self.assertEqual((await site.ask("two")).status, 502)
-            self.assertEqual(site.pool.forgetful, {})
+            self.assertEqual(site.pool.early_close_bounds, {})
 
 
 class ShareTest(unittest.IsolatedAsyncioTestCase):
@@ -463,7 +465,7 @@
     async def test_a_connection_on_which_nothing_was_sent_is_still_good(self) -> None:
         async with Site(Worker()) as site:
             await site.ask("one")
-            unused = (await site.pool.call(site.workers[0].address, CallTerms(SECOND))).unwrap()
+            unused = (await site.pool.call(site.workers[0].address, CallLimits(SECOND))).unwrap()
             await unused.close()
             self.assertEqual((await site.ask("two")).status, 200)
             self.assertEqual(site.workers[0].connections, 1)
--- a/tests/test_router_admit.py
+++ b/tests/test_router_admit.py
@@ -9,9 +9,9 @@
 
 from pearhead.config.description import CapabilityEntry, Tenant
 from pearhead.config.view import View
-from pearhead.router.admit import COME_BACK_LIMIT_MICROS, Admission, Turn, _EntryQueue
+from pearhead.router.admission import COME_BACK_LIMIT_MICROS, AdmissionController, AdmissionResult, _EntryQueue
 from pearhead.router.errors import ErrorKind
-from pearhead.router.job import Job, WrittenJob
+from pearhead.router.job import Job, JobRequest
 from pearhead.runtime.clock import SECOND, BootClock
 
 
@@ -21,13 +21,13 @@
         order: list[str] = []
 
         def make_job(tenant_name: str) -> Job:
-            request = WrittenJob("l", "k", "b")
+            request = JobRequest("l", "k", "b")
             return Job(request, "j", 0, View(), 2**62, Tenant(tenant_name, []), entry)
 
-        async def run_all() -> list[Turn]:
-            admission = Admission(BootClock())
+        async def run_all() -> list[AdmissionResult]:
+            admission = AdmissionController(BootClock())
 
-            async def run(tenant_name: str) -> Turn:
+            async def run(tenant_name: str) -> AdmissionResult:
                 admitted = await admission.admit(make_job(tenant_name))
                 if not isinstance(admitted, Err):
                     order.append(tenant_name)
--- a/tests/test_router_budget.py
+++ b/tests/test_router_budget.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from pearhead.router.budget import RetryBudget
+from pearhead.router.retry_budget import RetryBudget
 
 
 class RetryBudgetTest(unittest.TestCase):
@@ -13,6 +13,6 @@
         self.assertFalse(budget.take_out("s"), "no credit at first")
         taken = 0
         for _ in range(1_000):
-            budget.pay_in("s", 0.1)
+            budget.deposit("s", 0.1)
             taken += budget.take_out("s")
         self.assertEqual(taken, 100)
--- a/tests/test_router_job.py
+++ b/tests/test_router_job.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pearhead.router.errors import ErrorKind
-from pearhead.router.job import read_job
+from pearhead.router.job import parse_job
 
 
 class ReadJobTest(unittest.TestCase):
@@ -19,5 +19,5 @@
             (b'{"model":"m","kind":"k","body":"b","prefix":[{"part":1,"tokens":0}]}', ErrorKind.MALFORMED),
         ]
         for body_bytes, kind in cases:
-            self.assertEqual(read_job(body_bytes).unwrap_err().kind, kind, body_bytes[:40])
-        self.assertEqual(read_job(b'{"model":"m","kind":"k","body":"b"}').unwrap().prefix, [])
+            self.assertEqual(parse_job(body_bytes).unwrap_err().kind, kind, body_bytes[:40])
+        self.assertEqual(parse_job(b'{"model":"m","kind":"k","body":"b"}').unwrap().prefix, [])
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -12,8 +12,8 @@
 from pearhead.invalidation.listener import Listener
 from pearhead.router.errors import ErrorKind
 from pearhead.router.index import CopyIndex
-from pearhead.router.job import Job, Placement, PrefixPart, WrittenJob
-from pearhead.router.nominate import TOLD_UNSOUND_MICROS, Nominator
+from pearhead.router.job import Job, JobRequest, Placement, PrefixPart
+from pearhead.router.job_scheduler import REPORTED_UNHEALTHY_MICROS, JobScheduler
 from pearhead.router.term import TermKeeper
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Record
@@ -33,7 +33,7 @@
         keeper = TermKeeper(courier, directory, self.bench, random.Random(1), crew, SECOND)
         self.listener = Listener(courier, directory, self.bench, random.Random(1), crew, 30 * SECOND)
         self.index = CopyIndex()
-        self.nominator = Nominator(keeper, self.listener, self.index, self.bench, 8 * SECOND)
+        self.nominator = JobScheduler(keeper, self.listener, self.index, self.bench, 8 * SECOND)
         names = ("w1", "w2", "w3")
         self.view = View()
         self.entry = CapabilityEntry("e", "l", ["*"], ["k"], "models")
@@ -53,7 +53,7 @@
         self.listener.volumes["tenant:t", "l"].expiry_micros = 2**60 if is_known else 0
 
     def job(self, tenant: Tenant | None = None) -> Job:
-        request = WrittenJob("l", "k", "b", [PrefixPart(1, 500), PrefixPart(2, 1_000)])
+        request = JobRequest("l", "k", "b", [PrefixPart(1, 500), PrefixPart(2, 1_000)])
         return Job(request, "j", 0, self.view, 2**60, tenant or Tenant("t", []), self.entry)
 
     def keep(self, worker: str, length: int = 2, weights_revision: int = 5, life: str = "") -> None:
@@ -67,14 +67,14 @@
     def test_the_keeper_is_chosen_until_its_wait_outgrows_the_prefill(self) -> None:
         self.keep("w2")
         self.assertEqual((self.place().worker.name, self.place().reused_parts), ("w2", 2))
-        self.nominator.take_load("w2", 0, 1_400)
+        self.nominator.record_load_report("w2", 0, 1_400)
         self.assertEqual(self.place().worker.name, "w2")
-        self.nominator.take_load("w2", 0, 1_600)
+        self.nominator.record_load_report("w2", 0, 1_600)
         self.assertNotEqual(self.place().worker.name, "w2")
-        self.nominator.take_load("w2", 0, 0)
-        self.nominator.take_start("w2", 1_600)
+        self.nominator.record_load_report("w2", 0, 0)
+        self.nominator.record_remote_start("w2", 1_600)
         self.assertNotEqual(self.place().worker.name, "w2", "another node's prefill")
-        self.nominator.take_load("w2", 5, 0)
+        self.nominator.record_load_report("w2", 5, 0)
         self.assertNotEqual(self.place().worker.name, "w2", "over the bound of the load")
 
     def test_nothing_is_reused_or_fetched_that_is_not_current_tied_and_its_own(self) -> None:
@@ -99,7 +99,7 @@
 
     def test_a_fetch_is_planned_only_where_it_is_quicker(self) -> None:
         self.keep("w2")
-        self.nominator.take_load("w2", 5, 0)
+        self.nominator.record_load_report("w2", 5, 0)
         placement = self.place()
         assert placement.fetch_from is not None
         self.assertEqual((placement.fetch_from.name, placement.fetch_parts), ("w2", 2))
@@ -121,24 +121,24 @@
 
     def test_told_unsoundness_decides_only_while_others_are_left(self) -> None:
         self.keep("w2")
-        self.nominator.take_unsound("w2")
+        self.nominator.record_reported_unhealthy("w2")
         self.assertNotEqual(self.place().worker.name, "w2")
-        self.nominator.take_unsound("w1")
-        self.nominator.take_unsound("w3")
+        self.nominator.record_reported_unhealthy("w1")
+        self.nominator.record_reported_unhealthy("w3")
         self.assertEqual(self.place().worker.name, "w2", "a holder that is cut off tells all unsound")
-        self.bench.now_micros += TOLD_UNSOUND_MICROS
+        self.bench.now_micros += REPORTED_UNHEALTHY_MICROS
         self.assertEqual(self.place().worker.name, "w2")
 
     def test_a_job_that_can_not_begin_in_time_is_refused_at_once(self) -> None:
         for worker in ("w1", "w2", "w3"):
-            self.nominator.take_load(worker, 0, 50_000)
+            self.nominator.record_load_report(worker, 0, 50_000)
         job = self.job()
         job.deadlineMicros = self.bench.now() + 4 * SECOND
         self.assertEqual(self.nominator.nominate(job).unwrap_err().kind, ErrorKind.OVERLOADED)
 
     def test_a_wrong_estimate_puts_itself_right_on_an_idle_worker(self) -> None:
         for worker in ("w1", "w2", "w3"):
-            self.nominator.costs.take_stream("e", worker, 60 * SECOND)
+            self.nominator.costs.record_stream("e", worker, 60 * SECOND)
         job = self.job()
         job.deadlineMicros = self.bench.now() + 4 * SECOND
         self.assertIn(self.nominator.nominate(job).unwrap().worker.name, ("w1", "w2", "w3"))
