--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -20,11 +20,11 @@
 
 from pearhead.config.description import Description, Limits, Route, Split, Tenant
 from pearhead.config.view import View
-from pearhead.router.edge import ClientLimits, ClientServer, RequestEdge
-from pearhead.router.fleet_budget import FleetBudget
-from pearhead.router.gate import Gate, hash_key
-from pearhead.router.load_book import LoadBook
-from pearhead.router.upstream import UpstreamPool
+from pearhead.router.client_http_server import ClientConnectionManager, ClientHttpServer, ClientLimits
+from pearhead.router.fleet_retry_budget import FleetRetryBudget
+from pearhead.router.request_proxy import RequestProxy, hash_key
+from pearhead.router.upstream_pool import UpstreamPool
+from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock
 from pearhead.testbed.emulator.wire import RawConnection, WireError
@@ -173,12 +173,12 @@
             await worker.start()
         bench, dialect = self.bench, PlatformDialect()
         self.pool = UpstreamPool(bench)
-        budget = FleetBudget(bench, 0.2, 50, 10 * SECOND)
-        self.gate = Gate(
+        budget = FleetRetryBudget(bench, 0.2, 50, 10 * SECOND)
+        self.gate = RequestProxy(
             bench,
             self.current,
             self.placer,
-            LoadBook(bench),
+            WorkerLoadTracker(bench),
             self.pool,
             budget,
             dialect,
@@ -186,8 +186,8 @@
             lambda worker, head: None,
             on_violation=self.violations.append,
         )
-        self.edge = RequestEdge(bench, dialect, self.gate.serve, ClientLimits)
-        self.server = ClientServer(self.edge)
+        self.edge = ClientConnectionManager(bench, dialect, self.gate.serve, ClientLimits)
+        self.server = ClientHttpServer(self.edge)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.address = f"127.0.0.1:{bound_sockets[0].getsockname()[1]}"
         self.server.add_sockets(bound_sockets)
--- a/tests/test_stream_sequence.py
+++ b/tests/test_stream_sequence.py
@@ -9,8 +9,14 @@
 from hypothesis import strategies as st
 from result import Err, Result
 
-from pearhead.router.event_stream import EventSplitter, read_fields
-from pearhead.router.stream_sequence import EventAction, EventFields, StepRecord, StreamSequence, StreamViolation
+from pearhead.router.event_stream import EventSplitter, parse_event_fields
+from pearhead.router.stream_sequence import (
+    EventAction,
+    EventFields,
+    EventIdStepTracker,
+    StreamSequence,
+    StreamViolation,
+)
 
 PIECES = 8
 EXAMPLES = 400
@@ -137,7 +143,7 @@
 
     def test_steps_are_learned_from_two_equal_ones_only(self) -> None:
         for steps, is_known in (((), False), ((7,), False), ((7, 7), True), ((7, 7, 3), False), ((7, 3, 3), False)):
-            record = StepRecord()
+            record = EventIdStepTracker()
             for step in steps:
                 record.take(step)
             self.assertEqual((record.is_gap(8), record.is_gap(7)), (is_known, False), steps)
@@ -224,8 +230,8 @@
             (b"id: 1\nid", ""),
             (b"id: 1\nid:", ""),
         ):
-            self.assertEqual(read_fields(lines + b"\n\n").event_id, event_id, lines)
+            self.assertEqual(parse_event_fields(lines + b"\n\n").event_id, event_id, lines)
 
     def test_comments_and_empty_lines_are_no_data(self) -> None:
         for lines, has_data in ((b": a", False), (b"", False), (b":", False), (b"data", True), (b": a\nid: 1", True)):
-            self.assertEqual(read_fields(lines + b"\r\n\r\n").has_data, has_data, lines)
+            self.assertEqual(parse_event_fields(lines + b"\r\n\r\n").has_data, has_data, lines)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,7 +9,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from pearhead.router.upstream import CallTerms, UpstreamPool
+from pearhead.router.upstream_pool import CallLimits, UpstreamPool
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
 
@@ -46,7 +46,7 @@
 
 class UpstreamTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, pool: UpstreamPool, address: str) -> tuple[int | None, bytes, bool]:
-        call = (await pool.call(address, CallTerms(SECOND))).unwrap()
+        call = (await pool.call(address, CallLimits(SECOND))).unwrap()
         call.send("GET", "/x?y=%20", HTTPHeaders({"Host": "h"}), b"")
         head = await call.head(SECOND)
         body = b"".join([chunk async for chunk in call.chunks(lambda: SECOND)])
@@ -98,4 +98,4 @@
         listed = closing.replace(b"close", b"Keep-Alive, Close")
         found, script = await self.run_script(closing, listed, short, WHOLE, asks=4)
         self.assertEqual((found, script.connections), ([(200, b"ok", True)] * 4, 4))
-        self.assertTrue((await UpstreamPool(Bench()).call("127.0.0.1:1", CallTerms(SECOND))).is_err())
+        self.assertTrue((await UpstreamPool(Bench()).call("127.0.0.1:1", CallLimits(SECOND))).is_err())
