--- a/src/pearhead/router/command_session.py
+++ b/src/pearhead/router/command_session.py
@@ -14,7 +14,7 @@
         self.identity = identity
         self.numbers: Counter[str] = Counter()
 
-    def stamp(self, command: Command) -> None:
+    def assign_number(self, command: Command) -> None:
         """Gives a command the next number of its stream; none where repeats are told apart otherwise."""
         stream = _stream_of(command)
         if stream:
--- a/src/pearhead/router/index.py
+++ b/src/pearhead/router/copy_index.py
@@ -7,8 +7,8 @@
 
 from pearhead.config.view import LoadFact
 
-KEYS_A_WORKER = 50_000
-PART_MEMORY = 200_000
+KEYS_PER_WORKER = 50_000
+KEY_TABLE_LIMIT = 200_000
 
 
 class _WorkerCopies:
@@ -22,9 +22,9 @@
     def __init__(self) -> None:
         self.copies: dict[str, _WorkerCopies] = {}
         self.part_by_key: OrderedDict[str, tuple[str, str, int]] = OrderedDict()
-        self.tied_keys: OrderedDict[str, None] = OrderedDict()
+        self.verified_keys: OrderedDict[str, None] = OrderedDict()
 
-    def take_report(
+    def apply_cache_report(
         self,
         worker: str,
         life: str,
@@ -50,44 +50,44 @@
             # The span's first sequence is what it can be tied by: never later than the truth.
             held.keys[key] = from_sequence + 1 if not whole else sequence
             held.keys.move_to_end(key)
-        while len(held.keys) > KEYS_A_WORKER:
+        while len(held.keys) > KEYS_PER_WORKER:
             held.keys.popitem(last=False)
 
-    def note_parts(self, owner: str, line: str, parts: list[int], keys: list[str]) -> None:
+    def record_parts(self, owner: str, line: str, parts: list[int], keys: list[str]) -> None:
         for part, key in zip(parts, keys, strict=True):
             self.part_by_key[key] = (owner, line, part)
             self.part_by_key.move_to_end(key)
-        while len(self.part_by_key) > PART_MEMORY:
+        while len(self.part_by_key) > KEY_TABLE_LIMIT:
             self.part_by_key.popitem(last=False)
 
-    def longest_kept(self, worker: str, load: LoadFact | None, keys: list[str]) -> int:
+    def longest_cached_prefix(self, worker: str, load: LoadFact | None, keys: list[str]) -> int:
         """How many leading keys the worker keeps, counting only copies tied to its load (§6.5)."""
         held = self.copies.get(worker)
         if held is None or load is None or held.life != load.life:
             return 0
         for length in range(len(keys), 0, -1):
-            kept_sequence = held.keys.get(keys[length - 1])
-            if kept_sequence is not None and kept_sequence > load.sequence:
+            cached_sequence = held.keys.get(keys[length - 1])
+            if cached_sequence is not None and cached_sequence > load.sequence:
                 return length
         return 0
 
-    def held_in_store(self, store: str, keys: list[str]) -> int:
+    def longest_stored_prefix(self, store: str, keys: list[str]) -> int:
         held = self.copies.get(store)
         if held is None:
             return 0
         return next(
-            (n for n in range(len(keys), 0, -1) if keys[n - 1] in held.keys and keys[n - 1] in self.tied_keys),
+            (n for n in range(len(keys), 0, -1) if keys[n - 1] in held.keys and keys[n - 1] in self.verified_keys),
             0,
         )
 
-    def tie(self, load: LoadFact | None, life: str, from_sequence: int, kept: Iterable[str]) -> None:
+    def record_verified_keys(self, load: LoadFact | None, life: str, from_sequence: int, kept: Iterable[str]) -> None:
         """A store's list names no weights: its copy counts only if a tied worker made that key (§6.5)."""
         if load is None or load.life != life or from_sequence < load.sequence:
             return
         for key in kept:
-            self.tied_keys[key] = None
-        while len(self.tied_keys) > PART_MEMORY:
-            self.tied_keys.popitem(last=False)
+            self.verified_keys[key] = None
+        while len(self.verified_keys) > KEY_TABLE_LIMIT:
+            self.verified_keys.popitem(last=False)
 
     def parts_of_line(self, line: str) -> list[tuple[str, str, int]]:
         return sorted({v for v in self.part_by_key.values() if v[1] == line})
--- a/src/pearhead/router/core_commander.py
+++ b/src/pearhead/router/core_command_client.py
@@ -13,8 +13,8 @@
 from pearhead.rpc.wire_pb2 import Command, CommandAsk, CommandResult
 from pearhead.runtime.clock import MILLI
 
-ASK_MICROS = 700 * MILLI
-NO_RUN = ("unavailable", "unknown")
+COMMAND_TIMEOUT_MICROS = 700 * MILLI
+FAILED_COMMAND_STATUSES = ("unavailable", "unknown")
 
 
 class ViewSource(Protocol):
@@ -28,32 +28,32 @@
     def core_addresses(self) -> list[str]: ...
 
 
-class Commander(Protocol):
+class CommandClient(Protocol):
     async def command(self, command: Command) -> Result[CommandResult, str]:
         """A core's answer within 0.7 s; an Err may have run."""
 
 
-class CoreCommander:
+class CoreCommandClient:
     def __init__(self, keeper: ViewSource, courier: Courier, chance: random.Random) -> None:
         self.keeper = keeper
         self.courier = courier
         self.chance = chance
-        self.good_core = ""
+        self.preferred_core = ""
         self.session = CommandSession(courier.identity)
 
     async def command(self, command: Command) -> Result[CommandResult, str]:
-        self.session.stamp(command)
+        self.session.assign_number(command)
         addresses = self.keeper.core_addresses()
         if not addresses:
             return Err("no core is known")
-        if self.good_core not in addresses:
-            self.good_core = self.chance.choice(addresses)
-        asked_core = self.good_core
+        if self.preferred_core not in addresses:
+            self.preferred_core = self.chance.choice(addresses)
+        asked_core = self.preferred_core
         ask = CommandAsk(command=command.SerializeToString())
-        given = await self.courier.ask(asked_core, "command_ask", ask, ASK_MICROS)
-        is_good = not isinstance(given, Err) and given.ok_value.status not in NO_RUN
-        if not is_good and self.good_core == asked_core:
-            self.good_core = addresses[(addresses.index(asked_core) + 1) % len(addresses)]
+        given = await self.courier.ask(asked_core, "command_ask", ask, COMMAND_TIMEOUT_MICROS)
+        has_core_answered = not isinstance(given, Err) and given.ok_value.status not in FAILED_COMMAND_STATUSES
+        if not has_core_answered and self.preferred_core == asked_core:
+            self.preferred_core = addresses[(addresses.index(asked_core) + 1) % len(addresses)]
         if isinstance(given, Err):
             return given
         result: CommandResult = given.ok_value
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -12,27 +12,27 @@
 from pearhead.invalidation.listener import Listener
 from pearhead.router.cache_salt_builder import CacheSaltBuilder
 from pearhead.router.client_http_server import ClientLimits
-from pearhead.router.core_commander import CoreCommander
+from pearhead.router.core_command_client import CoreCommandClient
 from pearhead.router.drain import DrainSchedule, DrainState
 from pearhead.router.fleet_retry_budget import FleetRetryBudget
-from pearhead.router.kept_gatherer import KeptGatherer
-from pearhead.router.kept_index import KeptIndex
-from pearhead.router.node_count import NodeCount
+from pearhead.router.node_count import NodeCountTracker
 from pearhead.router.opaque_request import ProtocolAdapter, ResponseHead
 from pearhead.router.prefill_tracker import PrefillTracker
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
+from pearhead.router.prefix_cache_poller import PrefixCachePoller
 from pearhead.router.relay import Relay
 from pearhead.router.request_proxy import RequestProxy
-from pearhead.router.roll_out import RollOut
-from pearhead.router.roster import RosterKeeper
-from pearhead.router.roster_recorder import RosterRecorder
+from pearhead.router.roster_publisher import RosterPublisher
+from pearhead.router.roster_synchronizer import RosterSynchronizer
 from pearhead.router.stats_log import StatsLog
-from pearhead.router.term import TermKeeper
 from pearhead.router.upstream_pool import UpstreamPool
-from pearhead.router.version_book import VersionBook
-from pearhead.router.weights_clock import WeightsClock
+from pearhead.router.view_replica import ViewReplica
+from pearhead.router.weights_grace_period import WeightsGracePeriod
+from pearhead.router.weights_rollout import WeightsRollout
 from pearhead.router.worker_control import Backend, WorkerControl
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerSelector
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import KeptNote, ReadNote, Record, UseNote
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -42,12 +42,12 @@
 from pearhead.runtime.net import Net
 
 LOGGER = logging.getLogger("pearhead")
-USE_MICROS = 50 * MILLI
+USE_PERIOD_MICROS = 50 * MILLI
 USE_REPEAT_MICROS = 600 * MILLI
 SWEEP_MICROS = SECOND
 SAMPLE_SIZE = 3
 # From the choice of a worker until the request arrives there.
-ON_ITS_WAY_MICROS = 500 * MILLI
+REQUEST_TRANSIT_MICROS = 500 * MILLI
 # How long after SIGTERM the process is killed, where nobody tells it.
 GRACE_MICROS = 8 * SECOND
 
@@ -65,10 +65,10 @@
     retry_ratio: float = 0.1
     retry_slack: int = 10
     retry_window_micros: int = 10 * SECOND
-    serve_on_micros: int = 60 * SECOND
+    max_view_age_micros: int = 60 * SECOND
     key_trust_micros: int = 0
-    list_micros: int = SECOND
-    least_kept_tokens: int = 512
+    list_interval_micros: int = SECOND
+    min_cached_part_tokens: int = 512
     log_stats_micros: int = 60 * SECOND
     leaving_micros: int = 3 * SECOND
     drain_schedule: DrainSchedule = DrainSchedule.for_grace_period(GRACE_MICROS)
@@ -102,14 +102,14 @@
             httpAddress=startup.httpAddress,
         )
         self.directory = Directory(record, startup.seeds, self.courier, clock, chance)
-        self.keeper = TermKeeper(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
+        self.keeper = ViewReplica(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
         self.listener = Listener(self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros)
-        self.shared_count = NodeCount(clock, settings.serve_on_micros)
+        self.node_count_tracker = NodeCountTracker(clock, settings.max_view_age_micros)
         self.loads = WorkerLoadTracker(clock)
-        self.index = KeptIndex()
-        self.versions = VersionBook(clock)
-        self.weights = WeightsClock(clock, self.keeper, startup.oldWeightsMicros)
-        self.rosters = RosterKeeper(
+        self.index = PrefixCacheIndex()
+        self.versions = WorkerVersionTable(clock)
+        self.weights = WeightsGracePeriod(clock, self.keeper, startup.oldWeightsMicros)
+        self.rosters = RosterSynchronizer(
             self.identity,
             self.courier,
             self.directory,
@@ -117,11 +117,11 @@
             chance,
             self.crew,
             control,
-            settings.list_micros,
+            settings.list_interval_micros,
             self.invariants,
         )
-        self.rosters.watchers.append(self.versions.take_roster)
-        self.gatherer = KeptGatherer(
+        self.rosters.watchers.append(self.versions.apply_roster)
+        self.gatherer = PrefixCachePoller(
             self.identity,
             self.courier,
             self.directory,
@@ -131,15 +131,15 @@
             self.rosters,
             self.keeper,
             self.index,
-            spread=self._spread_kept,
-            least_tokens=settings.least_kept_tokens,
+            spread=self._relay_cache_note,
+            min_part_tokens=settings.min_cached_part_tokens,
         )
         self.relay = Relay(
-            self.identity, startup.area, self.courier, self.directory, clock, self.loads, self.gatherer.take_note
+            self.identity, startup.area, self.courier, self.directory, clock, self.loads, self.gatherer.apply_note
         )
-        commander = CoreCommander(self.keeper, self.courier, chance)
-        self.recorder = RosterRecorder(self.rosters, self.keeper, commander, clock)
-        self.roll_out = RollOut(
+        command_client = CoreCommandClient(self.keeper, self.courier, chance)
+        self.recorder = RosterPublisher(self.rosters, self.keeper, command_client, clock)
+        self.roll_out = WeightsRollout(
             self.identity,
             self.courier,
             self.directory,
@@ -148,7 +148,7 @@
             control,
             self.rosters,
             self.keeper,
-            commander,
+            command_client,
             self.versions,
             startup.holdMicros,
         )
@@ -166,9 +166,9 @@
             self.relay.is_active,
         )
         budget = FleetRetryBudget(clock, settings.retry_ratio, settings.retry_slack, settings.retry_window_micros)
-        self.reads = PrefillTracker(clock, self.placer.expect, self._tell_read)
-        self.courier.on_tell("read_note", self._take_read)
-        self.drain = DrainState(clock, settings.drain_schedule, self._take_drain_violation)
+        self.reads = PrefillTracker(clock, self.placer.expect, self._announce_read)
+        self.courier.on_tell("read_note", self._handle_read_note)
+        self.drain = DrainState(clock, settings.drain_schedule, self._record_drain_violation)
         self.gate = RequestProxy(
             clock,
             self,
@@ -178,7 +178,7 @@
             budget,
             dialect,
             self.node_count,
-            self._note_versions,
+            self._record_versions,
             self.reads,
             self.drain,
             check_send=self._check_roster,
@@ -186,8 +186,8 @@
         )
         self.stats_log = StatsLog(clock, self.gate, self.pool, budget, settings.log_stats_micros)
         self.taken_before_drain = 0
-        self.held_limits: tuple[bytes | None, ClientLimits] = (None, ClientLimits())
-        self.courier.on_tell("use_note", self._take_use)
+        self.cached_limits: tuple[bytes | None, ClientLimits] = (None, ClientLimits())
+        self.courier.on_tell("use_note", self._handle_use_note)
 
     def start(self) -> None:
         for work in (
@@ -198,7 +198,7 @@
             self.recorder.run(),
             self.gatherer.run(),
             self.roll_out.run(),
-            self._tell_use(),
+            self._announce_use(),
             self.relay.run(),
             self._sweep(),
             self.stats_log.run(),
@@ -216,7 +216,7 @@
         self.taken_before_drain = self.gate.taken_count
         self.drain.begin()
 
-    def taken_draining(self) -> int:
+    def taken_while_draining(self) -> int:
         """Requests taken since the drain began."""
         return self.gate.taken_count - self.taken_before_drain if self.drain.is_draining() else 0
 
@@ -229,7 +229,7 @@
         keeper = self.keeper
         if not keeper.has_view or keeper.view.number == 0:
             return None
-        is_known = self.clock.now() - keeper.current_at <= self.settings.serve_on_micros
+        is_known = self.clock.now() - keeper.current_at <= self.settings.max_view_age_micros
         return keeper.view if is_known else None
 
     def trusts_keys(self) -> bool:
@@ -240,27 +240,27 @@
     def client_limits(self) -> ClientLimits:
         """The limits of the description last known; read anew only when that changed."""
         body = self.keeper.view.sections["description"][1]
-        if self.held_limits[0] is not body:
-            self.held_limits = (body, ClientLimits.of(self.keeper.view.description.limits))
-        return self.held_limits[1]
+        if self.cached_limits[0] is not body:
+            self.cached_limits = (body, ClientLimits.of(self.keeper.view.description.limits))
+        return self.cached_limits[1]
 
     def node_count(self) -> int:
         """Front nodes that this one shares with, itself among them."""
-        return self.shared_count.note(len(self.directory.members("router")) + 1)
+        return self.node_count_tracker.note(len(self.directory.members("router")) + 1)
 
-    def _note_versions(self, worker: str, head: ResponseHead) -> None:
+    def _record_versions(self, worker: str, head: ResponseHead) -> None:
         for line, version in head.versions.items():
-            self.roll_out.note_version(worker, line, version)
+            self.roll_out.record_version(worker, line, version)
 
-    def _take_use(self, identity: str, address: str, note: UseNote) -> None:
+    def _handle_use_note(self, identity: str, address: str, note: UseNote) -> None:
         self.loads.take(identity, note)
 
-    def _take_drain_violation(self, detail: str) -> None:
+    def _record_drain_violation(self, detail: str) -> None:
         self.invariants.check(Invariant.DRAIN_FINISHES, False, detail)
 
     def _check_roster(self) -> None:
         """Called as a request is sent: the list behind its placement must be young enough to know who leaves."""
-        bound_micros = max(self.settings.leaving_micros - ON_ITS_WAY_MICROS, SECOND)
+        bound_micros = max(self.settings.leaving_micros - REQUEST_TRANSIT_MICROS, SECOND)
         is_fresh = self.rosters.is_fresh_within(bound_micros)
         self.invariants.check(Invariant.ROSTER_IS_FRESH, is_fresh, self.rosters.age_micros())
 
@@ -270,31 +270,31 @@
             return backends
         return self.chance.sample(backends, SAMPLE_SIZE)
 
-    def _spread_kept(self, note: KeptNote) -> bool:
-        return self.relay.spread_kept(note)
+    def _relay_cache_note(self, note: KeptNote) -> bool:
+        return self.relay.relay_cache_note(note)
 
-    async def _tell_use(self) -> None:
+    async def _announce_use(self) -> None:
         """What this node has at workers, to all nodes, when it changed and now and then (§8.8)."""
         told_micros = 0
         while True:
-            await self.loop_lag.rest(USE_MICROS)
+            await self.loop_lag.rest(USE_PERIOD_MICROS)
             now_micros = self.clock.now()
             if self.relay.is_active():
                 continue
             if self.loads.is_changed or (self.loads.own and now_micros - told_micros > USE_REPEAT_MICROS):
                 told_micros = now_micros
-                self._cast_use()
+                self._broadcast_use()
 
-    def _tell_read(self, note: ReadNote) -> None:
+    def _announce_read(self, note: ReadNote) -> None:
         """At once: until the next round, other nodes would send long prompts to the same worker (§8.8)."""
         if not self.relay.is_active():
-            self._cast_use()
+            self._broadcast_use()
             self.courier.cast([r.address for r in self.directory.members("router")], "read_note", note)
 
-    def _take_read(self, identity: str, address: str, note: ReadNote) -> None:
+    def _handle_read_note(self, identity: str, address: str, note: ReadNote) -> None:
         self.reads.take(note)
 
-    def _cast_use(self) -> None:
+    def _broadcast_use(self) -> None:
         addresses = [r.address for r in self.directory.members("router")]
         if addresses:
             self.courier.cast(addresses, "use_note", self.loads.note())
--- a/src/pearhead/router/front.py
+++ b/src/pearhead/router/job_api.py
@@ -15,7 +15,7 @@
 from pearhead.router.errors import ERROR_TABLE, NOT_RUN, ErrorKind, Refusal
 from pearhead.router.job import parse_job
 from pearhead.router.job_transport import ClientDisconnectedError
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.runtime.metrics import metrics_routes
 
 
@@ -52,7 +52,7 @@
         scheme, _, key_text = self.request.headers.get("Authorization", "").partition(" ")
         if scheme != "Bearer":
             key_text = ""
-        outcome = await self.node.run_job(key_text, request.ok_value, HandlerPen(self))
+        outcome = await self.node.run_job(key_text, request.ok_value, HandlerLineWriter(self))
         if isinstance(outcome, Err):
             if self._headers_written:
                 self._abort()
@@ -103,7 +103,7 @@
             self._refuse(Refusal(ErrorKind.OUTCOME_UNKNOWN, self._reason))
 
 
-class HandlerPen:
+class HandlerLineWriter:
     def __init__(self, handler: JobHandler) -> None:
         self.handler = handler
 
@@ -140,7 +140,7 @@
         self.finish({"error": ErrorKind.MALFORMED.value, "ran": NOT_RUN, "detail": "no such path"})
 
 
-def build_front(node: NodeProcess, startup: Startup, registry: CollectorRegistry | None = None) -> Application:
+def build_job_api(node: NodeProcess, startup: Startup, registry: CollectorRegistry | None = None) -> Application:
     return Application(
         [
             ("/v1/jobs", JobHandler, {"node": node, "startup": startup}),
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -11,12 +11,12 @@
 from pearhead.config.view import View, WorkerFact
 from pearhead.invalidation.key import cache_salt, chain_keys
 from pearhead.invalidation.listener import Listener
+from pearhead.router.copy_index import CopyIndex
 from pearhead.router.cost_estimator import CostEstimator
 from pearhead.router.errors import ErrorKind, Refusal
-from pearhead.router.index import CopyIndex
 from pearhead.router.job import Job, Placement
-from pearhead.router.term import TermKeeper
-from pearhead.router.wave import SPREAD_MICROS, WAVE_MICROS, first_wave, is_wave_serving
+from pearhead.router.load_waves import FIRST_WAVE_TIMEOUT_MICROS, VIEW_PROPAGATION_MICROS, first_wave, is_wave_serving
+from pearhead.router.view_replica import ViewReplica
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
 LOAD_FACTOR = 1.25
@@ -27,7 +27,7 @@
 
 class JobScheduler:
     def __init__(
-        self, keeper: TermKeeper, listener: Listener, index: CopyIndex, clock: Clock, old_weights_micros: int
+        self, keeper: ViewReplica, listener: Listener, index: CopyIndex, clock: Clock, old_weights_micros: int
     ) -> None:
         self.keeper = keeper
         self.listener = listener
@@ -167,7 +167,7 @@
             for name, until in self.unhealthy_until.items()
             if until > now_micros and name in view.workers and view.workers[name].service == job.entry.service
         ]
-        return min(rests, default=WAVE_MICROS)
+        return min(rests, default=FIRST_WAVE_TIMEOUT_MICROS)
 
     def weights_allowed(self, view: View, line: str, worker: str) -> bool:
         """Present weights always; older ones only for a while after a roll-out is seen (§7.4)."""
@@ -201,7 +201,7 @@
 
         current_keys = keys_for_weights(present.revision)
         cached_part_counts = {
-            w.name: self.index.longest_kept(
+            w.name: self.index.longest_cached_prefix(
                 w.name,
                 view.loads[w.name],
                 current_keys if w in on_current_weights else keys_for_weights(view.loads[w.name].weights_revision),
@@ -231,7 +231,7 @@
         chosen_worker = min(free, key=rank)
         chosen_load = view.loads[chosen_worker.name]
         keys = keys_for_weights(chosen_load.weights_revision)
-        self.index.note_parts(owner, line, [p for p, _ in known], keys)
+        self.index.record_parts(owner, line, [p for p, _ in known], keys)
         # With nothing known to be current, the salt is the job's own: nothing can be reused.
         salt = cache_salt(owner, line, chosen_load.weights_revision) if keys else f"job:{job.job_id}"
         placement = Placement(
@@ -262,7 +262,7 @@
         is_wave_finished = (line, present.revision) in self.finished_waves or (
             is_wave_serving(view, job.entry.service, present.revision)
             # The rest begins to load now, whoever of the wave is late.
-            or self.clock.now() - seen_micros > WAVE_MICROS - SPREAD_MICROS
+            or self.clock.now() - seen_micros > FIRST_WAVE_TIMEOUT_MICROS - VIEW_PROPAGATION_MICROS
         )
         if is_wave_finished:
             # It stays over, whoever leaves of it: the rest has begun to load.
@@ -280,12 +280,12 @@
         for worker in workers:
             if worker.name == placement.worker.name:
                 continue
-            cached_part_count = self.index.longest_kept(worker.name, view.loads[worker.name], placement.keys)
+            cached_part_count = self.index.longest_cached_prefix(worker.name, view.loads[worker.name], placement.keys)
             if cached_part_count > best_count:
                 best_source, best_count = worker, cached_part_count
         for _, store in sorted(view.workers.items()):
             if view.role_by_service.get(store.service) == "store" and not store.leaving:
-                cached_part_count = self.index.held_in_store(store.name, placement.keys)
+                cached_part_count = self.index.longest_stored_prefix(store.name, placement.keys)
                 if cached_part_count > best_count:
                     best_source, best_count = store, cached_part_count
         if best_source is None:
--- a/src/pearhead/router/main.py
+++ b/src/pearhead/router/main.py
@@ -11,9 +11,9 @@
 from tornado.netutil import bind_sockets
 
 from pearhead.config.startup import Startup, exit_with_faults, read_startup, startup_help
-from pearhead.router.front import build_front
+from pearhead.router.job_api import build_job_api
 from pearhead.router.metrics import build_node_registry
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.router.tornado_transport import TornadoJobTransport, TornadoWorkerClient
 from pearhead.runtime.clock import SECOND, BootClock
 from pearhead.runtime.command import run_command
@@ -21,7 +21,7 @@
 from pearhead.runtime.draining_server import DrainingServer
 from pearhead.runtime.socketnet import SocketNet, split_address
 
-LAST_ANSWERS_MICROS = SECOND
+FINAL_RESPONSE_MICROS = SECOND
 
 
 async def _serve(startup: Startup) -> int:
@@ -29,7 +29,7 @@
     net = SocketNet(startup.address)
     node = NodeProcess(startup, clock, net, TornadoJobTransport(), TornadoWorkerClient(), random.SystemRandom())
     server = DrainingServer(
-        build_front(node, startup, build_node_registry(node, net)),
+        build_job_api(node, startup, build_node_registry(node, net)),
         max_body_size=startup.bodyLimitBytes,
         max_header_size=startup.headerLimitBytes,
         idle_connection_timeout=60,
@@ -46,7 +46,7 @@
     node.start()
 
     async def start_accepting() -> None:
-        await node.wait_open()
+        await node.wait_until_placeable()
         server.add_sockets(bound_sockets)
 
     node.crew.start(start_accepting())
@@ -55,7 +55,7 @@
         server.begin_drain()
         await node.drain()
         # The last jobs have ended; their last lines, and refusals, may not be written yet.
-        await server.finish_drain(clock, LAST_ANSWERS_MICROS)
+        await server.finish_drain(clock, FINAL_RESPONSE_MICROS)
 
     status = await serve_until_stopped(drain, asyncio.Event())
     node.stop()
--- a/src/pearhead/router/metrics.py
+++ b/src/pearhead/router/metrics.py
@@ -9,9 +9,9 @@
 
 from pearhead.router.client_http_server import ClientConnectionManager
 from pearhead.router.gateway import GatewayProcess
-from pearhead.router.node import NodeProcess
-from pearhead.router.roster import RosterKeeper
-from pearhead.router.term import NEVER, TermKeeper
+from pearhead.router.node_process import NodeProcess
+from pearhead.router.roster_synchronizer import RosterSynchronizer
+from pearhead.router.view_replica import NEVER, ViewReplica
 from pearhead.rpc.metrics import MessageCollector
 from pearhead.runtime.clock import SECOND
 from pearhead.runtime.collectors import InvariantCollector, LinkCollector, LoopLagCollector
@@ -22,7 +22,7 @@
 class ViewCollector(Collector):
     """What a node knows to be in force."""
 
-    def __init__(self, keeper: TermKeeper) -> None:
+    def __init__(self, keeper: ViewReplica) -> None:
         self.keeper = keeper
 
     def collect(self) -> Iterable[Metric]:
@@ -40,7 +40,7 @@
 class RosterCollector(Collector):
     """What a node knows of workers, and from when."""
 
-    def __init__(self, rosters: RosterKeeper) -> None:
+    def __init__(self, rosters: RosterSynchronizer) -> None:
         self.rosters = rosters
 
     def collect(self) -> Iterable[Metric]:
@@ -75,7 +75,9 @@
         yield gauge("draining", "1 once SIGTERM came.", gateway.drain.is_draining())
         yield gauge("open_requests", "Requests under way.", gate.open_count())
         yield counter("requests_taken", "Requests read whole.", gate.taken_count)
-        yield counter("requests_taken_draining", "Requests read whole since the drain began.", gateway.taken_draining())
+        yield counter(
+            "requests_taken_draining", "Requests read whole since the drain began.", gateway.taken_while_draining()
+        )
         yield labelled_counter("requests_ended", "Requests by outcome.", "outcome", gate.outcomes)
         yield gauge("client_connections", "Callers' connections open.", len(self.edge.streams))
         yield gauge("worker_connections", "Connections to workers, in use and kept.", worker_connections)
--- a/src/pearhead/router/node_count.py
+++ b/src/pearhead/router/node_count.py
@@ -5,23 +5,23 @@
 from pearhead.runtime.clock import Clock
 
 
-class NodeCount:
+class NodeCountTracker:
     """The most nodes known within `memory_micros`.
 
     A node that is cut off from the others soon lists itself alone while each side still serves: its share of retries
     and connections must not grow for that.
     """
 
-    def __init__(self, clock: Clock, memory_micros: int) -> None:
+    def __init__(self, clock: Clock, retention_micros: int) -> None:
         self.clock = clock
-        self.memory_micros = memory_micros
+        self.retention_micros = retention_micros
         self.most = 1
-        self.most_micros = clock.now()
+        self.max_seen_micros = clock.now()
 
     def note(self, listed_count: int) -> int:
         """Takes the number listed now and returns the number to share by."""
         now_micros = self.clock.now()
-        if listed_count >= self.most or now_micros - self.most_micros > self.memory_micros:
+        if listed_count >= self.most or now_micros - self.max_seen_micros > self.retention_micros:
             self.most = listed_count
-            self.most_micros = now_micros
+            self.max_seen_micros = now_micros
         return self.most
--- a/src/pearhead/router/node.py
+++ b/src/pearhead/router/node_process.py
@@ -17,9 +17,8 @@
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
 from pearhead.router.admission import AdmissionController, AdmissionResult
+from pearhead.router.copy_index import CopyIndex
 from pearhead.router.errors import ErrorKind, Refusal
-from pearhead.router.holder import HolderController, WorkerLink
-from pearhead.router.index import CopyIndex
 from pearhead.router.job import Job, JobRequest, Placement
 from pearhead.router.job_scheduler import JobScheduler
 from pearhead.router.job_transport import (
@@ -32,7 +31,8 @@
     UpstreamJob,
 )
 from pearhead.router.retry_budget import RetryBudget
-from pearhead.router.term import TermKeeper
+from pearhead.router.view_replica import ViewReplica
+from pearhead.router.worker_lease import WorkerLeaseController, WorkerLink
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Record
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -40,10 +40,10 @@
 from pearhead.runtime.net import Net
 
 LOGGER = logging.getLogger("pearhead")
-TRY_LIMIT = 3
-PLACEMENTS_KEPT = 200
-OPEN_MICROS = 10 * SECOND
-REVIEW_MICROS = 50 * MILLI
+JOB_ATTEMPT_LIMIT = 3
+PLACEMENT_HISTORY_SIZE = 200
+PLACEABLE_WAIT_MICROS = 10 * SECOND
+QUEUE_REVIEW_MICROS = 50 * MILLI
 
 
 class NodeProcess:
@@ -71,13 +71,13 @@
             httpAddress=startup.httpAddress,
         )
         self.directory = Directory(self_record, startup.seeds, self.courier, clock, chance)
-        self.keeper = TermKeeper(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
+        self.keeper = ViewReplica(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
         self.listener = Listener(self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros)
         self.index = CopyIndex()
         self.nominator = JobScheduler(self.keeper, self.listener, self.index, clock, startup.oldWeightsMicros)
         self.admission = AdmissionController(clock)
         self.budget = RetryBudget()
-        self.holder = HolderController(
+        self.holder = WorkerLeaseController(
             self.identity,
             self.keeper,
             self.listener,
@@ -90,14 +90,14 @@
             self.crew,
             startup.holdMicros,
         )
-        self.holder.load_watcher = self.nominator.record_load_report
-        self.holder.start_watcher = self.nominator.record_remote_start
+        self.holder.load_callback = self.nominator.record_load_report
+        self.holder.prefill_start_callback = self.nominator.record_remote_start
         self.holder.may_serve = self.nominator.weights_allowed
-        self.holder.soundness_watcher = self.nominator.record_reported_unhealthy
+        self.holder.unsound_callback = self.nominator.record_reported_unhealthy
         self.is_draining = False
         self.is_open = False
         self.open_jobs = 0
-        self.placements: deque[dict[str, Any]] = deque(maxlen=PLACEMENTS_KEPT)
+        self.placements: deque[dict[str, Any]] = deque(maxlen=PLACEMENT_HISTORY_SIZE)
         self.outcome_counts: dict[str, int] = {}
         self.reused_tokens = 0
         self.prefix_tokens = 0
@@ -113,9 +113,9 @@
             self.crew.start(work)
         LOGGER.info("router: Listens. node=%s address=%s", self.identity[:8], self.startup.address)
 
-    async def wait_open(self) -> None:
+    async def wait_until_placeable(self) -> None:
         """A node takes connections once it can place jobs, or after a while to say why it can't (§8.1)."""
-        end_micros = self.clock.now() + OPEN_MICROS
+        end_micros = self.clock.now() + PLACEABLE_WAIT_MICROS
         while self.clock.now() < end_micros and not self._can_place():
             await rest(self.clock, 50 * MILLI)
         self.is_open = True
@@ -162,7 +162,7 @@
         while not isinstance(looked, Err):
             # From here on a drain waits for it; it waits for its turn, and is then looked at again (§8.3).
             assert job.entry is not None and job.tenant is not None
-            place_entry, place_tenant = job.entry, job.tenant
+            admitted_entry, admitted_tenant = job.entry, job.tenant
             admitted = await self.admission.admit(job)
             if isinstance(admitted, Err):
                 return admitted
@@ -170,11 +170,11 @@
                 admitted_micros = self.clock.now()
                 try:
                     looked = self._look(job)
-                    if isinstance(looked, Err) or job.entry.name == place_entry.name:
-                        return looked if isinstance(looked, Err) else await self._nominate_and_carry(job, pen)
+                    if isinstance(looked, Err) or job.entry.name == admitted_entry.name:
+                        return looked if isinstance(looked, Err) else await self._place_and_forward(job, pen)
                 finally:
                     held_micros = self.clock.now() - admitted_micros
-                    self.admission.leave_place(place_entry, place_tenant.name, held_micros)
+                    self.admission.leave_place(admitted_entry, admitted_tenant.name, held_micros)
             # Its entry moved while it waited: it queues where it belongs now.
             looked = self._look(job)
         return looked
@@ -231,13 +231,13 @@
         """Jobs that wait and can't run any more are told so when the view or the term says it (§8.3)."""
         reviewed_view = self.keeper.view
         while True:
-            await rest(self.clock, REVIEW_MICROS)
+            await rest(self.clock, QUEUE_REVIEW_MICROS)
             is_same = self.keeper.view is reviewed_view and self.keeper.is_current()
             if self.admission.waiting_count() and not is_same:
-                self.admission.review(self._judge_waiting)
+                self.admission.review(self._recheck_waiting)
             reviewed_view = self.keeper.view
 
-    def _judge_waiting(self, job: Job) -> AdmissionResult:
+    def _recheck_waiting(self, job: Job) -> AdmissionResult:
         assert job.entry is not None
         queued_name = job.entry.name
         looked = self._look(job)
@@ -260,19 +260,19 @@
             and self.nominator.stands(job, placement)
         )
 
-    async def _nominate_and_carry(self, job: Job, pen: Pen) -> Result[None, Refusal]:
-        carried = await self._try_on(job, pen)
+    async def _place_and_forward(self, job: Job, pen: Pen) -> Result[None, Refusal]:
+        carried = await self._attempt_workers(job, pen)
         if isinstance(carried, Err) and job.may_have_run:
             # Whatever stopped a later try: the first may have run, so this is no refusal (§8.2).
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, carried.err_value.detail))
         return carried
 
-    async def _try_on(self, job: Job, pen: Pen) -> Result[None, Refusal]:
+    async def _attempt_workers(self, job: Job, pen: Pen) -> Result[None, Refusal]:
         assert job.entry is not None
         self.budget.deposit(job.entry.service, job.view.description.limits.retryShare)
         last_refusal = Refusal(ErrorKind.NO_WORKER, "no worker took the job")
         is_retry = False
-        for try_number in range(TRY_LIMIT):
+        for try_number in range(JOB_ATTEMPT_LIMIT):
             if try_number:
                 looked = self._look(job)
                 if isinstance(looked, Err):
@@ -333,7 +333,7 @@
         line_count = 0
         is_prefilling, first_micros = True, 0
         self.nominator.begin(worker.name, placement.missed_tokens)
-        self.holder.tell_start(worker.name, placement.missed_tokens)
+        self.holder.announce_prefill(worker.name, placement.missed_tokens)
         try:
             async with aclosing(
                 self.carrier.carry(worker.address, upstream_job, lambda: self._may_begin(job, placement))
@@ -349,7 +349,7 @@
                         if stream_micros < job.entry.deadlineMicros:
                             # Longer ones were held up elsewhere: this process slept, or the caller did.
                             self.nominator.costs.record_stream(job.entry.name, worker.name, stream_micros)
-                        self._take_usage(job, placement, event)
+                        self._record_usage(job, placement, event)
                         self.nominator.record_success(worker.name)
                         await self._write(job, pen, {"end": True, "lines": line_count, "usage": event["usage"]})
                         return Ok(None)
@@ -371,7 +371,7 @@
                 # One that gave lines up to the deadline is slow, and no less sound (§7.5).
                 self.nominator.take_fault(worker.name)
             if job.entry.repeatable and line_count == 0 and job.left_micros(self.clock.now()) > 0:
-                if try_number + 1 < TRY_LIMIT and self._has_credit(job):
+                if try_number + 1 < JOB_ATTEMPT_LIMIT and self._has_retry_budget(job):
                     return Err(Refusal(ErrorKind.NO_WORKER, fault.detail))
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, fault.detail))
         except ClientDisconnectedError:
@@ -395,11 +395,11 @@
         except (KeyError, IndexError, TypeError) as fault:
             raise JobTransportError(CUT, f"an unreadable line: {fault!r}") from fault
 
-    def _has_credit(self, job: Job) -> bool:
+    def _has_retry_budget(self, job: Job) -> bool:
         assert job.entry is not None
         return self.budget.tokens.get(job.entry.service, 0.0) >= 1.0
 
-    def _take_usage(self, job: Job, placement: Placement, event: dict[str, Any]) -> None:
+    def _record_usage(self, job: Job, placement: Placement, event: dict[str, Any]) -> None:
         """A worker's own figures are hints: what is missing or odd teaches nothing."""
         assert job.entry is not None
         usage, timings = event["usage"], event.get("timings") or {}
--- a/src/pearhead/router/paced_cast.py
+++ b/src/pearhead/router/paced_broadcaster.py
@@ -12,7 +12,7 @@
 BATCH_PAUSE_MICROS = 25 * MILLI
 
 
-class PacedCast:
+class PacedBroadcaster:
     """Sends in batches, in an order drawn anew each time: what a full link drops is not always the same nodes' copy."""
 
     def __init__(self, clock: Clock, chance: random.Random) -> None:
--- a/src/pearhead/router/read_rate.py
+++ b/src/pearhead/router/prefill_rate.py
@@ -9,22 +9,22 @@
 
 # Reading: a token with its share of the batch's step, and each pair of a token read with one before it. These are
 # starting values for engines of which nothing was seen yet.
-MICROS_A_TOKEN = 19.7
-MICROS_A_PAIR = 0.000_324
+MICROS_PER_TOKEN = 19.7
+MICROS_PER_TOKEN_PAIR = 0.000_324
 # From the end of the read to the first event.
-FIRST_MICROS = 12 * MILLI
+FIRST_EVENT_MICROS = 12 * MILLI
 # Shorter reads are lost in the time of the steps around them.
 LEAST_TOKENS = 1_000
 HALF_WINDOW_MICROS = 5 * SECOND
-LEAST_READS = 4
-LEAST_FACTOR, MOST_FACTOR = 0.05, 4.0
+MIN_PREFILL_SAMPLES = 4
+MIN_RATE_FACTOR, MAX_RATE_FACTOR = 0.05, 4.0
 # While a fleet is overloaded no read is without a wait: the factor rises slowly, and falls at once.
-MOST_RISE = 1.1
+MAX_FACTOR_RISE = 1.1
 
 
-def read_micros(tokens: int, kept_tokens: int) -> float:
+def prefill_read_micros(tokens: int, kept_tokens: int) -> float:
     """How long a worker reads so many tokens behind those that it keeps, by the starting values."""
-    return tokens * (MICROS_A_TOKEN + MICROS_A_PAIR * (kept_tokens + tokens / 2))
+    return tokens * (MICROS_PER_TOKEN + MICROS_PER_TOKEN_PAIR * (kept_tokens + tokens / 2))
 
 
 @dataclass
@@ -36,14 +36,14 @@
 
 
 @dataclass
-class _Seen:
+class _ServiceRate:
     began_micros: int
     factor: float = 1.0
     former: _HalfWindow = field(default_factory=_HalfWindow)
     current: _HalfWindow = field(default_factory=_HalfWindow)
 
 
-class ReadRates:
+class PrefillRates:
     """Factors of `read_micros`, by service.
 
     The quickest of some reads waited for no other, so it shows how fast the engine is; a mean would show how busy.
@@ -51,7 +51,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.seen: dict[str, _Seen] = {}
+        self.seen: dict[str, _ServiceRate] = {}
 
     def factor(self, service: str) -> float:
         """1 until enough was seen."""
@@ -63,12 +63,12 @@
         if tokens < LEAST_TOKENS:
             return
         now_micros = self.clock.now()
-        seen = self.seen.setdefault(service, _Seen(now_micros))
+        seen = self.seen.setdefault(service, _ServiceRate(now_micros))
         if now_micros - seen.began_micros > HALF_WINDOW_MICROS:
             seen.former, seen.current, seen.began_micros = seen.current, _HalfWindow(), now_micros
-        ratio = max(seen_micros - FIRST_MICROS, 0) / read_micros(tokens, kept_tokens)
+        ratio = max(seen_micros - FIRST_EVENT_MICROS, 0) / prefill_read_micros(tokens, kept_tokens)
         seen.current.least = min(seen.current.least, ratio)
         seen.current.count += 1
-        if seen.former.count + seen.current.count >= LEAST_READS:
+        if seen.former.count + seen.current.count >= MIN_PREFILL_SAMPLES:
             least = min(seen.former.least, seen.current.least)
-            seen.factor = min(max(least, LEAST_FACTOR), MOST_FACTOR, seen.factor * MOST_RISE)
+            seen.factor = min(max(least, MIN_RATE_FACTOR), MAX_RATE_FACTOR, seen.factor * MAX_FACTOR_RISE)
--- a/src/pearhead/router/kept_index.py
+++ b/src/pearhead/router/prefix_cache_index.py
@@ -8,10 +8,10 @@
 from pearhead.router.opaque_request import PromptPart
 from pearhead.rpc.wire_pb2 import KeptNote
 
-PARTS_LIMIT = 60_000
+PARTS_PER_LOCATION_LIMIT = 60_000
 
 
-class KeptIndex:
+class PrefixCacheIndex:
     """A keeper is a worker's or a store's name. What was not reported is not known; what was may be gone.
 
     A report that is lost or overtaken leaves what is known as it is (§6.5): a placement by what is gone costs a read,
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.parts: dict[str, OrderedDict[tuple[str, str], int]] = {}
         self.sequences: dict[str, tuple[str, int]] = {}
-        self.keepers: dict[tuple[str, str], set[str]] = {}
+        self.cache_locations: dict[tuple[str, str], set[str]] = {}
 
     def take(self, note: KeptNote) -> None:
         life, sequence = self.sequences.get(note.worker, ("", 0))
@@ -36,8 +36,8 @@
             if part.tokens:
                 held[key] = part.tokens
                 held.move_to_end(key)
-                self.keepers.setdefault(key, set()).add(note.worker)
-                if len(held) > PARTS_LIMIT:
+                self.cache_locations.setdefault(key, set()).add(note.worker)
+                if len(held) > PARTS_PER_LOCATION_LIMIT:
                     oldest, _ = held.popitem(last=False)
                     self._let_go(oldest, note.worker)
             elif held.pop(key, None) is not None:
@@ -64,12 +64,12 @@
     def holds(self, worker: str, salt: str, part: str) -> bool:
         return (salt, part) in self.parts.get(worker, ())
 
-    def keepers_of(self, salt: str, part: str) -> frozenset[str]:
-        return frozenset(self.keepers.get((salt, part), ()))
+    def cache_locations_of(self, salt: str, part: str) -> frozenset[str]:
+        return frozenset(self.cache_locations.get((salt, part), ()))
 
     def _let_go(self, key: tuple[str, str], keeper: str) -> None:
-        keepers = self.keepers.get(key)
-        if keepers is not None:
-            keepers.discard(keeper)
-            if not keepers:
-                del self.keepers[key]
+        cache_locations = self.cache_locations.get(key)
+        if cache_locations is not None:
+            cache_locations.discard(keeper)
+            if not cache_locations:
+                del self.cache_locations[key]
--- a/src/pearhead/router/kept_gatherer.py
+++ b/src/pearhead/router/prefix_cache_poller.py
@@ -12,10 +12,10 @@
 from result import Err
 
 from pearhead.discovery.directory import Directory
-from pearhead.router.core_commander import ViewSource
-from pearhead.router.rendezvous import RankBook
+from pearhead.router.core_command_client import ViewSource
+from pearhead.router.rendezvous import RankCache
 from pearhead.router.roster_merge import Roster
-from pearhead.router.worker_control import KeptEvent, KeptEvents, WorkerControl
+from pearhead.router.worker_control import PrefixCacheEvent, PrefixCacheEventBatch, WorkerControl
 from pearhead.rpc.courier import DATAGRAM_ROOM, Courier
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -26,19 +26,19 @@
 WAIT_MICROS = 800 * MILLI
 CALL_MICROS = WAIT_MICROS + 700 * MILLI
 PAUSE_MICROS = 100 * MILLI
-FIRST_REST_MICROS = 250 * MILLI
-LAST_REST_MICROS = 2 * SECOND
-PARTS_A_NOTE = 500
+INITIAL_POLL_BACKOFF_MICROS = 250 * MILLI
+MAX_POLL_BACKOFF_MICROS = 2 * SECOND
+PARTS_PER_NOTE = 500
 
 
-class KeptSink(Protocol):
+class PrefixCacheSink(Protocol):
     def take(self, note: KeptNote) -> None:
         """A span of one life's events; `tokens` is what is kept now. With `whole` nothing before it counts."""
 
     def holds(self, worker: str, salt: str, part: str) -> bool: ...
 
 
-class RosterHolder(Protocol):
+class RosterProvider(Protocol):
     @property
     def roster(self) -> Roster: ...
 
@@ -49,18 +49,18 @@
 
     life: str = ""
     sequence: int = 0
-    former_life: str = ""
-    told_sequence: int = 0
+    previous_life: str = ""
+    announced_sequence: int = 0
 
     def moved(self, life: str, sequence: int) -> _Cursor:
-        return _Cursor(life, sequence, self.former_life if life == self.life else self.life, sequence)
+        return _Cursor(life, sequence, self.previous_life if life == self.life else self.life, sequence)
 
     def passed(self, sequence: int) -> _Cursor:
         """Asked further with nothing to tell."""
         return dataclasses.replace(self, sequence=sequence)
 
 
-START = _Cursor()
+INITIAL_CURSOR = _Cursor()
 
 
 def pack_parts(parts: Iterable[KeptPart]) -> list[KeptPart]:
@@ -79,18 +79,18 @@
     return packed
 
 
-def last_words(parts: Iterable[KeptPart]) -> list[KeptPart]:
+def latest_parts(parts: Iterable[KeptPart]) -> list[KeptPart]:
     """The last word on a part is the one that counts; of too many, the newest."""
     words: dict[tuple[str, str, str], KeptPart] = {}
     for part in parts:
         key = (part.line, part.salt, part.part)
         words.pop(key, None)
         words[key] = part
-    newest = list(words.items())[-PARTS_A_NOTE:]
+    newest = list(words.items())[-PARTS_PER_NOTE:]
     return [part for _, part in sorted(newest, key=lambda item: item[0])]
 
 
-def join_notes(earlier: KeptNote | None, note: KeptNote) -> KeptNote | None:
+def combine_notes(earlier: KeptNote | None, note: KeptNote) -> KeptNote | None:
     """Both as one, so that one datagram that is lost costs nothing; None if the later does not follow the earlier."""
     if earlier is None or note.whole or earlier.life != note.life or earlier.sequence != note.from_sequence:
         return None
@@ -100,7 +100,7 @@
         from_sequence=earlier.from_sequence,
         sequence=note.sequence,
         whole=earlier.whole,
-        part=last_words([*earlier.part, *note.part]),
+        part=latest_parts([*earlier.part, *note.part]),
     )
 
 
@@ -122,7 +122,7 @@
     return whole
 
 
-class KeptGatherer:
+class PrefixCachePoller:
     """The first by rendezvous gathers; the next goes on from the last sequence it was told. Two at once do no harm."""
 
     def __init__(
@@ -133,12 +133,12 @@
         clock: Clock,
         crew: Crew,
         control: WorkerControl,
-        rosters: RosterHolder,
+        rosters: RosterProvider,
         keeper: ViewSource,
-        sink: KeptSink,
+        sink: PrefixCacheSink,
         pause_micros: int = PAUSE_MICROS,
         spread: Callable[[KeptNote], bool] | None = None,
-        least_tokens: int = 0,
+        min_part_tokens: int = 0,
     ) -> None:
         self.identity = identity
         self.courier = courier
@@ -151,8 +151,8 @@
         self.sink = sink
         self.pause_micros = pause_micros
         self.spread = spread
-        self.ranks = RankBook(identity)
-        self.least_tokens = least_tokens
+        self.ranks = RankCache(identity)
+        self.min_part_tokens = min_part_tokens
         self.cursors: dict[str, _Cursor] = {}
         self.told_notes: dict[str, KeptNote] = {}
         self.polls: dict[str, asyncio.Task[None]] = {}
@@ -160,10 +160,10 @@
 
     async def run(self) -> None:
         while True:
-            self._set_polls()
+            self._update_polls()
             await rest(self.clock, ROUND_MICROS)
 
-    def _set_polls(self) -> None:
+    def _update_polls(self) -> None:
         targets = self._targets()
         others = [r.identity for r in self.directory.members("router")]
         mine = {name: address for name, address in targets.items() if self.ranks.rank(others, f"kept/{name}") == 0}
@@ -190,38 +190,38 @@
         return targets
 
     async def _gather(self, name: str, address: str) -> None:
-        rest_micros = FIRST_REST_MICROS
+        rest_micros = INITIAL_POLL_BACKOFF_MICROS
         while True:
             began_micros = self.clock.now()
-            cursor = self.cursors.get(name, START)
+            cursor = self.cursors.get(name, INITIAL_CURSOR)
             given = await self.control.kept_events(address, cursor.sequence, WAIT_MICROS, CALL_MICROS)
             if isinstance(given, Err):
                 await rest(self.clock, rest_micros)
-                rest_micros = min(2 * rest_micros, LAST_REST_MICROS)
+                rest_micros = min(2 * rest_micros, MAX_POLL_BACKOFF_MICROS)
                 continue
-            rest_micros = FIRST_REST_MICROS
-            self._take_events(name, cursor, given.ok_value)
+            rest_micros = INITIAL_POLL_BACKOFF_MICROS
+            self._handle_events(name, cursor, given.ok_value)
             # Events of the pause come in one answer, and so in one note.
             await rest(self.clock, max(0, began_micros + self.pause_micros - self.clock.now()))
 
-    def _take_events(self, name: str, asked: _Cursor, given: KeptEvents) -> None:
-        if self.cursors.get(name, START) != asked:
+    def _handle_events(self, name: str, asked: _Cursor, given: PrefixCacheEventBatch) -> None:
+        if self.cursors.get(name, INITIAL_CURSOR) != asked:
             return  # Another node told of later ones meanwhile.
         if given.life == asked.life and given.next_sequence < asked.sequence:
             return  # A late answer to an earlier call.
         if given.life != asked.life:
             # Another life: its events are asked for from its beginning, and nothing before counts.
-            begin = given if asked.sequence == 0 else KeptEvents(given.life, 0, True)
+            begin = given if asked.sequence == 0 else PrefixCacheEventBatch(given.life, 0, True)
             self._tell(name, 0, begin, is_whole=True)
             return
         if given.events:
             # Of events that are gone unseen nothing is known; what was known before stands (§6.5).
-            self._tell(name, asked.told_sequence, given, is_whole=False)
+            self._tell(name, asked.announced_sequence, given, is_whole=False)
         elif given.next_sequence > asked.sequence:
             self.cursors[name] = asked.passed(given.next_sequence)
 
-    def _tell(self, name: str, from_sequence: int, given: KeptEvents, is_whole: bool) -> None:
-        self.cursors[name] = self.cursors.get(name, START).moved(given.life, given.next_sequence)
+    def _tell(self, name: str, from_sequence: int, given: PrefixCacheEventBatch, is_whole: bool) -> None:
+        self.cursors[name] = self.cursors.get(name, INITIAL_CURSOR).moved(given.life, given.next_sequence)
         # Without a salt it is nothing that nodes would look for.
         note = KeptNote(
             worker=name,
@@ -229,34 +229,34 @@
             from_sequence=from_sequence,
             sequence=given.next_sequence,
             whole=is_whole,
-            part=last_words(
+            part=latest_parts(
                 KeptPart(salt=e.salt, part=e.part, tokens=e.tokens, line=e.line)
                 for e in given.events
-                if e.salt and self._is_worth_telling(name, e)
+                if e.salt and self._should_announce(name, e)
             ),
         )
         self.sink.take(note)
-        packed, joined = pack_note(note), join_notes(self.told_notes.get(name), note)
+        packed, joined = pack_note(note), combine_notes(self.told_notes.get(name), note)
         self.told_notes[name] = note
-        if joined is not None and (packed_both := pack_note(joined)).ByteSize() <= DATAGRAM_ROOM:
-            packed = packed_both
+        if joined is not None and (packed_combined := pack_note(joined)).ByteSize() <= DATAGRAM_ROOM:
+            packed = packed_combined
         if self.spread is not None and self.spread(packed):
             return
         addresses = [r.address for r in self.directory.members("router")]
         self.courier.broadcast(addresses, "kept_note", packed)
 
-    def _is_worth_telling(self, name: str, event: KeptEvent) -> bool:
+    def _should_announce(self, name: str, event: PrefixCacheEvent) -> bool:
         """Short parts are read again sooner than anyone hears of them; what was told is also told to be gone."""
-        return event.tokens >= self.least_tokens or self.sink.holds(name, event.salt, event.part)
+        return event.tokens >= self.min_part_tokens or self.sink.holds(name, event.salt, event.part)
 
-    def take_note(self, identity: str, address: str, note: KeptNote) -> None:
+    def apply_note(self, identity: str, address: str, note: KeptNote) -> None:
         """From another node, directly or by a relay (§3.6)."""
         self._take_note(identity, address, note)
 
     def _take_note(self, identity: str, address: str, note: KeptNote) -> None:
-        held = self.cursors.get(note.worker, START)
+        held = self.cursors.get(note.worker, INITIAL_CURSOR)
         is_late = held.life == note.life and note.sequence < held.sequence
-        if is_late or (note.life == held.former_life and note.life != ""):
+        if is_late or (note.life == held.previous_life and note.life != ""):
             return
         self.cursors[note.worker] = held.moved(note.life, note.sequence)
         self.told_notes.pop(note.worker, None)
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -9,28 +9,28 @@
 from dataclasses import dataclass
 
 from pearhead.discovery.directory import Directory
-from pearhead.router.rendezvous import score_of
+from pearhead.router.rendezvous import rendezvous_score
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import KeptNote, Record, RelayNote, UseNote, WorkerUse
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
 
 LOGGER = logging.getLogger("pearhead")
-PERIOD_MICROS = 100 * MILLI
+RELAY_PERIOD_MICROS = 100 * MILLI
 SILENCE_MICROS = 900 * MILLI
-SHUN_MICROS = 4 * SECOND
+AVOID_RELAY_MICROS = 4 * SECOND
 FRESH_MICROS = 1_500 * MILLI
 DIRECT_LIMIT = 16
-KEPT_LIMIT = 2_000
+PENDING_CACHE_NOTE_LIMIT = 2_000
 # A zone of more nodes than this is told by way of some of them.
 DIRECT_FAN_OUT = 6
 # Nodes heard within this time pass notes on before others: records of nodes that are gone live for seconds.
-HEAD_HEARD_MICROS = 150 * MILLI
-FLEET = "fleet"
+HEAD_RECENT_MICROS = 150 * MILLI
+FLEET_SENDER = "fleet"
 
 
 @dataclass(frozen=True)
-class _Told:
+class _HeardNote:
     note: UseNote
     heard_micros: int
 
@@ -39,7 +39,7 @@
         return now_micros - self.heard_micros < span_micros
 
 
-def _fresh(book: dict[str, _Told], now_micros: int) -> dict[str, _Told]:
+def _drop_stale_notes(book: dict[str, _HeardNote], now_micros: int) -> dict[str, _HeardNote]:
     return {name: told for name, told in book.items() if told.is_within(FRESH_MICROS, now_micros)}
 
 
@@ -69,14 +69,14 @@
         self.loads = loads
         self.take_kept = take_kept
         self.direct_limit = direct_limit
-        self.shunned: dict[str, int] = {}
+        self.avoided_until: dict[str, int] = {}
         self.chosen: dict[str, tuple[str, int]] = {}
-        self.members: dict[str, _Told] = {}
-        self.zones: dict[str, _Told] = {}
-        self.own_kept: list[KeptNote] = []
-        self.zone_kept: list[KeptNote] = []
-        self.far_kept: list[KeptNote] = []
-        self.own_told = UseNote()
+        self.members: dict[str, _HeardNote] = {}
+        self.zones: dict[str, _HeardNote] = {}
+        self.own_cache_notes: list[KeptNote] = []
+        self.zone_cache_notes: list[KeptNote] = []
+        self.remote_cache_notes: list[KeptNote] = []
+        self.own_announced_use = UseNote()
         self.is_relaying = False
         self.chance = random.Random(identity)
         courier.on_tell("relay_note", self._take)
@@ -84,20 +84,20 @@
     def is_active(self) -> bool:
         return len(self.directory.members("router")) >= self.direct_limit
 
-    def spread_kept(self, note: KeptNote) -> bool:
+    def relay_cache_note(self, note: KeptNote) -> bool:
         """Whether it goes this way; otherwise its gatherer tells all nodes itself."""
         if not self.is_active():
             return False
-        self._keep(self.own_kept, [note])
+        self._keep(self.own_cache_notes, [note])
         return True
 
     async def run(self) -> None:
         while True:
-            await rest(self.clock, PERIOD_MICROS)
+            await rest(self.clock, RELAY_PERIOD_MICROS)
             if self.is_active():
                 self._work_once()
             else:
-                self._note_relaying(False)
+                self._set_relaying(False)
 
     # ---- telling ---------------------------------------------------------------------------------
 
@@ -106,21 +106,25 @@
         for record in self.directory.members("router"):
             by_zone.setdefault(record.area, []).append(record)
         own_relay = self._relay_of(self.zone, by_zone.get(self.zone, []))
-        self.own_told = self.loads.note()
+        self.own_announced_use = self.loads.note()
         if own_relay is not None:
             self._broadcast(
-                [own_relay.address], RelayNote(hop=0, zone=self.zone, use=self.own_told, kept=self.own_kept)
+                [own_relay.address],
+                RelayNote(hop=0, zone=self.zone, use=self.own_announced_use, kept=self.own_cache_notes),
+            )
+            self.zone_cache_notes, self.own_cache_notes = (
+                self.zone_cache_notes + (self.own_cache_notes if self.members else []),
+                [],
             )
-            self.zone_kept, self.own_kept = self.zone_kept + (self.own_kept if self.members else []), []
         else:
-            self.zone_kept, self.own_kept = self.zone_kept + self.own_kept, []
+            self.zone_cache_notes, self.own_cache_notes = self.zone_cache_notes + self.own_cache_notes, []
         now_micros = self.clock.now()
-        self.members = _fresh(self.members, now_micros)
-        self._note_relaying(own_relay is None or bool(self.members))
+        self.members = _drop_stale_notes(self.members, now_micros)
+        self._set_relaying(own_relay is None or bool(self.members))
         if self.is_relaying:
             self._relay_once(by_zone, includes_own=own_relay is None)
 
-    def _note_relaying(self, is_relaying: bool) -> None:
+    def _set_relaying(self, is_relaying: bool) -> None:
         if is_relaying == self.is_relaying:
             return
         self.is_relaying = is_relaying
@@ -131,23 +135,23 @@
 
     def _relay_once(self, by_zone: dict[str, list[Record]], includes_own: bool) -> None:
         now_micros = self.clock.now()
-        notes = [told.note for told in self.members.values()] + ([self.own_told] if includes_own else [])
-        zone_sum = sum_notes(notes, now_micros)
-        far = []
+        notes = [told.note for told in self.members.values()] + ([self.own_announced_use] if includes_own else [])
+        zone_sum = sum_use_notes(notes, now_micros)
+        remote_addresses = []
         for zone, records in by_zone.items():
             if zone != self.zone and (relay := self._relay_of(zone, records)) is not None:
-                far.append(relay.address)
-        self._broadcast(far, RelayNote(hop=1, zone=self.zone, use=zone_sum, kept=self.zone_kept))
-        self.zones = _fresh(self.zones, now_micros)
-        fleet_sum = sum_notes([zone_sum, *(told.note for told in self.zones.values())], now_micros)
-        kept = [*self.zone_kept, *self.far_kept]
-        self.zone_kept, self.far_kept = [], []
+                remote_addresses.append(relay.address)
+        self._broadcast(remote_addresses, RelayNote(hop=1, zone=self.zone, use=zone_sum, kept=self.zone_cache_notes))
+        self.zones = _drop_stale_notes(self.zones, now_micros)
+        fleet_sum = sum_use_notes([zone_sum, *(told.note for told in self.zones.values())], now_micros)
+        kept = [*self.zone_cache_notes, *self.remote_cache_notes]
+        self.zone_cache_notes, self.remote_cache_notes = [], []
         self._fan_out(
             by_zone.get(self.zone, []),
             RelayNote(hop=2, zone=self.zone, use=fleet_sum, kept=kept, relay=self.identity),
         )
         if includes_own:
-            self._take_fleet(fleet_sum)
+            self._apply_fleet_use(fleet_sum)
 
     def _fan_out(self, records: list[Record], note: RelayNote) -> None:
         """To a zone's nodes in two steps: the head of each group passes it on, so no link carries it all.
@@ -160,7 +164,7 @@
             return self._broadcast([record.address for record in shuffled], note)
         group_count = math.isqrt(len(shuffled) - 1)
         heard = [record for record in shuffled if record.identity in self.members]
-        heads = sorted(heard, key=lambda record: not self._is_heard_just_now(record.identity))[:group_count]
+        heads = sorted(heard, key=lambda record: not self._is_recently_heard(record.identity))[:group_count]
         head_identities = {head.identity for head in heads}
         others = [record.address for record in shuffled if record.identity not in head_identities]
         if not heads:
@@ -171,8 +175,8 @@
             copy.forward.extend(others[position :: len(heads)])
             self._broadcast([head.address], copy)
 
-    def _is_heard_just_now(self, identity: str) -> bool:
-        return self.members[identity].is_within(HEAD_HEARD_MICROS, self.clock.now())
+    def _is_recently_heard(self, identity: str) -> bool:
+        return self.members[identity].is_within(HEAD_RECENT_MICROS, self.clock.now())
 
     def _pass_on(self, note: RelayNote) -> None:
         addresses = list(note.forward)
@@ -187,12 +191,12 @@
         now_micros = self.clock.now()
         identity, heard_micros = self.chosen.get(zone, ("", 0))
         if identity and identity != self.identity and now_micros - heard_micros > SILENCE_MICROS:
-            self.shunned[identity] = now_micros + SHUN_MICROS
-        candidates = [r for r in records if self.shunned.get(r.identity, 0) <= now_micros] or records
+            self.avoided_until[identity] = now_micros + AVOID_RELAY_MICROS
+        candidates = [r for r in records if self.avoided_until.get(r.identity, 0) <= now_micros] or records
         subject = f"relay/{zone}"
-        best = max(candidates, key=lambda r: score_of(r.identity, subject), default=None)
+        best = max(candidates, key=lambda r: rendezvous_score(r.identity, subject), default=None)
         is_self = zone == self.zone and (
-            best is None or score_of(self.identity, subject) > score_of(best.identity, subject)
+            best is None or rendezvous_score(self.identity, subject) > rendezvous_score(best.identity, subject)
         )
         chosen = self.identity if is_self else best.identity if best is not None else ""
         if chosen != identity:
@@ -206,18 +210,18 @@
         relay = note.relay or identity
         if note.forward:
             self._pass_on(note)
-        self.shunned.pop(relay, None)
+        self.avoided_until.pop(relay, None)
         chosen, _ = self.chosen.get(note.zone, ("", 0))
         if note.hop and relay == chosen:
             self.chosen[note.zone] = (relay, now_micros)
         if note.hop == 0:
-            self.members[identity] = _Told(note.use, now_micros)
-            self._keep(self.zone_kept, note.kept)
+            self.members[identity] = _HeardNote(note.use, now_micros)
+            self._keep(self.zone_cache_notes, note.kept)
         elif note.hop == 1:
-            self.zones[note.zone] = _Told(note.use, now_micros)
-            self._keep(self.far_kept, note.kept)
+            self.zones[note.zone] = _HeardNote(note.use, now_micros)
+            self._keep(self.remote_cache_notes, note.kept)
         elif relay == chosen:
-            self._take_fleet(note.use)
+            self._apply_fleet_use(note.use)
         for kept in note.kept:
             self.take_kept(identity, address, kept)
 
@@ -225,11 +229,11 @@
     def _keep(waiting: list[KeptNote], notes: Iterable[KeptNote]) -> None:
         """What is to be passed on next; bounded, as a node that no longer relays passes nothing on."""
         waiting.extend(notes)
-        del waiting[:-KEPT_LIMIT]
+        del waiting[:-PENDING_CACHE_NOTE_LIMIT]
 
-    def _take_fleet(self, fleet_sum: UseNote) -> None:
+    def _apply_fleet_use(self, fleet_sum: UseNote) -> None:
         """All nodes' use together, less what this node told itself: its own is known exactly."""
-        own = {use.worker: use for use in self.own_told.use}
+        own = {use.worker: use for use in self.own_announced_use.use}
         others = UseNote(serial=self.clock.now())
         for use in fleet_sum.use:
             mine = own.get(use.worker)
@@ -243,10 +247,10 @@
                     held_tokens=max(0, use.held_tokens - mine.held_tokens),
                 )
             )
-        self.loads.take(FLEET, others)
+        self.loads.take(FLEET_SENDER, others)
 
 
-def sum_notes(notes: list[UseNote], serial: int) -> UseNote:
+def sum_use_notes(notes: list[UseNote], serial: int) -> UseNote:
     sums: dict[str, list[int]] = {}
     for note in notes:
         for use in note.use:
--- a/src/pearhead/router/rendezvous.py
+++ b/src/pearhead/router/rendezvous.py
@@ -8,18 +8,18 @@
 
 
 @lru_cache(maxsize=65_536)
-def score_of(identity: str, subject: str) -> bytes:
+def rendezvous_score(identity: str, subject: str) -> bytes:
     """Rendezvous: the highest score goes first, and a node that goes changes nobody else's order."""
     return hashlib.blake2b(f"{identity}/{subject}".encode(), digest_size=8).digest()
 
 
-def rank_of(identity: str, others: Iterable[str], subject: str) -> int:
+def rendezvous_rank(identity: str, others: Iterable[str], subject: str) -> int:
     """How many of the others go before this node; zero is the first."""
-    own_score = score_of(identity, subject)
-    return sum(score_of(other, subject) > own_score for other in set(others) if other != identity)
+    own_score = rendezvous_score(identity, subject)
+    return sum(rendezvous_score(other, subject) > own_score for other in set(others) if other != identity)
 
 
-class RankBook:
+class RankCache:
     """Ranks of one node, kept until the others change: they are asked for many times a second."""
 
     def __init__(self, identity: str) -> None:
@@ -33,5 +33,5 @@
             self.others, self.ranks = others, {}
         found = self.ranks.get(subject)
         if found is None:
-            found = self.ranks[subject] = rank_of(self.identity, others, subject)
+            found = self.ranks[subject] = rendezvous_rank(self.identity, others, subject)
         return found
--- a/src/pearhead/router/roster_age.py
+++ b/src/pearhead/router/roster_age_monitor.py
@@ -10,7 +10,7 @@
 OLD_MICROS = 2 * SECOND
 
 
-class RosterAgeWatch:
+class RosterAgeMonitor:
     """Told the age at every tick and around every change; logs on crossing `OLD_MICROS` only."""
 
     def __init__(self) -> None:
--- a/src/pearhead/router/roster_merge.py
+++ b/src/pearhead/router/roster_merge.py
@@ -13,7 +13,7 @@
 # Absent from lists that were asked so far apart, a worker is out.
 ABSENT_MICROS = 400 * MILLI
 # So long is a worker that is out not taken in again.
-OUT_MICROS = 60 * SECOND
+ROSTER_EXCLUSION_MICROS = 60 * SECOND
 LONG_AGO = -(10**12)
 
 
@@ -65,7 +65,7 @@
         self.roster = Roster()
         self.leaving: set[str] = set()
         self.absent_since: dict[str, int] = {}
-        self.out_until: dict[str, int] = {}
+        self.excluded_until: dict[str, int] = {}
 
     def take(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> bool:
         """Whether the list was newer than what is known. An older one can still tell who leaves."""
@@ -74,14 +74,14 @@
         is_newer = bool(listed_by_name) and at_micros > self.roster.at_micros
         merged = dict(self.roster.backends)
         if is_newer:
-            self.out_until = {name: end for name, end in self.out_until.items() if end > now_micros}
-            merged = {name: b for name, b in listed_by_name.items() if name not in self.out_until}
+            self.excluded_until = {name: end for name, end in self.excluded_until.items() if end > now_micros}
+            merged = {name: b for name, b in listed_by_name.items() if name not in self.excluded_until}
             for name, backend in self.roster.backends.items():
                 if name in listed_by_name:
                     self.absent_since.pop(name, None)
                 elif at_micros - self.absent_since.setdefault(name, at_micros) >= ABSENT_MICROS:
                     self.absent_since.pop(name)
-                    self.out_until[name] = now_micros + OUT_MICROS
+                    self.excluded_until[name] = now_micros + ROSTER_EXCLUSION_MICROS
                 else:
                     merged[name] = backend
             self.leaving &= set(merged) | set(listed_by_name)
@@ -91,7 +91,7 @@
         self.roster = Roster(merged, at_micros if is_newer else self.roster.at_micros)
         return is_newer
 
-    def learn(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> None:
+    def add_from_peer(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> None:
         """What a colleague knows: it adds whom this node does not know, and takes nobody out."""
         told = list(listed)
         if not self.roster.backends:
@@ -101,6 +101,6 @@
         added = {
             b.name: b
             for b in told
-            if b.name not in self.roster.backends and self.out_until.get(b.name, now_micros) <= now_micros
+            if b.name not in self.roster.backends and self.excluded_until.get(b.name, now_micros) <= now_micros
         }
         self.roster = Roster({**self.roster.backends, **added}, self.roster.at_micros)
--- a/src/pearhead/router/roster_recorder.py
+++ b/src/pearhead/router/roster_publisher.py
@@ -8,14 +8,14 @@
 from result import Err
 
 from pearhead.config.view import View
-from pearhead.router.core_commander import Commander, ViewSource
+from pearhead.router.core_command_client import CommandClient, ViewSource
 from pearhead.router.roster_merge import Roster
 from pearhead.rpc.wire_pb2 import Command, SetWorkers, Worker
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 250 * MILLI
-REST_MICROS = SECOND
+PUBLISH_PAUSE_MICROS = SECOND
 
 
 class RosterSource(Protocol):
@@ -25,13 +25,13 @@
     def is_first(self) -> bool: ...
 
 
-class RosterRecorder:
+class RosterPublisher:
     """Only what changed goes out, at most once a second, from the node that asks the list. Serving needs none of it."""
 
-    def __init__(self, source: RosterSource, keeper: ViewSource, commander: Commander, clock: Clock) -> None:
+    def __init__(self, source: RosterSource, keeper: ViewSource, command_client: CommandClient, clock: Clock) -> None:
         self.source = source
         self.keeper = keeper
-        self.commander = commander
+        self.command_client = command_client
         self.clock = clock
 
     async def run(self) -> None:
@@ -39,17 +39,17 @@
             await rest(self.clock, ROUND_MICROS)
             if not (self.keeper.is_current() and self.source.is_first() and self.source.roster.backends):
                 continue
-            change = find_change(self.source.roster, self.keeper.view)
+            change = find_roster_change(self.source.roster, self.keeper.view)
             if change is None:
                 continue
-            given = await self.commander.command(Command(workers=change))
+            given = await self.command_client.command(Command(workers=change))
             if isinstance(given, Err) or given.ok_value.status != "done":
                 LOGGER.warning("router: The core did not take the roster.")
             # The view brings the change back; until then it would be told again.
-            await rest(self.clock, REST_MICROS)
+            await rest(self.clock, PUBLISH_PAUSE_MICROS)
 
 
-def find_change(roster: Roster, view: View) -> SetWorkers | None:
+def find_roster_change(roster: Roster, view: View) -> SetWorkers | None:
     """What the core should be told; None when it knows. A mark of operators is no difference (§7.6)."""
     change = SetWorkers(partial=True, removed=sorted(view.workers.keys() - roster.backends.keys()))
     for name, backend in sorted(roster.backends.items()):
--- a/src/pearhead/router/roster.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -15,9 +15,9 @@
 from result import Err
 
 from pearhead.discovery.directory import Directory
-from pearhead.router.paced_cast import PacedCast
-from pearhead.router.rendezvous import RankBook, score_of
-from pearhead.router.roster_age import RosterAgeWatch
+from pearhead.router.paced_broadcaster import PacedBroadcaster
+from pearhead.router.rendezvous import RankCache, rendezvous_score
+from pearhead.router.roster_age_monitor import RosterAgeMonitor
 from pearhead.router.roster_merge import LONG_AGO, Roster, RosterMerge, pack_backend, unpack_backend
 from pearhead.router.worker_control import Backend, WorkerControl
 from pearhead.rpc.courier import Courier
@@ -27,41 +27,41 @@
 from pearhead.runtime.invariants import Invariant, InvariantCounters
 
 LOGGER = logging.getLogger("pearhead")
-SUBJECT = "roster"
+ROSTER_RENDEZVOUS_SUBJECT = "roster"
 TICK_MICROS = 100 * MILLI
 # The whole fleet asks no more often than this while nobody gets an answer.
 ATTEMPT_GAP_MICROS = 700 * MILLI
-RANK_MICROS = 100 * MILLI
+RANK_DELAY_MICROS = 100 * MILLI
 # Records of nodes that are gone live for seconds: from here on, ranks do not wait for those before them.
-MOST_RANKS = 8
-VAIN_RANK_MICROS = 100 * MILLI
+MAX_COUNTED_RANK = 8
+FAILED_ATTEMPT_RANK_MICROS = 100 * MILLI
 # A list this old is asked for by the node itself, whatever its rank; spread so that not all do it at once.
 STALE_MICROS = 2 * SECOND
-STALE_SPREAD_MICROS = 300 * MILLI
+STALE_JITTER_MICROS = 300 * MILLI
 # Peers are asked from this age on, at these intervals; they answer with workers only if their list is newer by so much.
 PULL_AGE_MICROS = 1_250 * MILLI
 PULL_MICROS = 150 * MILLI
-MOST_PULL_MICROS = SECOND
-NEWER_MICROS = 100 * MILLI
+MAX_PULL_MICROS = SECOND
+MIN_NEWER_MICROS = 100 * MILLI
 # A process that was not run for this long has not had the time to ask anybody.
 PAUSED_MICROS = SECOND
 FRESH_MICROS = 500 * MILLI
-PEER_MICROS = 400 * MILLI
+PEER_TIMEOUT_MICROS = 400 * MILLI
 ALONE_MICROS = 2 * SECOND
 LIST_LIMIT_MICROS = 900 * MILLI
-WHOLE_MICROS = 10 * SECOND
-RECENT_MICROS = 3 * SECOND
-FROM_LIST = "list"
+FULL_NOTE_PERIOD_MICROS = 10 * SECOND
+RECENT_CHANGE_MICROS = 3 * SECOND
+LIST_SOURCE = "list"
 
 
-class StopReason(Enum):
+class AskerStopReason(Enum):
     """Why a node stops asking the list for the fleet."""
 
     LIST_FAILED = "list_failed"
     OUTRANKED = "outranked"
 
 
-class RosterKeeper:
+class RosterSynchronizer:
     """Who asks: the first by rendezvous, each `beat_micros`; the next ones when they heard no list for 1.2 s and
     0.1 s a rank, and anyone whose list is 2 s old. Records of dead nodes live 5 s, so silence decides and not who is
     listed. A note without workers says that its sender asks or asked, so that a list in trouble is not asked by all
@@ -77,7 +77,7 @@
         chance: random.Random,
         crew: Crew,
         control: WorkerControl,
-        beat_micros: int,
+        list_period_micros: int,
         invariants: InvariantCounters | None = None,
     ) -> None:
         self.identity = identity
@@ -87,10 +87,10 @@
         self.chance = chance
         self.crew = crew
         self.control = control
-        self.beat_micros = beat_micros
+        self.list_period_micros = list_period_micros
         self.invariants = invariants or InvariantCounters(clock)
-        self.ranks = RankBook(identity)
-        self.age_watch = RosterAgeWatch()
+        self.ranks = RankCache(identity)
+        self.age_monitor = RosterAgeMonitor()
         self.list_request_count = 0
         self.watchers: list[Callable[[Roster], None]] = []
         self.merge = RosterMerge()
@@ -99,20 +99,20 @@
         self.asked_micros = LONG_AGO
         self.heard_micros = LONG_AGO
         self.attempt_micros = LONG_AGO
-        self.whole_micros = LONG_AGO
-        self.told_identities: set[str] = set()
+        self.full_note_micros = LONG_AGO
+        self.notified_identities: set[str] = set()
         self.told: dict[str, Backend] = {}
         self.changed_micros: dict[str, int] = {}
-        self.is_learning = False
+        self.is_merging_from_peer = False
         self.failure_count = 0
         self.is_asking = False
         self.ticked_micros = 0
         self.resumed_micros = LONG_AGO
-        own_chance = random.Random(identity)
-        self.stale_spread_micros = own_chance.randrange(STALE_SPREAD_MICROS)
-        self.paced_cast = PacedCast(clock, own_chance)
+        node_random = random.Random(identity)
+        self.stale_jitter_micros = node_random.randrange(STALE_JITTER_MICROS)
+        self.note_broadcaster = PacedBroadcaster(clock, node_random)
         courier.on_tell("roster_note", self._take_note)
-        courier.on_ask("roster_note", self._make_whole)
+        courier.on_ask("roster_note", self._answer_roster_ask)
 
     @property
     def roster(self) -> Roster:
@@ -131,8 +131,8 @@
         # A fresh node knows few colleagues and would think itself the first: it waits for word of them, spread out.
         started_micros = self.clock.now()
         self.first_micros = started_micros + FRESH_MICROS + self.chance.randrange(FRESH_MICROS)
-        self.heard_micros = self.first_micros - self.beat_micros - self.beat_micros // 5
-        self.crew.start(self._learn_from_peers())
+        self.heard_micros = self.first_micros - self.list_period_micros - self.list_period_micros // 5
+        self.crew.start(self._bootstrap_from_peers())
         self.crew.start(self._pull_while_old())
         self.ticked_micros = started_micros
         while True:
@@ -149,22 +149,26 @@
     # ---- whose turn it is ------------------------------------------------------------------------
 
     def _rank(self) -> int:
-        return self.ranks.rank([r.identity for r in self.directory.members("router")], SUBJECT)
+        return self.ranks.rank([r.identity for r in self.directory.members("router")], ROSTER_RENDEZVOUS_SUBJECT)
 
     def _silence_micros(self) -> int:
-        return self.beat_micros + self.beat_micros // 5 + RANK_MICROS * min(self._rank(), MOST_RANKS)
+        return (
+            self.list_period_micros
+            + self.list_period_micros // 5
+            + RANK_DELAY_MICROS * min(self._rank(), MAX_COUNTED_RANK)
+        )
 
     def _due_micros(self) -> int:
         now_micros = self.clock.now()
         if self.is_asker or self._rank() == 0:
             # One that gets no answer while another does goes on seldom.
-            is_spared = self.failure_count > 1 and now_micros - self.heard_micros < 2 * self.beat_micros
-            return self.asked_micros + self.beat_micros * (5 if is_spared else 1)
-        gap_micros = ATTEMPT_GAP_MICROS + VAIN_RANK_MICROS * min(self._rank(), 10)
+            is_backing_off = self.failure_count > 1 and now_micros - self.heard_micros < 2 * self.list_period_micros
+            return self.asked_micros + self.list_period_micros * (5 if is_backing_off else 1)
+        gap_micros = ATTEMPT_GAP_MICROS + FAILED_ATTEMPT_RANK_MICROS * min(self._rank(), 10)
         due_micros = self.heard_micros + self._silence_micros()
         if self.roster.backends:
             # Nobody's notes reach this node: it asks for itself, but not while others try in vain.
-            due_micros = min(due_micros, self.roster.at_micros + STALE_MICROS + self.stale_spread_micros)
+            due_micros = min(due_micros, self.roster.at_micros + STALE_MICROS + self.stale_jitter_micros)
         return max(due_micros, self.attempt_micros + gap_micros)
 
     async def _ask_list(self) -> None:
@@ -172,7 +176,7 @@
         self.asked_micros = self.attempt_micros = began_micros
         if not self.is_asker:
             # The others wait on seeing this, whatever comes of it.
-            self._cast_attempt(began_micros)
+            self._announce_attempt(began_micros)
         self.is_asking = True
         self.list_request_count += 1
         try:
@@ -182,17 +186,17 @@
         listed = given.unwrap_or([])
         if not listed:
             self.failure_count += 1
-            self._stop_asking(StopReason.LIST_FAILED)
+            self._stop_asking(AskerStopReason.LIST_FAILED)
             if self.failure_count in (1, 10):
                 why = given.err_value if isinstance(given, Err) else "it is empty"
                 LOGGER.warning("router: The list of workers gave nothing. fault=%r", why)
-            self._cast_attempt(began_micros)
+            self._announce_attempt(began_micros)
             return
         self.failure_count = 0
         self._begin_asking()
         self.heard_micros = self.clock.now()
-        self._merge(listed, began_micros, FROM_LIST)
-        await self._tell_all({b.name: b for b in listed}, began_micros)
+        self._merge(listed, began_micros, LIST_SOURCE)
+        await self._announce_roster({b.name: b for b in listed}, began_micros)
 
     # ---- how old it is ---------------------------------------------------------------------------
 
@@ -220,26 +224,26 @@
             elif await self._pull_from(self.chance.choice(addresses)):
                 pause_micros = PULL_MICROS
             else:
-                pause_micros = min(pause_micros * 3 // 2, MOST_PULL_MICROS)
+                pause_micros = min(pause_micros * 3 // 2, MAX_PULL_MICROS)
 
     async def _pull_from(self, address: str) -> bool:
         """Takes a peer's list if that is newer, and says whether it was."""
         told = await self._ask_peer(address, RosterNote(age_micros=self._roster_age()))
         if told is None:
             return False
-        self._take_list(told.backends.values(), told.at_micros, address)
+        self._apply_list(told.backends.values(), told.at_micros, address)
         return True
 
     async def _ask_peer(self, address: str, note: RosterNote) -> Roster | None:
         """A peer's list; None if it gives none. It counts from the asking, so never as newer than it is."""
         asked_micros = self.clock.now()
-        given = await self.courier.ask(address, "roster_note", note, PEER_MICROS)
+        given = await self.courier.ask(address, "roster_note", note, PEER_TIMEOUT_MICROS)
         if isinstance(given, Err) or not given.ok_value.worker:
             return None
         backends = [unpack_backend(worker) for worker in given.ok_value.worker]
         return Roster({backend.name: backend for backend in backends}, asked_micros - given.ok_value.age_micros)
 
-    def _take_list(self, listed: Iterable[Backend], at_micros: int, source: str) -> None:
+    def _apply_list(self, listed: Iterable[Backend], at_micros: int, source: str) -> None:
         if at_micros > self.roster.at_micros:
             self.heard_micros = max(self.heard_micros, self.clock.now())
         self._merge(listed, at_micros, source)
@@ -249,43 +253,43 @@
             self.is_asker = True
             LOGGER.info("router: Begins to ask the list for the fleet. rank=%d", self._rank())
 
-    def _stop_asking(self, reason: StopReason) -> None:
+    def _stop_asking(self, reason: AskerStopReason) -> None:
         if self.is_asker:
             self.is_asker = False
             LOGGER.info("router: Stops asking the list for the fleet. reason=%s", reason.value)
 
     # ---- telling ---------------------------------------------------------------------------------
 
-    def _cast_attempt(self, began_micros: int) -> None:
+    def _announce_attempt(self, began_micros: int) -> None:
         note = RosterNote(age_micros=self.clock.now() - began_micros)
         self.courier.cast([r.address for r in self.directory.members("router")], "roster_note", note)
 
-    async def _tell_all(self, listed: Mapping[str, Backend], began_micros: int) -> None:
+    async def _announce_roster(self, listed: Mapping[str, Backend], began_micros: int) -> None:
         """What the list showed: whole to nodes not told before and now and then, else only names and what changed."""
         now_micros = self.clock.now()
         for name, backend in listed.items():
-            if _is_news(self.told.get(name), backend):
+            if _has_relevant_change(self.told.get(name), backend):
                 self.changed_micros[name] = now_micros
         self.told = dict(listed)
         self.changed_micros = {
-            n: m for n, m in self.changed_micros.items() if n in listed and now_micros - m < RECENT_MICROS
+            n: m for n, m in self.changed_micros.items() if n in listed and now_micros - m < RECENT_CHANGE_MICROS
         }
         records = self.directory.members("router")
-        if now_micros - self.whole_micros >= WHOLE_MICROS:
-            self.told_identities.clear()
-            self.whole_micros = now_micros
+        if now_micros - self.full_note_micros >= FULL_NOTE_PERIOD_MICROS:
+            self.notified_identities.clear()
+            self.full_note_micros = now_micros
         whole = RosterNote(worker=[pack_backend(b) for b in listed.values()])
-        brief = RosterNote(
+        brief_note = RosterNote(
             worker=[
                 pack_backend(b) if n in self.changed_micros else ListedWorker(name=n, leaving=b.is_leaving)
                 for n, b in listed.items()
             ],
         )
-        known = [r.address for r in records if r.identity in self.told_identities]
-        untold = [r.address for r in records if r.identity not in self.told_identities]
-        self.told_identities = {r.identity for r in records}
-        await self._send_paced(known, brief, began_micros)
-        await self._send_paced(untold, whole, began_micros)
+        known = [r.address for r in records if r.identity in self.notified_identities]
+        unnotified = [r.address for r in records if r.identity not in self.notified_identities]
+        self.notified_identities = {r.identity for r in records}
+        await self._send_paced(known, brief_note, began_micros)
+        await self._send_paced(unnotified, whole, began_micros)
 
     async def _send_paced(self, addresses: list[str], note: RosterNote, began_micros: int) -> None:
         """Each batch is told the list's age as it leaves: what it waited here counts."""
@@ -294,7 +298,7 @@
             note.age_micros = self.clock.now() - began_micros
             self.courier.broadcast(batch, "roster_note", note)
 
-        await self.paced_cast.send(addresses, note.ByteSize(), send_batch)
+        await self.note_broadcaster.send(addresses, note.ByteSize(), send_batch)
 
     # ---- hearing ---------------------------------------------------------------------------------
 
@@ -304,8 +308,10 @@
         if not note.worker:
             self.attempt_micros = max(self.attempt_micros, at_micros)
             return
-        if self.is_asker and score_of(identity, SUBJECT) > score_of(self.identity, SUBJECT):
-            self._stop_asking(StopReason.OUTRANKED)
+        if self.is_asker and rendezvous_score(identity, ROSTER_RENDEZVOUS_SUBJECT) > rendezvous_score(
+            self.identity, ROSTER_RENDEZVOUS_SUBJECT
+        ):
+            self._stop_asking(AskerStopReason.OUTRANKED)
         unknown = [w.name for w in note.worker if not w.address and w.name not in self.roster.backends]
         listed = []
         for worker in note.worker:
@@ -314,18 +320,18 @@
             elif worker.name in self.roster.backends:
                 held = self.roster.backends[worker.name]
                 listed.append(dataclasses.replace(held, is_leaving=held.is_leaving or worker.leaving))
-        self._take_list(listed, at_micros, address)
-        if any(name not in self.merge.out_until for name in unknown) and not self.is_learning:
-            self.crew.start(self._learn_from(address))
+        self._apply_list(listed, at_micros, address)
+        if any(name not in self.merge.excluded_until for name in unknown) and not self.is_merging_from_peer:
+            self.crew.start(self._merge_from_peer(address))
 
     def _merge(
-        self, listed: Iterable[Backend], at_micros: int, source: str = FROM_LIST, adds_only: bool = False
+        self, listed: Iterable[Backend], at_micros: int, source: str = LIST_SOURCE, adds_only: bool = False
     ) -> None:
         before = self.roster
         leaving_before = set(self.merge.leaving)
         self._observe_age()
         if adds_only:
-            self.merge.learn(listed, at_micros, self.clock.now())
+            self.merge.add_from_peer(listed, at_micros, self.clock.now())
         else:
             self.merge.take(listed, at_micros, self.clock.now())
         for name in before.backends.keys() - self.roster.backends.keys():
@@ -339,13 +345,13 @@
 
     def _log_leaving(self, leaving_before: set[str], at_micros: int, source: str) -> None:
         age_millis = (self.clock.now() - at_micros) // MILLI
-        for name in sorted(self.merge.leaving - leaving_before - self.merge.out_until.keys()):
+        for name in sorted(self.merge.leaving - leaving_before - self.merge.excluded_until.keys()):
             LOGGER.info("router: A worker leaves. worker=%s source=%s age_ms=%d", name, source, age_millis)
 
     def _observe_age(self) -> None:
         age_micros = self.age_micros()
         if age_micros is not None:
-            self.age_watch.observe(age_micros)
+            self.age_monitor.observe(age_micros)
 
     def _check_merged(self, before: Roster) -> None:
         if self.roster is before:
@@ -357,36 +363,36 @@
         advances = self.roster.at_micros >= before.at_micros
         self.invariants.check(Invariant.ROSTER_TIME_ADVANCES, advances, (before.at_micros, self.roster.at_micros))
 
-    async def _make_whole(self, identity: str, address: str, note: RosterNote) -> RosterNote:
+    async def _answer_roster_ask(self, identity: str, address: str, note: RosterNote) -> RosterNote:
         """Answers a peer: with the workers, if it has no list or an older one; it tells how old its own is."""
-        if not self.roster.backends or 0 < note.age_micros <= self._roster_age() + NEWER_MICROS:
+        if not self.roster.backends or 0 < note.age_micros <= self._roster_age() + MIN_NEWER_MICROS:
             return RosterNote()
         return RosterNote(
             age_micros=self._roster_age(),
             worker=[pack_backend(b) for b in self.roster.backends.values()],
         )
 
-    async def _learn_from(self, address: str) -> None:
-        self.is_learning = True
+    async def _merge_from_peer(self, address: str) -> None:
+        self.is_merging_from_peer = True
         try:
             told = await self._ask_peer(address, RosterNote())
             if told is not None:
                 self._merge(told.backends.values(), told.at_micros, address, adds_only=True)
         finally:
-            self.is_learning = False
+            self.is_merging_from_peer = False
 
-    async def _learn_from_peers(self) -> None:
+    async def _bootstrap_from_peers(self) -> None:
         """A fresh node asks a peer; it asks the list itself if none has told it within 0.5 s."""
         for _ in range(10):
             addresses = [r.address for r in self.directory.members("router")]
             if self.roster.backends:
                 return
             if addresses:
-                await self._learn_from(self.chance.choice(addresses))
+                await self._merge_from_peer(self.chance.choice(addresses))
             await rest(self.clock, TICK_MICROS)
 
 
-def _is_news(told: Backend | None, backend: Backend) -> bool:
+def _has_relevant_change(told: Backend | None, backend: Backend) -> bool:
     """Whether more changed than what each note says of every worker, or what nobody decides by."""
     if told is None:
         return True
--- a/src/pearhead/router/stats_log.py
+++ b/src/pearhead/router/stats_log.py
@@ -12,18 +12,18 @@
 LOGGER = logging.getLogger("pearhead")
 
 
-class CountsOutcomes(Protocol):
+class OutcomeCounters(Protocol):
     outcomes: dict[str, int]
 
     def open_count(self) -> int: ...
 
 
-class CountsConnections(Protocol):
+class ConnectionCounters(Protocol):
     opened: int
     reused: int
 
 
-class CountsRetries(Protocol):
+class RetryCounters(Protocol):
     spent: int
 
 
@@ -39,9 +39,9 @@
     def __init__(
         self,
         clock: Clock,
-        gate: CountsOutcomes,
-        pool: CountsConnections,
-        budget: CountsRetries,
+        gate: OutcomeCounters,
+        pool: ConnectionCounters,
+        budget: RetryCounters,
         every_micros: int,
         processor: Callable[[], int] = processor_micros,
     ) -> None:
--- a/src/pearhead/router/term.py
+++ b/src/pearhead/router/view_replica.py
@@ -19,19 +19,19 @@
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 300 * MILLI
-MANY_NODES = 16
-RESULT_MICROS = 800 * MILLI
-DELTA_MICROS = 2 * SECOND
-NEXT_FETCH_MICROS = 500 * MILLI
-RELAY_AFTER_MICROS = 1_000 * MILLI
-RELAY_COUNT = 2
+LARGE_FLEET_NODES = 16
+VIEW_ASK_TIMEOUT_MICROS = 800 * MILLI
+DELTA_FETCH_TIMEOUT_MICROS = 2 * SECOND
+FETCH_FALLBACK_MICROS = 500 * MILLI
+PEER_FALLBACK_MICROS = 1_000 * MILLI
+PEER_FALLBACK_COUNT = 2
 COME_BACK_LIMIT_MICROS = 12 * SECOND
 NEVER = -1
 LONG_AGO = -(10**12)
 NO_DELTA = 2**62
 
 
-class TermKeeper:
+class ViewReplica:
     def __init__(
         self,
         courier: Courier,
@@ -51,16 +51,16 @@
         # The voters as last heard of: nodes ask a majority of these (§5.3).
         self.membership = Membership(0, Members())
         self.current_at = NEVER
-        self.waiting_marks: list[tuple[int, int]] = []
-        self.needs_whole = False
-        self.fetches_since: dict[str, int] = {}
+        self.pending_confirmations: list[tuple[int, int]] = []
+        self.needs_full_view = False
+        self.fetch_started_micros: dict[str, int] = {}
         self.first_seen: dict[tuple[str, int], int] = {}
         self.named_after: dict[tuple[str, int], int] = {}
         self.has_view = False
         # Called with each view that comes in, once all above is noted of it.
         self.view_observers: list[Callable[[View], None]] = []
         self.packer = DeltaPacker()
-        courier.on_ask("term_ask", self._make_colleague_result)
+        courier.on_ask("term_ask", self._answer_peer_ask)
 
     def is_current(self) -> bool:
         return self.current_at != NEVER and self.clock.now() - self.current_at <= self.term_micros
@@ -68,7 +68,7 @@
     def come_back_micros(self) -> int:
         """A node that has been out for long is likely to be out as long again; within bounds (§8.2)."""
         out_micros = self.clock.now() - self.current_at if self.current_at != NEVER else 0
-        return min(max(out_micros, ROUND_MICROS + RESULT_MICROS), COME_BACK_LIMIT_MICROS)
+        return min(max(out_micros, ROUND_MICROS + VIEW_ASK_TIMEOUT_MICROS), COME_BACK_LIMIT_MICROS)
 
     def superseded_since(self, line: str, revision: int) -> int | None:
         """No later than when weights after these were acknowledged; None while these are the present ones.
@@ -87,11 +87,11 @@
     async def run(self) -> None:
         while True:
             self.crew.start(self._ask_round())
-            if self.clock.now() - self.current_at > RELAY_AFTER_MICROS:
-                self.crew.start(self._ask_colleagues())
+            if self.clock.now() - self.current_at > PEER_FALLBACK_MICROS:
+                self.crew.start(self._ask_peer_views())
             # Many nodes ask half as often: the cores answer each, and the bound leaves room (§5.3).
-            is_many = len(self.directory.members("router")) > MANY_NODES
-            await rest(self.clock, 2 * ROUND_MICROS if is_many else ROUND_MICROS)
+            is_large_fleet = len(self.directory.members("router")) > LARGE_FLEET_NODES
+            await rest(self.clock, 2 * ROUND_MICROS if is_large_fleet else ROUND_MICROS)
 
     async def _ask_round(self) -> None:
         """Asks the cores what the last visible index in their logs is; any majority tells (§5.3)."""
@@ -104,21 +104,23 @@
 
         async def ask_core(address: str) -> None:
             nonlocal is_counted
-            given_result = await self.courier.ask(address, "term_ask", TermAsk(have_index=NO_DELTA), RESULT_MICROS)
+            given_result = await self.courier.ask(
+                address, "term_ask", TermAsk(have_index=NO_DELTA), VIEW_ASK_TIMEOUT_MICROS
+            )
             if isinstance(given_result, Err):
                 return
             result: TermResult = given_result.ok_value
             self._take_members(result)
             if result.last_visible_index > self.view.index and self._may_fetch(address):
-                self.fetches_since[address] = self.clock.now()
+                self.fetch_started_micros[address] = self.clock.now()
                 self.crew.start(self._fetch_delta(address))
             if result.member:
                 heard_indexes[address] = result.last_visible_index
             heard_voters = {i: a for i, a in self.membership.voters.items() if a in heard_indexes}
             if not is_counted and self.membership.has_quorum(heard_voters):
                 is_counted = True
-                self.waiting_marks.append((asked_micros, max(heard_indexes[a] for a in heard_voters.values())))
-            self._settle_marks()
+                self.pending_confirmations.append((asked_micros, max(heard_indexes[a] for a in heard_voters.values())))
+            self._confirm_view()
 
         for address in asked_addresses:
             self.crew.start(ask_core(address))
@@ -126,47 +128,47 @@
     def _may_fetch(self, address: str) -> bool:
         """Of one core at a time; of another as well when that one is slow, as it may be gone."""
         now_micros = self.clock.now()
-        return address not in self.fetches_since and all(
-            now_micros - since > NEXT_FETCH_MICROS for since in self.fetches_since.values()
+        return address not in self.fetch_started_micros and all(
+            now_micros - since > FETCH_FALLBACK_MICROS for since in self.fetch_started_micros.values()
         )
 
     async def _fetch_delta(self, address: str) -> None:
         """What changed is asked of one core only: of each, it would come three times over."""
         try:
             # A large one needs its time on a small link: asked for anew, it would need it twice.
-            given_result = await self.courier.ask(address, "term_ask", self._term_ask(), DELTA_MICROS)
+            given_result = await self.courier.ask(address, "term_ask", self._term_ask(), DELTA_FETCH_TIMEOUT_MICROS)
             if not isinstance(given_result, Err):
-                self._take_delta(given_result.ok_value)
-                self._settle_marks()
+                self._apply_view_delta(given_result.ok_value)
+                self._confirm_view()
         finally:
-            self.fetches_since.pop(address, None)
+            self.fetch_started_micros.pop(address, None)
 
-    async def _ask_colleagues(self) -> None:
-        colleagues = [r.address for r in self.directory.members("router")]
-        for address in self.chance.sample(colleagues, min(RELAY_COUNT, len(colleagues))):
-            self.crew.start(self._ask_colleague(address))
+    async def _ask_peer_views(self) -> None:
+        peer_node_addresses = [r.address for r in self.directory.members("router")]
+        for address in self.chance.sample(peer_node_addresses, min(PEER_FALLBACK_COUNT, len(peer_node_addresses))):
+            self.crew.start(self._ask_peer_view(address))
 
-    async def _ask_colleague(self, address: str) -> None:
+    async def _ask_peer_view(self, address: str) -> None:
         asked_micros = self.clock.now()
         term_ask = self._term_ask()
         term_ask.relay = True
-        given_result = await self.courier.ask(address, "term_ask", term_ask, RESULT_MICROS)
+        given_result = await self.courier.ask(address, "term_ask", term_ask, VIEW_ASK_TIMEOUT_MICROS)
         if isinstance(given_result, Err):
             return
         result: TermResult = given_result.ok_value
         self._take_members(result)
-        self._take_delta(result)
+        self._apply_view_delta(result)
         if result.held:
             # The colleague knew it heldMicros before it answered, so no later than this.
-            self.waiting_marks.append((asked_micros - result.held_micros, result.last_visible_index))
-            self._settle_marks()
+            self.pending_confirmations.append((asked_micros - result.held_micros, result.last_visible_index))
+            self._confirm_view()
 
     def _term_ask(self) -> TermAsk:
-        if self.needs_whole:
+        if self.needs_full_view:
             return TermAsk()
         return TermAsk(have_index=self.view.index, have_hash=self.view.hash if self.view.index else "")
 
-    async def _make_colleague_result(self, identity: str, address: str, ask: TermAsk) -> TermResult:
+    async def _answer_peer_ask(self, identity: str, address: str, ask: TermAsk) -> TermResult:
         result = TermResult(
             held=self.is_current(),
             held_micros=max(self.clock.now() - self.current_at, 0),
@@ -183,16 +185,16 @@
         if result.members_index >= self.membership.index and result.members.member and not is_known:
             self.membership = Membership(result.members_index, result.members)
 
-    def _take_delta(self, result: TermResult) -> None:
+    def _apply_view_delta(self, result: TermResult) -> None:
         delta = delta_of(result)
         if delta is None or delta.index <= self.view.index:
             return
         next_view = self.view.with_delta(delta)
         if next_view is None:
             # Another answer may have come in between; if not, the whole digest is asked for.
-            self.needs_whole = delta.base_index == self.view.index
+            self.needs_full_view = delta.base_index == self.view.index
             return
-        self.needs_whole = False
+        self.needs_full_view = False
         old_revision = self.view.description_revision
         self.view = next_view
         for line_name, fact in next_view.weights.items():
@@ -210,12 +212,12 @@
                 next_view.number,
             )
 
-    def _settle_marks(self) -> None:
+    def _confirm_view(self) -> None:
         now_micros = self.clock.now()
-        still_waiting = []
-        for asked_micros, wanted_index in self.waiting_marks:
+        still_unconfirmed = []
+        for asked_micros, wanted_index in self.pending_confirmations:
             if self.view.index >= wanted_index:
                 self.current_at = max(self.current_at, asked_micros)
             elif now_micros - asked_micros <= self.term_micros:
-                still_waiting.append((asked_micros, wanted_index))
-        self.waiting_marks = still_waiting
+                still_unconfirmed.append((asked_micros, wanted_index))
+        self.pending_confirmations = still_unconfirmed
--- a/src/pearhead/router/weights_clock.py
+++ b/src/pearhead/router/weights_grace_period.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from pearhead.config.view import View
-from pearhead.router.term import TermKeeper
+from pearhead.router.view_replica import ViewReplica
 from pearhead.runtime.clock import Clock
 
 
-class WeightsClock:
+class WeightsGracePeriod:
     """The first naming after a version counts, from when this node last knew of none: that was before its yes.
 
     Each view is noted as it comes in. Noted with the next request only, those that came before a node's first request
     would be missed, and a node that has just started would grant old weights a time anew.
     """
 
-    def __init__(self, clock: Clock, keeper: TermKeeper, old_micros: int) -> None:
+    def __init__(self, clock: Clock, keeper: ViewReplica, grace_period_micros: int) -> None:
         self.clock = clock
         self.keeper = keeper
-        self.old_micros = old_micros
+        self.grace_period_micros = grace_period_micros
         self.seen_view: View | None = None
         self.named_at: dict[tuple[str, int], int] = {}
         keeper.view_observers.append(self._note)
@@ -29,7 +29,7 @@
             (at for (named_line, named), at in self.named_at.items() if named_line == line and named > version),
             default=None,
         )
-        return superseded is None or self.clock.now() - superseded < self.old_micros
+        return superseded is None or self.clock.now() - superseded < self.grace_period_micros
 
     def _note(self, view: View) -> None:
         self.seen_view = view
--- a/src/pearhead/router/roll_out.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -12,11 +12,11 @@
 
 from pearhead.config.view import View
 from pearhead.discovery.directory import Directory
-from pearhead.router.core_commander import Commander, ViewSource
-from pearhead.router.rendezvous import rank_of
+from pearhead.router.core_command_client import CommandClient, ViewSource
+from pearhead.router.rendezvous import rendezvous_rank
 from pearhead.router.roster_merge import Roster
-from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend, LoadOrder, OrderOutcome, WorkerControl
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Command, ModelNote
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -25,33 +25,33 @@
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 50 * MILLI
 SILENCE_MICROS = 2 * SECOND
-RANK_MICROS = 1_500 * MILLI
-TWICE_MICROS = 20 * MILLI
+RANK_DELAY_MICROS = 1_500 * MILLI
+NOTE_REPEAT_MICROS = 20 * MILLI
 LEAVE_MICROS = 40 * MILLI
 ORDER_LIMIT_MICROS = 700 * MILLI
 REPORT_LIMIT_MICROS = 500 * MILLI
-FIRST_REPORT_MICROS = 450 * MILLI
-NEXT_REPORT_MICROS = 150 * MILLI
+FIRST_REPORT_DELAY_MICROS = 450 * MILLI
+REPORT_INTERVAL_MICROS = 150 * MILLI
 LOAD_LIMIT_MICROS = 8 * SECOND
 AGAIN_MICROS = SECOND
-SLEPT_MICROS = SECOND
-LIST_MICROS = 2 * SECOND
+SUSPENDED_MICROS = SECOND
+LIST_WAIT_MICROS = 2 * SECOND
 ORDER_MICROS = 1_700 * MILLI
-MARGIN_MICROS = 300 * MILLI
-RUSH_MICROS = 5 * SECOND
-HOLD_TRIES = 3
-ORDER_TRIES = 3
-IDLE_REPORTS = 3
-SILENT_REPORTS = 2
+LEASE_MARGIN_MICROS = 300 * MILLI
+FULL_PARALLEL_AFTER_MICROS = 5 * SECOND
+LEASE_ATTEMPTS = 3
+ORDER_ATTEMPTS = 3
+IDLE_REPORT_LIMIT = 3
+UNANSWERED_REPORT_LIMIT = 2
 
 
-class RosterHolder(Protocol):
+class RosterProvider(Protocol):
     @property
     def roster(self) -> Roster: ...
 
 
 @dataclass(frozen=True)
-class _Hold:
+class _WorkerLease:
     """`order_until`: no order begins later (§7.2)."""
 
     fence: int
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class _Settled:
+class _SettledState:
     """No worker was behind by these; what each is, never changes. The lines' progress lasts while they are in force."""
 
     view: View
@@ -76,7 +76,7 @@
     seen_micros: int
 
 
-class RollOut:
+class WeightsRollout:
     """The first by rendezvous over the line orders; the next when it saw no progress for 2 s and 1.5 s a rank.
 
     A hold is taken for each order, and only then. Its orders begin within `order_micros` from when it was asked for;
@@ -93,13 +93,13 @@
         clock: Clock,
         crew: Crew,
         control: WorkerControl,
-        rosters: RosterHolder,
+        rosters: RosterProvider,
         keeper: ViewSource,
-        commander: Commander,
-        book: VersionBook,
-        hold_micros: int,
+        command_client: CommandClient,
+        book: WorkerVersionTable,
+        worker_lease_micros: int,
         order_micros: int = ORDER_MICROS,
-        rush_micros: int = RUSH_MICROS,
+        full_parallel_after_micros: int = FULL_PARALLEL_AFTER_MICROS,
     ) -> None:
         self.identity = identity
         self.courier = courier
@@ -109,18 +109,18 @@
         self.control = control
         self.rosters = rosters
         self.keeper = keeper
-        self.commander = commander
+        self.command_client = command_client
         self.book = book
-        self.hold_micros = hold_micros
-        self.order_micros = min(order_micros, hold_micros - MARGIN_MICROS)
-        self.rush_micros = rush_micros
-        self.holds: dict[str, _Hold] = {}
+        self.worker_lease_micros = worker_lease_micros
+        self.order_micros = min(order_micros, worker_lease_micros - LEASE_MARGIN_MICROS)
+        self.full_parallel_after_micros = full_parallel_after_micros
+        self.holds: dict[str, _WorkerLease] = {}
         self.lines: dict[str, _LineState] = {}
         self.loads: dict[tuple[str, str], asyncio.Task[None]] = {}
-        self.again_micros: dict[str, int] = {}
+        self.retry_at_micros: dict[str, int] = {}
         self.failure_counts: dict[str, int] = {}
         self.is_draining = False
-        self.settled: _Settled | None = None
+        self.settled: _SettledState | None = None
         courier.on_tell("model_note", self._take_note)
 
     async def run(self) -> None:
@@ -128,17 +128,17 @@
         while True:
             await rest(self.clock, ROUND_MICROS)
             now_micros = self.clock.now()
-            if now_micros - seen_micros >= SLEPT_MICROS:
+            if now_micros - seen_micros >= SUSPENDED_MICROS:
                 # It slept: what others did meanwhile comes with the next list, and would be ordered again.
-                quiet_until = now_micros + LIST_MICROS
+                quiet_until = now_micros + LIST_WAIT_MICROS
             seen_micros = now_micros
             if now_micros >= quiet_until and self.keeper.is_current() and not self.is_draining:
                 self._work_once()
 
-    def note_version(self, worker: str, line: str, version: int) -> None:
+    def record_version(self, worker: str, line: str, version: int) -> None:
         """What an answer of the worker told; from the way of requests."""
         if self.book.note(worker, line, version):
-            self._progress(line, version)
+            self._record_progress(line, version)
 
     # ---- what there is to do ---------------------------------------------------------------------
 
@@ -156,12 +156,12 @@
             self.settled = None
         self.loads = {key: task for key, task in self.loads.items() if not task.done()}
         self.holds = {n: hold for n, hold in self.holds.items() if n in self.rosters.roster.backends}
-        self.again_micros = {n: at for n, at in self.again_micros.items() if at > now_micros}
+        self.retry_at_micros = {n: at for n, at in self.retry_at_micros.items() if at > now_micros}
         self.failure_counts = {n: c for n, c in self.failure_counts.items() if n in self.rosters.roster.backends}
         states = []
         is_settled = not self.loads
         for line in self.keeper.view.weights:
-            wanted = self._wanted(line)
+            wanted = self._wanted_version(line)
             if wanted is None:
                 continue
             state = self.lines.get(line)
@@ -177,9 +177,9 @@
                 continue
             self._start_loads(line, state, pending)
         if is_settled:
-            self.settled = _Settled(self.keeper.view, self.rosters.roster, states, now_micros)
+            self.settled = _SettledState(self.keeper.view, self.rosters.roster, states, now_micros)
 
-    def _wanted(self, line: str) -> int | None:
+    def _wanted_version(self, line: str) -> int | None:
         """The version named for a line; None while its weights' name is no decimal."""
         fact = self.keeper.view.weights.get(line)
         return int(fact.weights) if fact is not None and fact.weights.isdecimal() else None
@@ -201,9 +201,11 @@
     def _is_turn(self, line: str, state: _LineState) -> bool:
         if any(key[0] == line for key in self.loads):
             return True
-        rank = rank_of(self.identity, (r.identity for r in self.directory.members("router")), f"roll-out/{line}")
+        rank = rendezvous_rank(
+            self.identity, (r.identity for r in self.directory.members("router")), f"roll-out/{line}"
+        )
         silent_micros = self.clock.now() - state.progress_micros
-        return rank == 0 or silent_micros >= SILENCE_MICROS + RANK_MICROS * rank
+        return rank == 0 or silent_micros >= SILENCE_MICROS + RANK_DELAY_MICROS * rank
 
     def _start_loads(self, line: str, state: _LineState, pending: list[Backend]) -> None:
         workers = [b for b in self._workers_of(line) if not self._is_leaving(b.name)]
@@ -214,44 +216,44 @@
             )
         # Requests on older weights end soon after the naming: a worker not loaded by then serves nobody, so
         # nothing is spared by letting it wait.
-        is_late = self.clock.now() - state.named_micros >= self.rush_micros
+        is_late = self.clock.now() - state.named_micros >= self.full_parallel_after_micros
         room = len(workers) if is_late else max(1, len(workers) // 3)
         busy = {key[1] for key in self.loads if key[0] == line}
         busy |= {b.name for b in workers if self.book.is_loading(b.name)}
         # One that failed does not keep others from their turn. While several versions are about, the oldest goes first:
         # requests that were served by newer ones would go back to it.
-        for backend in sorted(pending, key=lambda b: self._turn_of(b, line)):
+        for backend in sorted(pending, key=lambda b: self._load_priority(b, line)):
             if len(busy) >= room:
                 return
-            if backend.name in busy or backend.name in self.again_micros:
+            if backend.name in busy or backend.name in self.retry_at_micros:
                 continue
             busy.add(backend.name)
             self.loads[line, backend.name] = self.crew.start(self._load(line, backend, state.wanted))
 
-    def _turn_of(self, backend: Backend, line: str) -> tuple[int, int]:
+    def _load_priority(self, backend: Backend, line: str) -> tuple[int, int]:
         return self.failure_counts.get(backend.name, 0), self.book.version_of(backend.name, line) or 0
 
     # ---- one worker ------------------------------------------------------------------------------
 
     async def _load(self, line: str, backend: Backend, wanted: int) -> None:
         """Holds it, tells nodes to leave it alone, orders, and looks until it is done."""
-        if await self._take_hold(backend.name) is None:
-            self.again_micros[backend.name] = self.clock.now() + AGAIN_MICROS // 4
+        if await self._acquire_lease(backend.name) is None:
+            self.retry_at_micros[backend.name] = self.clock.now() + AGAIN_MICROS // 4
             return
         if not self._is_behind(backend, line, wanted):
             return  # Word of it came meanwhile: this node had slept, or another was quicker.
         is_done = False
-        await self._tell_loading(backend.name, line, wanted)
+        await self._announce_loading(backend.name, line, wanted)
         try:
-            for _ in range(ORDER_TRIES):
-                hold = await self._take_hold(backend.name)
+            for _ in range(ORDER_ATTEMPTS):
+                hold = await self._acquire_lease(backend.name)
                 if hold is None:
                     break
-                outcome = await self._order(line, backend, wanted, hold)
+                outcome = await self._send_order(line, backend, wanted, hold)
                 if outcome is OrderOutcome.HOLDS_ALREADY:
                     is_done = True
                 elif outcome in (OrderOutcome.TAKEN, OrderOutcome.BUSY, None):
-                    watched = await self._watch(line, backend, wanted, outcome is OrderOutcome.TAKEN)
+                    watched = await self._wait_for_version(line, backend, wanted, outcome is OrderOutcome.TAKEN)
                     if watched is None:
                         break
                     is_done = watched
@@ -264,10 +266,10 @@
                 self.failure_counts.pop(backend.name, None)
             else:
                 count = self.failure_counts[backend.name] = self.failure_counts.get(backend.name, 0) + 1
-                self.again_micros[backend.name] = self.clock.now() + AGAIN_MICROS * min(count, 4)
+                self.retry_at_micros[backend.name] = self.clock.now() + AGAIN_MICROS * min(count, 4)
             self._tell(ModelNote(worker=backend.name, line=line, version=wanted if is_done else 0, loading=False))
 
-    async def _order(self, line: str, backend: Backend, wanted: int, hold: _Hold) -> OrderOutcome | None:
+    async def _send_order(self, line: str, backend: Backend, wanted: int, hold: _WorkerLease) -> OrderOutcome | None:
         """None: no answer, so it may have been taken."""
 
         def may_begin() -> bool:
@@ -275,7 +277,7 @@
                 self.holds.get(backend.name) == hold
                 and self.clock.now() < hold.order_until
                 and self.keeper.is_current()
-                and self._wanted(line) == wanted
+                and self._wanted_version(line) == wanted
                 and not self._is_leaving(backend.name)
             )
 
@@ -290,30 +292,30 @@
             LOGGER.warning("router: An order was not taken. worker=%s outcome=%s", backend.name, given.ok_value.value)
         return given.ok_value
 
-    async def _watch(self, line: str, backend: Backend, wanted: int, is_taken: bool) -> bool | None:
+    async def _wait_for_version(self, line: str, backend: Backend, wanted: int, is_taken: bool) -> bool | None:
         """Whether it runs the wanted version; False once it has no order of ours to do, None if it can't be asked."""
         began_micros = self.clock.now()
         told_micros = began_micros
-        wait_micros = FIRST_REPORT_MICROS if is_taken else NEXT_REPORT_MICROS
-        idle_count = silent_count = 0
+        wait_micros = FIRST_REPORT_DELAY_MICROS if is_taken else REPORT_INTERVAL_MICROS
+        idle_count = unanswered_report_count = 0
         while self.clock.now() - began_micros < LOAD_LIMIT_MICROS:
             await rest(self.clock, wait_micros)
             if (self.book.version_of(backend.name, line) or 0) >= wanted:
                 return True
-            if backend.name not in self.rosters.roster.backends or silent_count >= SILENT_REPORTS:
+            if backend.name not in self.rosters.roster.backends or unanswered_report_count >= UNANSWERED_REPORT_LIMIT:
                 return None
             given = await self.control.report(backend.address, REPORT_LIMIT_MICROS)
-            silent_count = silent_count + 1 if isinstance(given, Err) else 0
+            unanswered_report_count = unanswered_report_count + 1 if isinstance(given, Err) else 0
             if isinstance(given, Ok):
                 if given.ok_value.versions.get(line, 0) >= wanted:
                     return True
                 # A report is some hundred milliseconds old: three without an order tell that there is none.
                 idle_count = 0 if given.ok_value.is_loading else idle_count + 1
-                if idle_count >= IDLE_REPORTS:
+                if idle_count >= IDLE_REPORT_LIMIT:
                     return False
             now_micros = self.clock.now()
             # What runs ends first, which may take seconds: reports cost, so they come more seldom then.
-            wait_micros = max(NEXT_REPORT_MICROS, (now_micros - began_micros) // 5)
+            wait_micros = max(REPORT_INTERVAL_MICROS, (now_micros - began_micros) // 5)
             if now_micros - told_micros >= SECOND:
                 told_micros = now_micros
                 self._tell(ModelNote(worker=backend.name, line=line, version=wanted, loading=True))
@@ -321,18 +323,18 @@
 
     # ---- holds -----------------------------------------------------------------------------------
 
-    async def _take_hold(self, name: str) -> _Hold | None:
+    async def _acquire_lease(self, name: str) -> _WorkerLease | None:
         """A hold with time left for an order, from the core if need be; None if another node has the worker."""
-        for _ in range(HOLD_TRIES):
+        for _ in range(LEASE_ATTEMPTS):
             held = self.holds.get(name)
             asked_micros = self.clock.now()
             if held is not None and asked_micros < held.order_until - ORDER_LIMIT_MICROS:
                 return held
             command = Command()
             command.hold.worker, command.hold.holder = name, self.identity
-            command.hold.term_micros = self.hold_micros
+            command.hold.term_micros = self.worker_lease_micros
             command.hold.renew_fence = held.fence if held is not None else 0
-            given = await self.commander.command(command)
+            given = await self.command_client.command(command)
             if isinstance(given, Err) or given.ok_value.status not in ("done", "held", "refused"):
                 continue
             if given.ok_value.status != "done":
@@ -343,30 +345,30 @@
             if present is not None and present.fence > fence:
                 return None
             # Counted from before it was asked for (§7.2).
-            self.holds[name] = _Hold(fence, asked_micros + self.order_micros)
+            self.holds[name] = _WorkerLease(fence, asked_micros + self.order_micros)
             return self.holds[name]
         return None
 
     # ---- telling ---------------------------------------------------------------------------------
 
-    async def _tell_loading(self, name: str, line: str, wanted: int) -> None:
+    async def _announce_loading(self, name: str, line: str, wanted: int) -> None:
         """Twice, as datagrams get lost; then what was already on its way has time to arrive."""
         note = ModelNote(worker=name, line=line, version=wanted, loading=True)
         self._tell(note)
-        await rest(self.clock, TWICE_MICROS)
+        await rest(self.clock, NOTE_REPEAT_MICROS)
         self._tell(note)
         await rest(self.clock, LEAVE_MICROS)
 
     def _tell(self, note: ModelNote) -> None:
-        if self.book.take_note(note):
-            self._progress(note.line, note.version)
+        if self.book.apply_note(note):
+            self._record_progress(note.line, note.version)
         self.courier.cast([r.address for r in self.directory.members("router")], "model_note", note)
 
     def _take_note(self, identity: str, address: str, note: ModelNote) -> None:
-        if self.book.take_note(note):
-            self._progress(note.line, note.version)
+        if self.book.apply_note(note):
+            self._record_progress(note.line, note.version)
 
-    def _progress(self, line: str, version: int) -> None:
+    def _record_progress(self, line: str, version: int) -> None:
         state = self.lines.get(line)
         if state is not None and version >= state.wanted:
             state.progress_micros = self.clock.now()
--- a/src/pearhead/router/worker_control.py
+++ b/src/pearhead/router/worker_control.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class KeptEvent:
+class PrefixCacheEvent:
     """A part's kept tokens changed. `tokens`: what is kept now; zero when nothing is."""
 
     is_kept: bool
@@ -40,13 +40,13 @@
 
 
 @dataclass(frozen=True)
-class KeptEvents:
+class PrefixCacheEventBatch:
     """Events of one life; `next_sequence` is where the next call goes on. `is_dropped`: some before are gone unseen."""
 
     life: str
     next_sequence: int
     is_dropped: bool
-    events: tuple[KeptEvent, ...] = ()
+    events: tuple[PrefixCacheEvent, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -94,10 +94,10 @@
 
     async def kept_events(
         self, address: str, since: int, wait_micros: int, limit_micros: int
-    ) -> Result[KeptEvents, str]:
+    ) -> Result[PrefixCacheEventBatch, str]:
         """What changed from `since` on, held for up to `wait_micros` while nothing did."""
 
-    async def kept_list(self, address: str, limit_micros: int) -> Result[KeptEvents, str]:
+    async def kept_list(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
         """All that is kept. It holds the worker up."""
 
     async def report(self, address: str, limit_micros: int) -> Result[WorkerReport, str]: ...
--- a/src/pearhead/router/holder.py
+++ b/src/pearhead/router/worker_lease.py
@@ -16,17 +16,17 @@
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
 from pearhead.router.command_session import CommandSession
-from pearhead.router.index import CopyIndex
+from pearhead.router.copy_index import CopyIndex
 from pearhead.router.job_transport import SendPrecondition
-from pearhead.router.term import TermKeeper
-from pearhead.router.wave import (
-    DRAIN_MICROS,
-    LAST_DRAIN_MICROS,
-    SPREAD_MICROS,
-    WAVE_MICROS,
+from pearhead.router.load_waves import (
+    FIRST_WAVE_DRAIN_MICROS,
+    FIRST_WAVE_TIMEOUT_MICROS,
+    SECOND_WAVE_DRAIN_MICROS,
+    VIEW_PROPAGATION_MICROS,
     first_wave,
     is_wave_serving,
 )
+from pearhead.router.view_replica import ViewReplica
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import ChangedNote, Command, CommandAsk, CommandResult, CopyNote, PurgeNote
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
@@ -34,17 +34,17 @@
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 200 * MILLI
-ASK_MICROS = 700 * MILLI
+COMMAND_TIMEOUT_MICROS = 700 * MILLI
 POLL_MICROS = 250 * MILLI
 LOAD_LIMIT_MICROS = 6 * SECOND
-MARGIN_MICROS = 300 * MILLI
+LEASE_MARGIN_MICROS = 300 * MILLI
 BUMP_LIMIT = 512
-KEYS_A_NOTE = 25
+KEYS_PER_NOTE = 25
 LONG_TOKENS = 1_000
-SILENT_POLLS = 2
-PARTS_AT_ONCE = 16
-CHANGED_SPREAD_MICROS = 250 * MILLI
-CHANGED_WAIT_MICROS = SECOND
+UNANSWERED_POLL_LIMIT = 2
+BUMP_BATCH_SIZE = 16
+BUMP_JITTER_MICROS = 250 * MILLI
+PENDING_BUMP_WAIT_MICROS = SECOND
 
 
 class WorkerLink(Protocol):
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class _Hold:
+class _WorkerLease:
     fence: int
     valid_until: int
     renew_at: int
@@ -69,7 +69,7 @@
 
 
 @dataclass
-class _Report:
+class _PollState:
     life: str = ""
     sequence: int = 0
     load: tuple[int, int] = (0, 0)
@@ -78,11 +78,11 @@
     is_busy: bool = False
 
 
-class HolderController:
+class WorkerLeaseController:
     def __init__(
         self,
         identity: str,
-        keeper: TermKeeper,
+        keeper: ViewReplica,
         listener: Listener,
         index: CopyIndex,
         link: WorkerLink,
@@ -91,7 +91,7 @@
         clock: Clock,
         chance: random.Random,
         crew: Crew,
-        hold_micros: int,
+        worker_lease_micros: int,
     ) -> None:
         self.identity = identity
         self.keeper = keeper
@@ -103,20 +103,20 @@
         self.clock = clock
         self.chance = chance
         self.crew = crew
-        self.hold_micros = hold_micros
+        self.worker_lease_micros = worker_lease_micros
         self.session = CommandSession(identity)
-        self.holds: dict[str, _Hold] = {}
-        self.asking: set[str] = set()
-        self.reports: dict[str, _Report] = {}
-        self.bumped_for: dict[str, int] = {}
-        self.good_core = ""
-        self.load_watcher: Callable[[str, int, int], None] = lambda worker, running, waiting_tokens: None
-        self.start_watcher: Callable[[str, int], None] = lambda worker, tokens: None
-        self.soundness_watcher: Callable[[str], None] = lambda worker: None
+        self.holds: dict[str, _WorkerLease] = {}
+        self.pending_lease_requests: set[str] = set()
+        self.reports: dict[str, _PollState] = {}
+        self.bumped_revisions: dict[str, int] = {}
+        self.preferred_core = ""
+        self.load_callback: Callable[[str, int, int], None] = lambda worker, running, waiting_tokens: None
+        self.prefill_start_callback: Callable[[str, int], None] = lambda worker, tokens: None
+        self.unsound_callback: Callable[[str], None] = lambda worker: None
         self.may_serve: Callable[[View, str, str], bool] = lambda view, line, worker: True
         self.serving_since: dict[tuple[str, int], int] = {}
         self.is_draining = False
-        listener.copy_watcher = self._take_copies
+        listener.copy_watcher = self._handle_purge_note
 
     async def run(self) -> None:
         while True:
@@ -134,17 +134,17 @@
             if hold is not None and now_micros >= hold.valid_until:
                 self.holds.pop(name)
                 hold = None
-            if name not in self.asking and (
+            if name not in self.pending_lease_requests and (
                 (hold is None and self._is_first(name)) or (hold is not None and now_micros >= hold.renew_at)
             ):
-                self.asking.add(name)
-                self.crew.start(self._ask_hold(name, hold.fence if hold else 0))
+                self.pending_lease_requests.add(name)
+                self.crew.start(self._request_lease(name, hold.fence if hold else 0))
             if hold is not None:
-                self._use_hold(view, worker, hold)
+                self._act_on_lease(view, worker, hold)
         for line, fact in view.weights.items():
-            if line in self.bumped_for and self.bumped_for[line] != fact.revision and self._is_first(line):
+            if line in self.bumped_revisions and self.bumped_revisions[line] != fact.revision and self._is_first(line):
                 self.crew.start(self._bump_line(line))
-            self.bumped_for[line] = fact.revision
+            self.bumped_revisions[line] = fact.revision
 
     def _is_first(self, name: str) -> bool:
         """By rendezvous among the nodes alive: who should hold; the core decides who does (§7.2)."""
@@ -156,49 +156,52 @@
     def _service_role(self, view: View, worker: WorkerFact) -> str:
         return view.role_by_service.get(worker.service, "application")
 
-    async def _ask_hold(self, name: str, held_fence: int) -> None:
+    async def _request_lease(self, name: str, current_fence: int) -> None:
         try:
             asked_micros = self.clock.now()
             command = Command()
             command.hold.worker, command.hold.holder = name, self.identity
-            command.hold.term_micros, command.hold.renew_fence = self.hold_micros, held_fence
+            command.hold.term_micros, command.hold.renew_fence = self.worker_lease_micros, current_fence
             result = await self._command(command)
             if result is not None and result.status == "done":
                 fence = int(json.loads(result.body)["fence"])
                 held = self.holds.get(name)
                 # The term counts from before it was asked for, and ends early (§7.2).
-                self.holds[name] = _Hold(
+                self.holds[name] = _WorkerLease(
                     fence,
-                    asked_micros + self.hold_micros - MARGIN_MICROS,
-                    asked_micros + self.hold_micros // 3,
+                    asked_micros + self.worker_lease_micros - LEASE_MARGIN_MICROS,
+                    asked_micros + self.worker_lease_micros // 3,
                     held is not None and held.is_busy,
                     held.claimed_life if held is not None and held.fence == fence else "",
                 )
             elif result is not None and result.status in ("held", "refused"):
                 self.holds.pop(name, None)
         finally:
-            self.asking.discard(name)
+            self.pending_lease_requests.discard(name)
 
     async def _command(self, command: Command) -> CommandResult | None:
         """Asks the core that answered last, and another once that one is silent."""
-        self.session.stamp(command)
+        self.session.assign_number(command)
         addresses = self.keeper.core_addresses()
         if not addresses:
             return None
-        if self.good_core not in addresses:
-            self.good_core = self.chance.choice(addresses)
-        asked_core = self.good_core
+        if self.preferred_core not in addresses:
+            self.preferred_core = self.chance.choice(addresses)
+        asked_core = self.preferred_core
         ask = CommandAsk(command=command.SerializeToString())
-        given_result = await self.courier.ask(asked_core, "command_ask", ask, ASK_MICROS)
-        is_good = not isinstance(given_result, Err) and given_result.ok_value.status not in ("unavailable", "unknown")
-        if not is_good and self.good_core == asked_core:
-            self.good_core = addresses[(addresses.index(asked_core) + 1) % len(addresses)]
+        given_result = await self.courier.ask(asked_core, "command_ask", ask, COMMAND_TIMEOUT_MICROS)
+        has_core_answered = not isinstance(given_result, Err) and given_result.ok_value.status not in (
+            "unavailable",
+            "unknown",
+        )
+        if not has_core_answered and self.preferred_core == asked_core:
+            self.preferred_core = addresses[(addresses.index(asked_core) + 1) % len(addresses)]
         return None if isinstance(given_result, Err) else given_result.ok_value
 
     # ---- what a holder does ----------------------------------------------------------------------
 
-    def _use_hold(self, view: View, worker: WorkerFact, hold: _Hold) -> None:
-        report = self.reports.setdefault(worker.name, _Report())
+    def _act_on_lease(self, view: View, worker: WorkerFact, hold: _WorkerLease) -> None:
+        report = self.reports.setdefault(worker.name, _PollState())
         if not report.is_busy:
             report.is_busy = True
             self.crew.start(self._gather(worker, report))
@@ -218,7 +221,7 @@
         is_loaded = load is not None and load.line == line and load.life == report.life
         if load is not None and not is_loaded:
             # Started again: it would refuse each job until it is loaded (§7.5).
-            self._tell_unsound(worker.name)
+            self._announce_unsound(worker.name)
         if load is not None and is_loaded and load.weights_revision == present.revision:
             return
         if is_loaded and not self._may_begin(view, worker, line, present.revision, report):
@@ -242,30 +245,30 @@
             if hold.fence == fence and not isinstance(claimed, Err):
                 hold.claimed_life = claimed.ok_value["life"]
 
-    def _may_begin(self, view: View, worker: WorkerFact, line: str, revision: int, report: _Report) -> bool:
+    def _may_begin(self, view: View, worker: WorkerFact, line: str, revision: int, report: _PollState) -> bool:
         """Two waves: the first half at once, the rest when that half serves or is late (§7.3).
 
         Nodes leave a worker alone from then on, and its last jobs are waited for: not all drain by themselves.
         """
         now_micros = self.clock.now()
         since_micros = self.clock.now() - self.keeper.first_seen.get((line, revision), 0)
-        if since_micros < SPREAD_MICROS:
+        if since_micros < VIEW_PROPAGATION_MICROS:
             return False  # Nodes that have not seen the naming would still send jobs here.
-        is_useless = not self.may_serve(view, line, worker.name)
-        if is_useless or worker.name in first_wave(view, worker.service, revision):
-            return self._is_drained(report, now_micros - since_micros) or since_micros > DRAIN_MICROS
+        is_barred = not self.may_serve(view, line, worker.name)
+        if is_barred or worker.name in first_wave(view, worker.service, revision):
+            return self._is_drained(report, now_micros - since_micros) or since_micros > FIRST_WAVE_DRAIN_MICROS
         # Once over, a wave stays over, whoever leaves of it.
-        is_over = (line, revision) in self.serving_since or since_micros > WAVE_MICROS
+        is_over = (line, revision) in self.serving_since or since_micros > FIRST_WAVE_TIMEOUT_MICROS
         if not is_over and not is_wave_serving(view, worker.service, revision):
             return False
         serving_since = self.serving_since.setdefault((line, revision), now_micros)
-        if now_micros - serving_since < SPREAD_MICROS:
+        if now_micros - serving_since < VIEW_PROPAGATION_MICROS:
             return False
-        return self._is_drained(report, serving_since) or since_micros > LAST_DRAIN_MICROS
+        return self._is_drained(report, serving_since) or since_micros > SECOND_WAVE_DRAIN_MICROS
 
-    def _is_drained(self, report: _Report, from_micros: int) -> bool:
+    def _is_drained(self, report: _PollState, from_micros: int) -> bool:
         """By a poll that was asked after every node left the worker alone."""
-        return report.load[0] == 0 and report.asked_micros >= from_micros + SPREAD_MICROS
+        return report.load[0] == 0 and report.asked_micros >= from_micros + VIEW_PROPAGATION_MICROS
 
     async def _load(self, worker: WorkerFact, fence: int, line: str, weights: str, revision: int) -> None:
         try:
@@ -298,23 +301,23 @@
             if worker.name in self.holds:
                 self.holds[worker.name].is_busy = False
 
-    async def _gather(self, worker: WorkerFact, report: _Report) -> None:
+    async def _gather(self, worker: WorkerFact, report: _PollState) -> None:
         try:
             asked_micros = self.clock.now()
             given_result = await self.link.events(worker.address, report.life, report.sequence)
             if isinstance(given_result, Err):
                 report.failure_count += 1
-                if report.failure_count >= SILENT_POLLS:
-                    self._tell_unsound(worker.name)
+                if report.failure_count >= UNANSWERED_POLL_LIMIT:
+                    self._announce_unsound(worker.name)
                 await rest(self.clock, POLL_MICROS)
                 return
             report.failure_count, report.asked_micros = 0, asked_micros
             body = given_result.ok_value
-            is_news = body["life"] != report.life or body["sequence"] != report.sequence
+            has_new_state = body["life"] != report.life or body["sequence"] != report.sequence
             from_sequence = 0 if body["whole"] else report.sequence
             report.life, report.sequence = body["life"], body["sequence"]
             load = (int(body.get("running", 0)), int(body.get("waiting_tokens", 0)))
-            if is_news or load != report.load:
+            if has_new_state or load != report.load:
                 report.load = load
                 self._spread(worker, body, from_sequence)
             self._bump_changed(body["changed"])
@@ -337,18 +340,18 @@
             for record in self.directory.members("router"):
                 self.courier.tell(record.address, "purge_note", note)
 
-    def _take_changed(self, note: ChangedNote) -> None:
+    def _handle_changed_note(self, note: ChangedNote) -> None:
         parts = {self.index.part_by_key[key] for key in note.key if key in self.index.part_by_key}
         for part in sorted(parts):
-            self.crew.start(self._bump_for_another(*part))
+            self.crew.start(self._bump_on_behalf(*part))
 
-    async def _bump_for_another(self, owner: str, line: str, part: int) -> None:
+    async def _bump_on_behalf(self, owner: str, line: str, part: int) -> None:
         """Several may know the part: each waits a while of its own, and whoever hears of a bump leaves it at that."""
         revision = self.listener.revision_of(owner, line, part)
-        await rest(self.clock, self.chance.randrange(CHANGED_SPREAD_MICROS))
+        await rest(self.clock, self.chance.randrange(BUMP_JITTER_MICROS))
         if self.listener.is_changing(owner, line, part):
             # Asked for by another, who may be gone before it is done.
-            await rest(self.clock, CHANGED_WAIT_MICROS)
+            await rest(self.clock, PENDING_BUMP_WAIT_MICROS)
         # What was not known before can't be seen to move: then one bump too many does no harm.
         if revision is None or self.listener.last_revision_of(owner, line, part) == revision:
             await self.listener.bump(owner, line, part)
@@ -367,51 +370,53 @@
             running=int(body.get("running", 0)),
             waiting_tokens=int(body.get("waiting_tokens", 0)),
         )
-        self._count_copies(note)
+        self._record_copies(note)
         addresses = [r.address for r in self.directory.members("router")]
-        if len(kept) + len(dropped) <= KEYS_A_NOTE:
+        if len(kept) + len(dropped) <= KEYS_PER_NOTE:
             self.courier.cast(addresses, "purge_note", PurgeNote(copy_note=note))
         else:
             # Too long for a datagram: such a list goes as frames.
             for address in addresses:
                 self.courier.tell(address, "purge_note", PurgeNote(copy_note=note))
 
-    def _tell_unsound(self, worker: str) -> None:
+    def _announce_unsound(self, worker: str) -> None:
         """What the holder learns by its polls spares each node a job of its own (§7.5)."""
-        self.soundness_watcher(worker)
+        self.unsound_callback(worker)
         addresses = [r.address for r in self.directory.members("router")]
         self.courier.cast(addresses, "purge_note", PurgeNote(copy_note=CopyNote(worker=worker, unsound=True)))
 
-    def tell_start(self, worker: str, tokens: int) -> None:
+    def announce_prefill(self, worker: str, tokens: int) -> None:
         """A long prefill is told when it is sent: until the next poll all nodes would send jobs behind it (§8.5)."""
         if tokens >= LONG_TOKENS:
             addresses = [r.address for r in self.directory.members("router")]
             note = CopyNote(worker=worker, starting_tokens=tokens)
             self.courier.cast(addresses, "purge_note", PurgeNote(copy_note=note))
 
-    def _take_copies(self, note: PurgeNote) -> None:
+    def _handle_purge_note(self, note: PurgeNote) -> None:
         if note.HasField("changed_note"):
-            self._take_changed(note.changed_note)
+            self._handle_changed_note(note.changed_note)
         elif note.copy_note.unsound:
-            self.soundness_watcher(note.copy_note.worker)
+            self.unsound_callback(note.copy_note.worker)
         elif note.copy_note.starting_tokens:
-            self.start_watcher(note.copy_note.worker, note.copy_note.starting_tokens)
+            self.prefill_start_callback(note.copy_note.worker, note.copy_note.starting_tokens)
         else:
-            self._count_copies(note.copy_note)
+            self._record_copies(note.copy_note)
 
-    def _count_copies(self, note: CopyNote) -> None:
-        self.load_watcher(note.worker, note.running, note.waiting_tokens)
-        self.index.take_report(
+    def _record_copies(self, note: CopyNote) -> None:
+        self.load_callback(note.worker, note.running, note.waiting_tokens)
+        self.index.apply_cache_report(
             note.worker, note.life, note.from_sequence, note.sequence, note.kept, note.dropped, note.whole
         )
         if not note.whole:
-            self.index.tie(self.keeper.view.loads.get(note.worker), note.life, note.from_sequence, note.kept)
+            self.index.record_verified_keys(
+                self.keeper.view.loads.get(note.worker), note.life, note.from_sequence, note.kept
+            )
 
     async def _bump_line(self, line: str) -> None:
         """The node that orders a roll-out sends the request for each part it knows of (§6.3)."""
         parts = self.index.parts_of_line(line)[:BUMP_LIMIT]
         LOGGER.info("router: Bumps parts for new weights. line=%s parts=%d", line, len(parts))
-        for position in range(0, len(parts), PARTS_AT_ONCE):
-            for part in parts[position : position + PARTS_AT_ONCE]:
+        for position in range(0, len(parts), BUMP_BATCH_SIZE):
+            for part in parts[position : position + BUMP_BATCH_SIZE]:
                 self.crew.start(self.listener.bump(*part))
             await rest(self.clock, ROUND_MICROS)
--- a/src/pearhead/router/worker_load_tracker.py
+++ b/src/pearhead/router/worker_load_tracker.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from pearhead.router.read_rate import ReadRates
+from pearhead.router.prefill_rate import PrefillRates
 from pearhead.rpc.wire_pb2 import UseNote, WorkerUse
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
@@ -35,7 +35,7 @@
         self.backoff_until: dict[str, int] = {}
         self.consecutive_failures: dict[str, int] = {}
         self.paces: dict[str, float] = {}
-        self.read_rates = ReadRates(clock)
+        self.read_rates = PrefillRates(clock)
         self.totals: dict[str, Use] = {}
         self.totals_until = 0
         self.is_changed = False
--- a/src/pearhead/router/worker_selector.py
+++ b/src/pearhead/router/worker_selector.py
@@ -12,13 +12,13 @@
 from pearhead.config.view import View
 from pearhead.router.cache_salt_builder import CacheSalt, CacheSaltBuilder
 from pearhead.router.errors import ErrorKind, Refusal
-from pearhead.router.kept_index import KeptIndex
 from pearhead.router.opaque_request import OpaqueRequest
-from pearhead.router.read_rate import FIRST_MICROS, MICROS_A_TOKEN, read_micros
+from pearhead.router.prefill_rate import FIRST_EVENT_MICROS, MICROS_PER_TOKEN, prefill_read_micros
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
 from pearhead.router.roster_merge import Roster
-from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
 FETCH_OVERHEAD_MICROS = 6 * MILLI
@@ -67,8 +67,8 @@
         clock: Clock,
         zone: str,
         roster: Callable[[], Roster],
-        versions: VersionBook,
-        index: KeptIndex,
+        versions: WorkerVersionTable,
+        index: PrefixCacheIndex,
         loads: WorkerLoadTracker,
         salts: CacheSaltBuilder,
         may_use: Callable[[View, str, int], bool],
@@ -200,7 +200,9 @@
         chosen = set(_rendezvous_order(first, candidates)[:HOME_WORKER_COUNT])
         for version in {self.versions.version_of(backend.name, line) for backend in candidates} - {None}:
             assert version is not None
-            chosen |= self.index.keepers_of(self.salts.salt(view, tenant, line, version, request.parts).text, first)
+            chosen |= self.index.cache_locations_of(
+                self.salts.salt(view, tenant, line, version, request.parts).text, first
+            )
         return [backend for backend in candidates if backend.name in chosen]
 
     def _is_usable(self, view: View, backend: Backend, line: str) -> bool:
@@ -209,7 +211,7 @@
 
     def _choose_least_loaded(self, candidates: list[Backend], service: Service) -> WorkerChoice:
         backend = min(candidates, key=lambda b: (self.loads.current_load(b.name).running, b.zone != self.zone, b.name))
-        return WorkerChoice(backend, service.name, "", None, "", 0, 0, "", "", FIRST_MICROS)
+        return WorkerChoice(backend, service.name, "", None, "", 0, 0, "", "", FIRST_EVENT_MICROS)
 
     def _evaluate_worker(
         self,
@@ -238,8 +240,8 @@
         pace = self.loads.slowdown_of(backend.name)
         read = missing - fetched
         rate = self.loads.read_rates.factor(service.name)
-        own_micros = rate * read_micros(read, kept + fetched) + fetch_micros + FIRST_MICROS
-        waiting_micros = rate * use.waiting_tokens * MICROS_A_TOKEN + use.running * RUNNING_REQUEST_MICROS
+        own_micros = rate * prefill_read_micros(read, kept + fetched) + fetch_micros + FIRST_EVENT_MICROS
+        waiting_micros = rate * use.waiting_tokens * MICROS_PER_TOKEN + use.running * RUNNING_REQUEST_MICROS
         capacity = backend.capacity or service.capacity or 1
         if use.running >= capacity:
             waiting_micros += QUEUED_REQUEST_MICROS * (1 + use.running - capacity)
@@ -251,7 +253,7 @@
         placement_penalty_micros += min(max(again, 0) * DUPLICATE_CACHE_MICROS_PER_TOKEN, MAX_DUPLICATE_CACHE_MICROS)
         if shared >= LONG_TOKENS and kept < shared:
             placement_penalty_micros += (
-                rate * min(home_worker_rank, 3) * AFFINITY_COST_FRACTION * shared * MICROS_A_TOKEN / 3
+                rate * min(home_worker_rank, 3) * AFFINITY_COST_FRACTION * shared * MICROS_PER_TOKEN / 3
             )
         save_to = self._store_for(view, salt.text, request, kept) if salt.is_fresh else ""
         return estimated_micros * pace + placement_penalty_micros, WorkerChoice(
@@ -278,7 +280,7 @@
             return frozenset(), 0.0
         waiting_tokens = sum(self.loads.current_load(backend.name).waiting_tokens for backend in candidates)
         rate = self.loads.read_rates.factor(service.name)
-        excess_micros = rate * waiting_tokens * MICROS_A_TOKEN / len(candidates) - RESERVATION_BACKLOG_MICROS
+        excess_micros = rate * waiting_tokens * MICROS_PER_TOKEN / len(candidates) - RESERVATION_BACKLOG_MICROS
         if excess_micros <= 0:
             return frozenset(), 0.0
         names = _rendezvous_order(f"quiet/{service.name}", candidates)[
@@ -301,7 +303,7 @@
         if not request.parts:
             return 0
         first = request.parts[0].part
-        names = self.index.keepers_of(salt, first) | {
+        names = self.index.cache_locations_of(salt, first) | {
             backend.name for backend in candidates if (backend.name, salt, first) in self.expected
         }
         return max((self._cached_tokens(name, salt, request) for name in names), default=0)
@@ -323,7 +325,7 @@
             return "", 0, 0.0
         best = ("", 0, 0.0)
         best_gain = 0.0
-        for keeper in self.index.keepers_of(salt, request.parts[0].part):
+        for keeper in self.index.cache_locations_of(salt, request.parts[0].part):
             if keeper == backend.name:
                 continue
             source = roster.backends.get(keeper)
@@ -344,7 +346,7 @@
             move_micros = tokens * service.token_bytes * 8 / min(mbps, service.link_mbps or mbps)
             move_micros = move_micros * (1 if zone == backend.zone else 2) + FETCH_OVERHEAD_MICROS
             rate = self.loads.read_rates.factor(service.name)
-            gain = RECOMPUTE_COST_WEIGHT * rate * read_micros(tokens, kept) - move_micros
+            gain = RECOMPUTE_COST_WEIGHT * rate * prefill_read_micros(tokens, kept) - move_micros
             if gain > best_gain:
                 best, best_gain = (address, tokens, move_micros), gain
         return best
--- a/src/pearhead/router/version_book.py
+++ b/src/pearhead/router/worker_version_table.py
@@ -8,21 +8,21 @@
 from pearhead.rpc.wire_pb2 import ModelNote
 from pearhead.runtime.clock import SECOND, Clock
 
-LOADING_MICROS = 3 * SECOND
+LOADING_NOTE_TTL_MICROS = 3 * SECOND
 
 
 @dataclass
-class _Known:
+class _WorkerVersions:
     versions: dict[str, int] = field(default_factory=dict)
     loading: dict[str, tuple[int, int]] = field(default_factory=dict)
 
 
-class VersionBook:
+class WorkerVersionTable:
     """A version never goes down within a life, and a name is a life: whatever is told late or twice does nothing."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.known: dict[str, _Known] = {}
+        self.known: dict[str, _WorkerVersions] = {}
 
     def version_of(self, worker: str, line: str) -> int | None:
         """The highest version told of it; None while nothing was."""
@@ -39,7 +39,7 @@
 
     def note(self, worker: str, line: str, version: int) -> bool:
         """Told by the list, a report, an order or an answer; whether it was news."""
-        known = self.known.setdefault(worker, _Known())
+        known = self.known.setdefault(worker, _WorkerVersions())
         if version <= known.versions.get(line, -1):
             return False
         known.versions[line] = version
@@ -47,18 +47,18 @@
             del known.loading[line]
         return True
 
-    def take_note(self, note: ModelNote) -> bool:
+    def apply_note(self, note: ModelNote) -> bool:
         """A node that orders tells when a load begins and ends; whether it was news."""
-        known = self.known.setdefault(note.worker, _Known())
+        known = self.known.setdefault(note.worker, _WorkerVersions())
         if note.loading:
             if note.version <= known.versions.get(note.line, -1):
                 return False
-            known.loading[note.line] = (note.version, self.clock.now() + LOADING_MICROS)
+            known.loading[note.line] = (note.version, self.clock.now() + LOADING_NOTE_TTL_MICROS)
             return True
         was_loading = known.loading.pop(note.line, None) is not None
         return self.note(note.worker, note.line, note.version) or was_loading
 
-    def take_roster(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Whom the roster no longer names is forgotten; the list's old versions count where none newer is known."""
         for name in set(self.known) - set(roster.backends):
             del self.known[name]
--- a/src/pearhead/testbed/capacity/hollow_nodes.py
+++ b/src/pearhead/testbed/capacity/hollow_nodes.py
@@ -18,7 +18,7 @@
 from tornado.web import Application, RequestHandler
 
 from pearhead.discovery.directory import HELLO_MICROS, PEER_COUNT, Directory
-from pearhead.router.term import TermKeeper
+from pearhead.router.view_replica import ViewReplica
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Envelope, Hello, HelloResult, Record
 from pearhead.runtime.bench import Bench
@@ -96,7 +96,7 @@
         self.courier = CountingCourier(record.identity, record.address, self.net, clock)
         self.crew = crew
         self.directory: SharedDirectory
-        self.keeper: TermKeeper
+        self.keeper: ViewReplica
         self.reached: list[tuple[int, int]] = []
         self.lost_count = 0
         self.is_lost = True
@@ -104,7 +104,7 @@
     async def run(self, directory: SharedDirectory, term_micros: int) -> None:
         """Starts within one round of the others, as processes on many machines do."""
         self.directory = directory
-        self.keeper = TermKeeper(self.courier, directory, self.clock, self.chance, self.crew, term_micros)
+        self.keeper = ViewReplica(self.courier, directory, self.clock, self.chance, self.crew, term_micros)
         self.courier.on_tell("hello", self._take_hello)
         self.courier.on_tell("hello_result", directory._take_hello_result)
         await self.net.open()
--- a/src/pearhead/testbed/capacity/mechanisms.py
+++ b/src/pearhead/testbed/capacity/mechanisms.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from pearhead.router.holder import BUMP_LIMIT
+from pearhead.router.worker_lease import BUMP_LIMIT
 from pearhead.testbed.capacity.axes import REAL_NODES
 from pearhead.testbed.capacity.model import (
     DAY_SECONDS,
--- a/src/pearhead/testbed/capacity/model.py
+++ b/src/pearhead/testbed/capacity/model.py
@@ -7,7 +7,7 @@
 
 import numpy
 
-from pearhead.router.index import KEYS_A_WORKER
+from pearhead.router.copy_index import KEYS_PER_WORKER
 from pearhead.testbed.capacity.axes import AXES, REAL_NODES
 from pearhead.testbed.capacity.fit import Fitter, LinearFit
 from pearhead.testbed.capacity.report import fit_axis, fit_text, table_lines
@@ -422,7 +422,7 @@
         "B/W",
         "blocks",
         lambda s, z: z.blocks / z.workers,
-        budget=KEYS_A_WORKER,
+        budget=KEYS_PER_WORKER,
         budget_source="`KEYS_A_WORKER` of the index",
     ),
     Cell(
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -24,8 +24,8 @@
 from pearhead.invalidation.channel import CHANNEL_COUNT
 from pearhead.invalidation.listener import Listener
 from pearhead.invalidation.serializer import Serializer
-from pearhead.router.holder import KEYS_A_NOTE
-from pearhead.router.index import KEYS_A_WORKER, CopyIndex
+from pearhead.router.copy_index import KEYS_PER_WORKER, CopyIndex
+from pearhead.router.worker_lease import KEYS_PER_NOTE
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
@@ -104,7 +104,7 @@
     net = SocketNet("127.0.0.1:0")
     await net.open()
     courier = Courier("0" * 24, "10.0.0.1:7000", net, Bench())
-    note = PurgeNote(copy_note=CopyNote(worker="worker-1234", life="0" * 16, kept=["0" * 32] * KEYS_A_NOTE))
+    note = PurgeNote(copy_note=CopyNote(worker="worker-1234", life="0" * 16, kept=["0" * 32] * KEYS_PER_NOTE))
     spent = _micros(lambda: courier.cast([sink_address] * targets, "purge_note", note))
     net.close()
     sink.close()
@@ -140,15 +140,15 @@
     chance = random.Random(1)
     index = CopyIndex()
     before, chunks, taken = _resident(), [], 0
-    worker_count = -(-blocks // KEYS_A_WORKER)
+    worker_count = -(-blocks // KEYS_PER_WORKER)
     for number in range(worker_count):
         name, load = f"worker-{number}", LoadFact("line", "life", 1, 1, 0, "w1")
-        wanted, sequence, spent = min(KEYS_A_WORKER, blocks - taken), 0, 0.0
+        wanted, sequence, spent = min(KEYS_PER_WORKER, blocks - taken), 0, 0.0
         while sequence < wanted:
-            keys = [chance.randbytes(16).hex() for _ in range(min(KEYS_A_NOTE, wanted - sequence))]
+            keys = [chance.randbytes(16).hex() for _ in range(min(KEYS_PER_NOTE, wanted - sequence))]
             start = time.process_time()
-            index.take_report(name, "life", sequence, sequence + len(keys), keys, [], False)
-            index.tie(load, "life", sequence, keys)
+            index.apply_cache_report(name, "life", sequence, sequence + len(keys), keys, [], False)
+            index.record_verified_keys(load, "life", sequence, keys)
             spent += time.process_time() - start
             sequence += len(keys)
         taken += wanted
@@ -158,8 +158,8 @@
         worker="worker-1234",
         life="0" * 16,
         sequence=10**6,
-        from_sequence=10**6 - KEYS_A_NOTE,
-        kept=[chance.randbytes(16).hex() for _ in range(KEYS_A_NOTE)],
+        from_sequence=10**6 - KEYS_PER_NOTE,
+        kept=[chance.randbytes(16).hex() for _ in range(KEYS_PER_NOTE)],
     )
     envelope = Envelope(identity="0" * 24, address="10.0.0.1:7000", purge_note=PurgeNote(copy_note=note))
     frame = envelope.SerializeToString()
@@ -170,8 +170,8 @@
         "reading an event off the wire, µs": _micros(
             lambda: list(Envelope.FromString(frame).purge_note.copy_note.kept), 200
         )
-        / KEYS_A_NOTE,
-        "bytes of an event on the wire": len(frame) / KEYS_A_NOTE,
+        / KEYS_PER_NOTE,
+        "bytes of an event on the wire": len(frame) / KEYS_PER_NOTE,
     }
 
 
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -19,7 +19,7 @@
 from pearhead.control_plane.core import CoreProcess
 from pearhead.control_plane.fleet import Fleet
 from pearhead.control_plane.membership_controller import FORGET_FACTOR, MembershipController
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import ChangeDescription, Members, TermResult, VoteAsk, VoteResult
 from pearhead.runtime.clock import SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -16,7 +16,7 @@
 from pearhead.control_plane.core import CoreProcess
 from pearhead.router.errors import ERROR_TABLE, NOT_RUN, Refusal
 from pearhead.router.job import parse_job
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import Command, CommandResult, PurgeNote, Worker
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import Deployment, build_description, draw_job, tenant_key
@@ -150,7 +150,7 @@
             part.crew = machine.crew
         self.build_node(node)
         node.start()
-        machine.crew.start(node.wait_open())
+        machine.crew.start(node.wait_until_placeable())
         self.nodes[name] = node
         self.world.note(f"starts {name}")
 
--- a/src/pearhead/testbed/simulator/measure.py
+++ b/src/pearhead/testbed/simulator/measure.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pearhead.control_plane.core import CoreProcess
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import DEPLOYMENTS
 from pearhead.testbed.simulator.fleet import SimFleet
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -16,7 +16,7 @@
 from pearhead.router import job_scheduler
 from pearhead.router.job import Job
 from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import BumpPart, Command, JoinAsk, JoinResult, TakeHold
 from pearhead.testbed.simulator.control_mutations import CONTROL_MUTATIONS, Mutation, Prepare
 from pearhead.testbed.simulator.fleet import SimFleet
@@ -270,7 +270,7 @@
 
         node.budget.take_out = take_out  # type: ignore[method-assign]
         node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
-        node.holder.soundness_watcher = lambda worker: None
+        node.holder.unsound_callback = lambda worker: None
 
     _on_nodes(fleet, change)
 
@@ -334,7 +334,7 @@
 
     def change(node: NodeProcess) -> None:
         node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
-        node.holder.soundness_watcher = lambda worker: None
+        node.holder.unsound_callback = lambda worker: None
         node.budget.take_out = lambda service: False  # type: ignore[method-assign]
 
     _on_nodes(fleet, change)
--- a/src/pearhead/testbed/simulator/scale.py
+++ b/src/pearhead/testbed/simulator/scale.py
@@ -10,7 +10,7 @@
 from pearhead.config.view import View
 from pearhead.control_plane.core import CoreProcess
 from pearhead.invalidation.channel import object_channel
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import ACADEMY
 from pearhead.testbed.simulator.fleet import SimFleet
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -13,10 +13,10 @@
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.listener import Listener
 from pearhead.invalidation.serializer import Serializer
-from pearhead.router.holder import HolderController, _Report
-from pearhead.router.index import CopyIndex
+from pearhead.router.copy_index import CopyIndex
 from pearhead.router.job_transport import SendPrecondition
-from pearhead.router.term import TermKeeper
+from pearhead.router.view_replica import ViewReplica
+from pearhead.router.worker_lease import WorkerLeaseController, _PollState
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import BumpPart, Command, PurgeNote, Record
 from pearhead.runtime.clock import MILLI, SECOND
@@ -83,9 +83,9 @@
         record = Record(identity=name, address=f"{name}:1", role="router")
         directory = Directory(record, [CORE], courier, machine, machine.chance)
         self.listener = Listener(courier, directory, machine, machine.chance, machine.crew, LIFETIME_MICROS)
-        keeper = TermKeeper(courier, directory, machine, machine.chance, machine.crew, SECOND)
+        keeper = ViewReplica(courier, directory, machine, machine.chance, machine.crew, SECOND)
         self.index = CopyIndex()
-        self.holder = HolderController(
+        self.holder = WorkerLeaseController(
             name,
             keeper,
             self.listener,
@@ -104,14 +104,14 @@
     def place(self) -> None:
         """As a job on the part: from now on this node knows which part the key is of."""
         self.listener.revision_of(OWNER, LINE, PART)
-        self.index.note_parts(OWNER, LINE, [PART], [KEY])
+        self.index.record_parts(OWNER, LINE, [PART], [KEY])
 
     def revision(self) -> int | None:
         return self.listener.revision_of(OWNER, LINE, PART)
 
     def gather(self) -> None:
         worker = cast(WorkerFact, _NamedWorker())
-        self.machine.crew.start(self.holder._gather(worker, _Report(life="1")))
+        self.machine.crew.start(self.holder._gather(worker, _PollState(life="1")))
 
 
 class _NamedWorker:
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -357,7 +357,7 @@
     def hold(self, renew_fence: int = 0) -> Command:
         command = Command()
         command.hold.worker, command.hold.holder, command.hold.renew_fence = "w", "n1", renew_fence
-        self.session.stamp(command)
+        self.session.assign_number(command)
         return command
 
     def apply(self, command: Command) -> dict[str, Any]:
@@ -399,9 +399,9 @@
         numbers = [self.hold().number for _ in range(3)]
         other = Command()
         other.hold.worker = "v"
-        self.session.stamp(other)
+        self.session.assign_number(other)
         self.assertEqual((numbers, other.number), ([1, 2, 3], 1))
         bump = Command()
         bump.bump.part = 1
-        self.session.stamp(bump)
+        self.session.assign_number(bump)
         self.assertEqual(bump.session, "", "bumps are told apart by their transaction")
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -19,7 +19,7 @@
 from pearhead.router.gateway import GatewayProcess, GatewaySettings
 from pearhead.router.opaque_request import OpaqueRequest
 from pearhead.router.request_proxy import hash_key
-from pearhead.router.weights_clock import WeightsClock
+from pearhead.router.weights_grace_period import WeightsGracePeriod
 from pearhead.rpc.wire_pb2 import Record
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
@@ -34,7 +34,7 @@
 def make_gateway(bench: Bench, key_trust_micros: int = 0) -> GatewayProcess:
     startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], oldWeightsMicros=OLD_MICROS)
     unused: Any = None
-    settings = GatewaySettings(serve_on_micros=SERVE_ON_MICROS, key_trust_micros=key_trust_micros)
+    settings = GatewaySettings(max_view_age_micros=SERVE_ON_MICROS, key_trust_micros=key_trust_micros)
     return GatewayProcess(startup, settings, bench, bench, unused, unused, random.Random(1))
 
 
@@ -106,7 +106,7 @@
     async def test_old_weights_are_used_for_a_bounded_time_from_before_their_successors_naming(self) -> None:
         bench = Bench()
         keeper = make_gateway(bench).keeper
-        clock = WeightsClock(bench, keeper, OLD_MICROS)
+        clock = WeightsGracePeriod(bench, keeper, OLD_MICROS)
         self.assertTrue(clock.may_use(make_view(1, m=1), "m", 1))
         known_current_micros = bench.now()
         bench.now_micros += 2 * SECOND
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -17,9 +17,9 @@
 
 from pearhead.config.startup import Startup
 from pearhead.config.view import ENTRY_SECTIONS, View
-from pearhead.router.front import HandlerPen, build_front
+from pearhead.router.job_api import HandlerLineWriter, build_job_api
 from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
-from pearhead.router.node import NodeProcess
+from pearhead.router.node_process import NodeProcess
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import BootClock
 from pearhead.testbed.deployment import ACADEMY, build_description, tenant_key
@@ -101,7 +101,7 @@
         self.node.keeper.is_current = lambda: True  # type: ignore[method-assign]
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
-        self.server = HTTPServer(build_front(self.node, startup))
+        self.server = HTTPServer(build_job_api(self.node, startup))
         self.server.add_sockets(bound_sockets)
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port_number, limit=2**16)
 
@@ -155,14 +155,14 @@
         self.assertEqual((status, is_whole, len(body.splitlines())), (200, False, 1))
 
     async def test_a_fault_of_ours_after_the_first_line_is_a_cut_too(self) -> None:
-        real_write = HandlerPen.write
+        real_write = HandlerLineWriter.write
 
-        async def write(self: HandlerPen, line: dict[str, Any]) -> None:
+        async def write(self: HandlerLineWriter, line: dict[str, Any]) -> None:
             await real_write(self, line)
             raise ValueError("a defect")
 
-        HandlerPen.write = write  # type: ignore[method-assign]
-        self.addCleanup(setattr, HandlerPen, "write", real_write)
+        HandlerLineWriter.write = write  # type: ignore[method-assign]
+        self.addCleanup(setattr, HandlerLineWriter, "write", real_write)
         self.send(self.notice())
         self.assertEqual((await self.given_result())[2], False)
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -20,8 +20,8 @@
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.serializer import Serializer
 from pearhead.router.job import JobRequest
-from pearhead.router.node import NodeProcess
-from pearhead.router.term import TermKeeper
+from pearhead.router.node_process import NodeProcess
+from pearhead.router.view_replica import ViewReplica
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import (
     BumpPart,
@@ -108,7 +108,7 @@
     clock, bench = StepClock(), Bench()
     courier = Courier("me", "a:1", bench, clock)
     directory = Directory(Record(identity="me"), ["s:1"], courier, clock, random.Random(1))
-    keeper = TermKeeper(courier, directory, clock, random.Random(1), Crew("t"), SECOND)
+    keeper = ViewReplica(courier, directory, clock, random.Random(1), Crew("t"), SECOND)
 
     async def ask(target_address: str, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
         await asyncio.sleep(0)
@@ -347,10 +347,10 @@
         return mutate
 
     def test_digest_swap_against_reads(self) -> None:
-        def take(self: TermKeeper, result: TermResult) -> None:
+        def take(self: ViewReplica, result: TermResult) -> None:
             self.view = View(result.delta.index, {s.name: (s.index, s.body) for s in result.delta.section})
 
-        self.check(digest_swap_against_reads, self.swap(TermKeeper, "_take_delta", take), 10)
+        self.check(digest_swap_against_reads, self.swap(ViewReplica, "_take_delta", take), 10)
 
     def test_cancel_against_carry(self) -> None:
         async def admit(self: Any, job: Any) -> Any:
--- a/tests/test_kept_gatherer.py
+++ b/tests/test_kept_gatherer.py
@@ -6,17 +6,17 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from pearhead.router.kept_gatherer import join_notes, pack_parts, unpack_note
-from pearhead.router.kept_index import KeptIndex
-from pearhead.router.worker_control import KeptEvent
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
+from pearhead.router.prefix_cache_poller import combine_notes, pack_parts, unpack_note
+from pearhead.router.worker_control import PrefixCacheEvent
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import World, pause, run_virtual
 from tests.workerfleet import LINE, WorkerFleet, busiest_second, sent_bytes
 
 
-def make_event(part: str, tokens: int, salt: str = "a-salt-of-some-length-as-they-are") -> KeptEvent:
-    return KeptEvent(tokens > 0, salt, part, tokens, LINE)
+def make_event(part: str, tokens: int, salt: str = "a-salt-of-some-length-as-they-are") -> PrefixCacheEvent:
+    return PrefixCacheEvent(tokens > 0, salt, part, tokens, LINE)
 
 
 def run_fleet(
@@ -45,11 +45,11 @@
             parts = [KeptPart(salt="s", part=p, tokens=t, line=LINE) for p, t in tokens.items()]
             return KeptNote(worker="w", life="1", from_sequence=low, sequence=high, whole=whole, part=parts)
 
-        joined = join_notes(note(2, 4, True, a=5, b=5), note(4, 6, False, a=0, c=5))
+        joined = combine_notes(note(2, 4, True, a=5, b=5), note(4, 6, False, a=0, c=5))
         self.assertEqual(joined, note(2, 6, True, a=0, b=5, c=5))
-        self.assertIsNone(join_notes(note(2, 4, False), note(5, 6, False)))
-        self.assertIsNone(join_notes(note(2, 4, False), note(4, 6, True)))
-        self.assertIsNone(join_notes(None, note(4, 6, False)))
+        self.assertIsNone(combine_notes(note(2, 4, False), note(5, 6, False)))
+        self.assertIsNone(combine_notes(note(2, 4, False), note(4, 6, True)))
+        self.assertIsNone(combine_notes(None, note(4, 6, False)))
 
 
 class KeptGathererTest(unittest.TestCase):
@@ -155,7 +155,7 @@
     def test_one_lost_datagram_and_calls_without_news_cost_nothing(self) -> None:
         async def play(fleet: WorkerFleet) -> None:
             node = fleet.nodes[0]
-            index = KeptIndex()
+            index = PrefixCacheIndex()
             node.sink.take = index.take  # type: ignore[method-assign]
             worker = fleet.platform.workers["w0"]
             for number in range(12):
--- a/tests/test_kept_index.py
+++ b/tests/test_kept_index.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from pearhead.router.kept_index import KeptIndex
 from pearhead.router.opaque_request import PromptPart
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 
 PARTS = (PromptPart("a", 100), PromptPart("b", 50), PromptPart("c", 10))
@@ -23,7 +23,7 @@
 
 class KeptIndexTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.index = KeptIndex()
+        self.index = PrefixCacheIndex()
 
     def kept(self) -> int:
         return self.index.kept_tokens("w", "s", PARTS)
@@ -42,16 +42,16 @@
         self.index.take(note(1, ("a", 0)))
         self.assertEqual(self.kept(), 100, "an old report")
         self.index.take(note(2, ("a", 0)))
-        self.assertEqual((self.kept(), self.index.keepers_of("s", "a")), (0, frozenset()))
+        self.assertEqual((self.kept(), self.index.cache_locations_of("s", "a")), (0, frozenset()))
         self.index.take(note(3, ("a", 100)))
         self.index.take(note(9, ("b", 50), since=8))
         self.assertEqual(self.kept(), 150, "what was dropped in a gap is not known, and what was kept before stands")
         self.index.take(note(10, ("a", 100)))
         self.index.take(note(1, ("b", 50), life="2"))
         self.assertEqual(self.kept(), 0, "another life keeps nothing of the one before")
-        self.assertEqual(self.index.keepers_of("s", "b"), frozenset({"w"}))
+        self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset({"w"}))
         self.index.forget("w")
-        self.assertEqual(self.index.keepers_of("s", "b"), frozenset())
+        self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset())
 
 
 if __name__ == "__main__":
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -29,12 +29,12 @@
 from pearhead.control_plane.metrics import CoreCollector  # noqa: E402
 from pearhead.router.client_http_server import ClientConnectionManager  # noqa: E402
 from pearhead.router.drain import DrainCoordinator, DrainSchedule, DrainState
-from pearhead.router.front import build_front  # noqa: E402
 from pearhead.router.gateway import GatewayProcess, GatewaySettings  # noqa: E402
+from pearhead.router.job_api import build_job_api  # noqa: E402
 from pearhead.router.metrics import RosterCollector, build_gateway_registry, build_node_registry  # noqa: E402
-from pearhead.router.node import NodeProcess  # noqa: E402
-from pearhead.router.relay import PERIOD_MICROS  # noqa: E402
-from pearhead.router.roster_age import OLD_MICROS, RosterAgeWatch  # noqa: E402
+from pearhead.router.node_process import NodeProcess  # noqa: E402
+from pearhead.router.relay import RELAY_PERIOD_MICROS  # noqa: E402
+from pearhead.router.roster_age_monitor import OLD_MICROS, RosterAgeMonitor  # noqa: E402
 from pearhead.router.worker_control import Backend  # noqa: E402
 from pearhead.rpc.courier import Courier  # noqa: E402
 from pearhead.rpc.wire_pb2 import Member, Members, UseNote  # noqa: E402
@@ -251,7 +251,7 @@
         startup = Startup(address=net.own_address, httpAddress="a:2", area="a", seeds=["s:1"])
         unused: Any = None
         node = NodeProcess(startup, clock, net, unused, unused, random.Random(1))
-        server = HTTPServer(build_front(node, startup, build_node_registry(node, net)))
+        server = HTTPServer(build_job_api(node, startup, build_node_registry(node, net)))
         self.addCleanup(server.stop)
         address = free_address()
         host_name, port_number = split_address(address)
@@ -346,7 +346,7 @@
 
 class RosterLogsTest(unittest.TestCase):
     def test_age_is_logged_on_crossing_the_bound_only(self) -> None:
-        watch = RosterAgeWatch()
+        watch = RosterAgeMonitor()
         with self.assertLogs(LOGGER, "INFO") as caught:
             for age_micros in (0, OLD_MICROS, OLD_MICROS + 5 * MILLI, 3 * SECOND, 4 * SECOND, SECOND, 500 * MILLI):
                 watch.observe(age_micros)
@@ -442,7 +442,7 @@
             relay.direct_limit = 1_000
             with self.assertLogs(LOGGER, "INFO") as caught:
                 machine.crew.start(relay.run())
-                await pause(world, 5 * PERIOD_MICROS)
+                await pause(world, 5 * RELAY_PERIOD_MICROS)
             self.assertEqual([r.getMessage() for r in caught.records], ["router: Relays for its zone no more. zone=a"])
 
         run_virtual(1, play)
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -19,10 +19,10 @@
 from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, PromptPart
 from pearhead.router.request_proxy import RequestProxy, hash_key
 from pearhead.router.roster_merge import Roster
-from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerSelector
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
@@ -139,7 +139,7 @@
         roster = Roster(backends)
         loads = WorkerLoadTracker(bench)
         return WorkerSelector(
-            bench, "z", lambda: roster, VersionBook(bench), unused, loads, unused, lambda *given: True
+            bench, "z", lambda: roster, WorkerVersionTable(bench), unused, loads, unused, lambda *given: True
         )
 
     def shares(self, splits: list[Split], ready: tuple[str, ...], excluded: frozenset[str]) -> dict[str, float]:
--- a/tests/test_paced_cast.py
+++ b/tests/test_paced_cast.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from pearhead.router.paced_cast import BATCH_BYTES, BATCH_PAUSE_MICROS, PacedCast
+from pearhead.router.paced_broadcaster import BATCH_BYTES, BATCH_PAUSE_MICROS, PacedBroadcaster
 from pearhead.rpc.courier import DATAGRAM_ROOM, Courier
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
 from pearhead.testbed.simulator.world import World, run_virtual
@@ -57,7 +57,7 @@
             addresses = [f"n{number}:1" for number in range(20)]
             batches: list[tuple[int, list[str]]] = []
             began_micros = machine.now()
-            await PacedCast(machine, random.Random(1)).send(
+            await PacedBroadcaster(machine, random.Random(1)).send(
                 addresses, BATCH_BYTES // 8, lambda batch: batches.append((machine.now() - began_micros, batch))
             )
             self.assertEqual([len(batch) for _, batch in batches], [8, 8, 4])
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -10,14 +10,14 @@
 from pearhead.config.description import Description, Route, Service, Split
 from pearhead.config.view import View
 from pearhead.router.cache_salt_builder import CacheSalt
-from pearhead.router.kept_index import KeptIndex
 from pearhead.router.opaque_request import OpaqueRequest, PromptPart
-from pearhead.router.read_rate import FIRST_MICROS, read_micros
+from pearhead.router.prefill_rate import FIRST_EVENT_MICROS, prefill_read_micros
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
 from pearhead.router.roster_merge import Roster
-from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerChoice, WorkerSelector
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
@@ -39,10 +39,10 @@
         self.store = Service("k", "store", store_address="10.0.0.9:1", store_zone="z", link_mbps=150_000.0)
         self.backends = {f"w{n}": Backend(f"w{n}", f"10.0.0.{n}:1", "z", "s", 24, False, {"l": 1}) for n in range(1, 7)}
         self.loads = WorkerLoadTracker(self.bench)
-        self.index = KeptIndex()
+        self.index = PrefixCacheIndex()
         roster = Roster(self.backends)
-        versions = VersionBook(self.bench)
-        versions.take_roster(roster)
+        versions = WorkerVersionTable(self.bench)
+        versions.apply_roster(roster)
         self.placer = WorkerSelector(
             self.bench,
             "z",
@@ -182,7 +182,7 @@
     def test_what_was_seen_of_an_engine_scales_all_that_is_reckoned_of_it(self) -> None:
         expected_micros = self.choose(9_000, 500).expected_micros
         for _ in range(4):
-            self.loads.read_rates.take("s", 9_500, 0, round(0.25 * read_micros(9_500, 0)) + FIRST_MICROS)
+            self.loads.read_rates.take("s", 9_500, 0, round(0.25 * prefill_read_micros(9_500, 0)) + FIRST_EVENT_MICROS)
         self.assertAlmostEqual(self.choose(9_000, 500).expected_micros, expected_micros / 4, delta=12 * MILLI)
         for name in self.backends:
             self.loads.begin(name, 20_000, 20_000)
@@ -191,7 +191,7 @@
 
     def test_the_reckoning_does_not_hold_the_pace_that_it_teaches(self) -> None:
         choice = self.choose(9_000, 500)
-        self.assertAlmostEqual(choice.expected_micros, read_micros(9_500, 0) + 12 * MILLI, delta=MILLI)
+        self.assertAlmostEqual(choice.expected_micros, prefill_read_micros(9_500, 0) + 12 * MILLI, delta=MILLI)
         for name in self.backends:
             for _ in range(100):
                 self.loads.learn_slowdown(name, 9_500, choice.expected_micros, 2 * choice.expected_micros)
--- a/tests/test_platform_workers.py
+++ b/tests/test_platform_workers.py
@@ -14,10 +14,10 @@
 
 from pearhead.router.worker_control import (
     Backend,
-    KeptEvent,
-    KeptEvents,
     LoadOrder,
     OrderOutcome,
+    PrefixCacheEvent,
+    PrefixCacheEventBatch,
     WorkerReport,
 )
 from pearhead.runtime.clock import SECOND
@@ -131,13 +131,13 @@
 
     async def test_events_keep_their_connection(self) -> None:
         self.say(EVENTS)
-        wanted = KeptEvents(
+        wanted = PrefixCacheEventBatch(
             "77120",
             120,
             False,
             (
-                KeptEvent(True, "s1", "5c1e07a2", 800, "daka510000"),
-                KeptEvent(False, "s1", "91bd3f06", 128, "daka510000"),
+                PrefixCacheEvent(True, "s1", "5c1e07a2", 800, "daka510000"),
+                PrefixCacheEvent(False, "s1", "91bd3f06", 128, "daka510000"),
             ),
         )
         for _ in range(3):
@@ -177,7 +177,11 @@
         self.say({"Incarnation": 77120, "NextPage": 120, "Held": [["s1", "5c1e07a2", 800, "daka510000"]]})
         self.assertEqual(
             await self.control.kept_list(self.address, LIMIT),
-            Ok(KeptEvents("77120", 120, False, (KeptEvent(True, "s1", "5c1e07a2", 800, "daka510000"),))),
+            Ok(
+                PrefixCacheEventBatch(
+                    "77120", 120, False, (PrefixCacheEvent(True, "s1", "5c1e07a2", 800, "daka510000"),)
+                )
+            ),
         )
         self.say(b"", extra="X-Instance: i-9\r\n")
         self.assertEqual(await self.control.probe(self.address, "/health", LIMIT), Ok("i-9"))
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -13,13 +13,13 @@
 from pearhead.config.view import View
 from pearhead.invalidation.listener import Listener
 from pearhead.router.cache_salt_builder import CacheSalt, CacheSaltBuilder
-from pearhead.router.kept_index import KeptIndex
 from pearhead.router.opaque_request import OpaqueRequest, PromptPart
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
 from pearhead.router.roster_merge import Roster
-from pearhead.router.version_book import VersionBook
 from pearhead.router.worker_control import Backend
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerChoice, WorkerSelector
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.wire_pb2 import KeptNote, ModelNote
 from pearhead.rpc.wire_pb2 import KeptPart as ToldPart
 from pearhead.runtime.bench import Bench
@@ -73,8 +73,8 @@
         self.listener = FreshListener()
         self.records: list[Record] = []
         self.store: dict[tuple[str, str, str], KeptPart] = {}
-        self.index = KeptIndex()
-        self.book = VersionBook(self.bench)
+        self.index = PrefixCacheIndex()
+        self.book = WorkerVersionTable(self.bench)
         self.backends: dict[str, Backend] = {}
         self.view = View()
         self.view.__dict__["description"] = Description(
@@ -101,7 +101,7 @@
 
     def start_worker(self, name: str, version: int) -> EngineModel:
         self.backends = {name: Backend(name, "10.0.0.1:1", "z", "s", 12, False, {"l": version})}
-        self.book.take_note(ModelNote(worker=name, line="l", version=version))
+        self.book.apply_note(ModelNote(worker=name, line="l", version=version))
         return EngineModel(EngineSettings(), name, name, "s", "l", version, random.Random(1), self)
 
     def run(self, engine: EngineModel, request_id: str, tenant: str) -> WorkerChoice:
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -4,7 +4,13 @@
 
 import unittest
 
-from pearhead.router.read_rate import FIRST_MICROS, HALF_WINDOW_MICROS, LEAST_READS, ReadRates, read_micros
+from pearhead.router.prefill_rate import (
+    FIRST_EVENT_MICROS,
+    HALF_WINDOW_MICROS,
+    MIN_PREFILL_SAMPLES,
+    PrefillRates,
+    prefill_read_micros,
+)
 from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
 
@@ -14,15 +20,15 @@
 class ReadRatesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
-        self.rates = ReadRates(self.bench)
+        self.rates = PrefillRates(self.bench)
 
     def read(self, factor: float, waited_micros: int = 0, count: int = 1, tokens: int = TOKENS) -> None:
         for _ in range(count):
-            seen_micros = FIRST_MICROS + round(factor * read_micros(tokens, 0)) + waited_micros
+            seen_micros = FIRST_EVENT_MICROS + round(factor * prefill_read_micros(tokens, 0)) + waited_micros
             self.rates.take("s", tokens, 0, seen_micros)
 
     def test_the_starting_values_count_until_enough_was_seen(self) -> None:
-        self.read(0.4, count=LEAST_READS - 1)
+        self.read(0.4, count=MIN_PREFILL_SAMPLES - 1)
         self.assertEqual(self.rates.factor("s"), 1.0)
         self.read(0.4)
         self.assertAlmostEqual(self.rates.factor("s"), 0.4, places=3)
@@ -38,7 +44,7 @@
         self.assertEqual(self.rates.factor("s"), 1.0)
 
     def test_it_rises_slowly_while_all_reads_wait_and_falls_at_once(self) -> None:
-        self.read(0.4, count=LEAST_READS)
+        self.read(0.4, count=MIN_PREFILL_SAMPLES)
         for _ in range(2):
             self.bench.now_micros += HALF_WINDOW_MICROS + 1
             self.read(0.4, SECOND, count=2)
@@ -49,11 +55,11 @@
 
     def test_no_figure_leads_out_of_its_bounds(self) -> None:
         self.rates.take("s", TOKENS, 0, 0)
-        self.read(0.0, count=LEAST_READS)
+        self.read(0.0, count=MIN_PREFILL_SAMPLES)
         self.assertEqual(self.rates.factor("s"), 0.05)
         for _ in range(200):
             self.bench.now_micros += HALF_WINDOW_MICROS + 1
-            self.read(90.0, count=LEAST_READS)
+            self.read(90.0, count=MIN_PREFILL_SAMPLES)
         self.assertEqual(self.rates.factor("s"), 4.0)
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,9 +10,9 @@
 from google.protobuf.message import Message
 
 from pearhead.discovery.directory import Directory
-from pearhead.router.kept_gatherer import KeptGatherer, join_notes, pack_note
-from pearhead.router.kept_index import KeptIndex
-from pearhead.router.relay import PERIOD_MICROS, Relay
+from pearhead.router.prefix_cache_index import PrefixCacheIndex
+from pearhead.router.prefix_cache_poller import PrefixCachePoller, combine_notes, pack_note
+from pearhead.router.relay import RELAY_PERIOD_MICROS, Relay
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart, Record, RelayNote
@@ -83,7 +83,7 @@
 
     def play(self, periods: int) -> None:
         for _ in range(periods):
-            self.bench.now_micros += PERIOD_MICROS
+            self.bench.now_micros += RELAY_PERIOD_MICROS
             for name, relay in self.relays.items():
                 if name not in self.dead and relay.is_active():
                     relay._work_once()
@@ -108,13 +108,13 @@
         self.worker_count = worker_count
         self.sequence = 0
         self.told_notes: dict[int, KeptNote] = {}
-        self.indexes = {name: KeptIndex() for name in self.fleet.relays}
+        self.indexes = {name: PrefixCacheIndex() for name in self.fleet.relays}
         for name, relay in self.fleet.relays.items():
             unused: Any = Mock()
-            gatherer = KeptGatherer(
+            gatherer = PrefixCachePoller(
                 name, unused, unused, self.fleet.bench, unused, unused, unused, unused, self.indexes[name]
             )
-            relay.take_kept = gatherer.take_note
+            relay.take_kept = gatherer.apply_note
 
     def play(self, periods: int) -> None:
         """In each period each worker keeps one part more."""
@@ -128,9 +128,9 @@
                     part=[KeptPart(salt="s", part=f"p{self.sequence + 1}", tokens=600, line="m")],
                 )
                 self.indexes[f"n{number}"].take(note)
-                joined = join_notes(self.told_notes.get(number), note)
+                joined = combine_notes(self.told_notes.get(number), note)
                 self.told_notes[number] = note
-                self.fleet.relays[f"n{number}"].spread_kept(pack_note(joined or note))
+                self.fleet.relays[f"n{number}"].relay_cache_note(pack_note(joined or note))
             self.sequence += 1
             self.fleet.play(1)
 
@@ -157,7 +157,7 @@
     def test_kept_parts_reach_every_node_once(self) -> None:
         fleet = Fleet(30)
         fleet.play(2)
-        self.assertTrue(fleet.relays["n7"].spread_kept(KeptNote(worker="w", sequence=5)))
+        self.assertTrue(fleet.relays["n7"].relay_cache_note(KeptNote(worker="w", sequence=5)))
         fleet.play(4)
         heard = {name: notes for name, notes in fleet.kept.items() if name != "n7"}
         self.assertEqual({tuple(set(notes)) for notes in heard.values()}, {(5,)})
@@ -211,7 +211,7 @@
                     note.part.add(
                         salt="tenant-salt-of-thirty-letters", part="5c1e07a2", tokens=3_720, line="daka510000"
                     )
-                    fleet.relays[f"n{number}"].spread_kept(note)
+                    fleet.relays[f"n{number}"].relay_cache_note(note)
             fleet.play(10)
         most = max(fleet.bytes_by_sender.values()) / 10
         self.assertLess(most, 625_000 / 4, "bytes a second of the busiest node")
@@ -225,7 +225,7 @@
         fleet.play(20)
         self.assertEqual({fleet.relays[r.identity].chosen["a"][0] for r in fleet.records if r.area == "a"}, {relay})
         for sequence in range(1, 41):
-            fleet.relays["n0"].spread_kept(KeptNote(worker="w", sequence=sequence))
+            fleet.relays["n0"].relay_cache_note(KeptNote(worker="w", sequence=sequence))
             fleet.play(1)
         fleet.play(4)
         alive = [name for name in fleet.loads if name not in (gone, "n0")]
@@ -258,4 +258,4 @@
         fleet = Fleet(9)
         fleet.play(2)
         self.assertEqual(fleet.messages, 0)
-        self.assertFalse(fleet.relays["n0"].spread_kept(KeptNote()))
+        self.assertFalse(fleet.relays["n0"].relay_cache_note(KeptNote()))
