--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from pearhead.router.rendezvous import rank_of
-from pearhead.router.version_book import LOADING_MICROS, VersionBook
+from pearhead.router.rendezvous import rendezvous_rank
 from pearhead.router.worker_control import LoadOrder, OrderOutcome
+from pearhead.router.worker_version_table import LOADING_NOTE_TTL_MICROS, WorkerVersionTable
 from pearhead.rpc.wire_pb2 import ModelNote
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import World, pause, run_virtual
@@ -41,7 +41,7 @@
 
 def orderer_of(fleet: WorkerFleet) -> FleetNode:
     identities = [node.identity for node in fleet.nodes]
-    return next(n for n in fleet.nodes if rank_of(n.identity, identities, f"roll-out/{LINE}") == 0)
+    return next(n for n in fleet.nodes if rendezvous_rank(n.identity, identities, f"roll-out/{LINE}") == 0)
 
 
 class Hand:
@@ -58,10 +58,10 @@
 class VersionBookTest(unittest.TestCase):
     def setUp(self) -> None:
         self.hand = Hand()
-        self.book = VersionBook(self.hand)
+        self.book = WorkerVersionTable(self.hand)
 
     def tell(self, version: int, loading: bool) -> bool:
-        return self.book.take_note(ModelNote(worker="w", line=LINE, version=version, loading=loading))
+        return self.book.apply_note(ModelNote(worker="w", line=LINE, version=version, loading=loading))
 
     def test_versions_only_rise(self) -> None:
         self.assertIsNone(self.book.version_of("w", LINE))
@@ -82,7 +82,7 @@
         self.tell(0, loading=False)
         self.assertEqual((self.book.is_loading("w"), self.book.version_of("w", LINE)), (False, 2), "it failed")
         self.tell(3, loading=True)
-        self.hand.micros += LOADING_MICROS
+        self.hand.micros += LOADING_NOTE_TTL_MICROS
         self.assertFalse(self.book.is_loading("w"))
         self.tell(3, loading=True)
         self.book.note("w", LINE, 3)
--- a/tests/test_roll_out_rest.py
+++ b/tests/test_roll_out_rest.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from pearhead.router.roll_out import SILENCE_MICROS
+from pearhead.router.weights_rollout import SILENCE_MICROS
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import pause
 from tests.test_roll_out import orderer_of, run_fleet, versions
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from pearhead.router.roster_merge import OUT_MICROS, RosterMerge, pack_backend
+from pearhead.router.roster_merge import ROSTER_EXCLUSION_MICROS, RosterMerge, pack_backend
 from pearhead.router.worker_control import Backend
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
 from pearhead.runtime.clock import MILLI, SECOND
@@ -55,9 +55,9 @@
         for second in (1, 2, 3):
             self.take(second * SECOND, *([a, b] if second == 1 else [a]))
         self.assertEqual(self.take(4 * SECOND, a, b), {"a"}, "a list that lags")
-        self.merge.learn([a, b], 4 * SECOND, 4 * SECOND)
+        self.merge.add_from_peer([a, b], 4 * SECOND, 4 * SECOND)
         self.assertEqual(set(self.merge.roster.backends), {"a"}, "a colleague's word")
-        self.assertEqual(self.take(3 * SECOND + OUT_MICROS, a, b), {"a", "b"})
+        self.assertEqual(self.take(3 * SECOND + ROSTER_EXCLUSION_MICROS, a, b), {"a", "b"})
 
     def test_leaving_never_returns_and_older_lists_tell_it_too(self) -> None:
         self.take(5 * SECOND, make_backend("a"), make_backend("b"))
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -10,11 +10,11 @@
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.key import chain_keys
 from pearhead.invalidation.listener import Listener
+from pearhead.router.copy_index import CopyIndex
 from pearhead.router.errors import ErrorKind
-from pearhead.router.index import CopyIndex
 from pearhead.router.job import Job, JobRequest, Placement, PrefixPart
 from pearhead.router.job_scheduler import REPORTED_UNHEALTHY_MICROS, JobScheduler
-from pearhead.router.term import TermKeeper
+from pearhead.router.view_replica import ViewReplica
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Record
 from pearhead.runtime.bench import Bench
@@ -30,7 +30,7 @@
         courier = Courier("me", "a:1", self.bench, self.bench)
         directory = Directory(Record(identity="me"), ["s:1"], courier, self.bench, random.Random(1))
         crew = Crew("t")
-        keeper = TermKeeper(courier, directory, self.bench, random.Random(1), crew, SECOND)
+        keeper = ViewReplica(courier, directory, self.bench, random.Random(1), crew, SECOND)
         self.listener = Listener(courier, directory, self.bench, random.Random(1), crew, 30 * SECOND)
         self.index = CopyIndex()
         self.nominator = JobScheduler(keeper, self.listener, self.index, self.bench, 8 * SECOND)
@@ -58,8 +58,8 @@
 
     def keep(self, worker: str, length: int = 2, weights_revision: int = 5, life: str = "") -> None:
         keys = chain_keys("tenant:t", "l", weights_revision, [(1, 1), (2, 1)])[:length]
-        self.index.take_report(worker, life or f"life-{worker}", 10, 12, keys, [], False)
-        self.index.tie(self.view.loads.get(worker), life or f"life-{worker}", 10, keys)
+        self.index.apply_cache_report(worker, life or f"life-{worker}", 10, 12, keys, [], False)
+        self.index.record_verified_keys(self.view.loads.get(worker), life or f"life-{worker}", 10, keys)
 
     def place(self, job: Job | None = None) -> Placement:
         return self.nominator.nominate(job or self.job()).unwrap()
@@ -110,11 +110,11 @@
 
     def test_a_stores_list_counts_only_for_keys_that_a_tied_worker_made(self) -> None:
         keys = chain_keys("tenant:t", "l", 5, [(1, 1), (2, 1)])
-        self.index.take_report("store", "s", 0, 9, keys, [], True)
+        self.index.apply_cache_report("store", "s", 0, 9, keys, [], True)
         self.assertIsNone(self.place().fetch_from)
-        self.index.tie(self.view.loads["w1"], "life-w1", 9, keys)
+        self.index.record_verified_keys(self.view.loads["w1"], "life-w1", 9, keys)
         self.assertIsNone(self.place().fetch_from, "told of before the load")
-        self.index.tie(self.view.loads["w1"], "life-w1", 10, keys)
+        self.index.record_verified_keys(self.view.loads["w1"], "life-w1", 10, keys)
         fetch_from = self.place().fetch_from
         assert fetch_from is not None
         self.assertEqual(fetch_from.name, "store")
--- a/tests/test_router_wave.py
+++ b/tests/test_router_wave.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pearhead.config.view import LoadFact, View, WorkerFact
-from pearhead.router.wave import first_wave, is_wave_serving
+from pearhead.router.load_waves import first_wave, is_wave_serving
 
 
 class FirstWaveTest(unittest.TestCase):
--- a/tests/test_term_links.py
+++ b/tests/test_term_links.py
@@ -13,7 +13,7 @@
 
 from pearhead.config.view import View, hash_sections
 from pearhead.discovery.directory import Directory
-from pearhead.router.term import NO_DELTA, TermKeeper
+from pearhead.router.view_replica import NO_DELTA, ViewReplica
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.delta_packing import DeltaPacker
 from pearhead.rpc.wire_pb2 import Member, Members, Record, Section, TermAsk, TermResult, ViewDelta
@@ -111,7 +111,7 @@
 
         async def run() -> int:
             crew = Crew("test")
-            keeper = TermKeeper(
+            keeper = ViewReplica(
                 cast(Courier, link), cast(Directory, ThreeCores()), clock, random.Random(3), crew, 2 * SECOND
             )
             crew.start(keeper.run())
--- a/tests/test_weights_clock.py
+++ b/tests/test_weights_clock.py
@@ -8,8 +8,8 @@
 
 from pearhead.config.view import View, hash_sections
 from pearhead.discovery.directory import Directory
-from pearhead.router.term import TermKeeper
-from pearhead.router.weights_clock import WeightsClock
+from pearhead.router.view_replica import ViewReplica
+from pearhead.router.weights_grace_period import WeightsGracePeriod
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import Record, Section, TermResult, ViewDelta
 from pearhead.runtime.bench import Bench
@@ -34,12 +34,12 @@
         self.bench = Bench()
         courier = Courier("me", "a:1", self.bench, self.bench)
         directory = Directory(Record(identity="me"), ["s:1"], courier, self.bench, random.Random(1))
-        self.keeper = TermKeeper(courier, directory, self.bench, random.Random(1), Crew("test"), SECOND)
-        self.clock = WeightsClock(self.bench, self.keeper, OLD_MICROS)
+        self.keeper = ViewReplica(courier, directory, self.bench, random.Random(1), Crew("test"), SECOND)
+        self.clock = WeightsGracePeriod(self.bench, self.keeper, OLD_MICROS)
 
     def take(self, index: int, version: int) -> None:
         """A view comes in, as from a core, and the node knows itself current."""
-        self.keeper._take_delta(naming(index, version))
+        self.keeper._apply_view_delta(naming(index, version))
         self.keeper.current_at = self.bench.now()
 
     def may_use(self, version: int) -> bool:
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -16,19 +16,19 @@
 from pearhead.control_plane.core import CoreProcess
 from pearhead.control_plane.fleet import Fleet
 from pearhead.discovery.directory import Directory
-from pearhead.router.kept_gatherer import KeptGatherer
-from pearhead.router.roll_out import RollOut
-from pearhead.router.roster import RosterKeeper
-from pearhead.router.roster_recorder import RosterRecorder
-from pearhead.router.version_book import VersionBook
+from pearhead.router.prefix_cache_poller import PrefixCachePoller
+from pearhead.router.roster_publisher import RosterPublisher
+from pearhead.router.roster_synchronizer import RosterSynchronizer
+from pearhead.router.weights_rollout import WeightsRollout
 from pearhead.router.worker_control import (
     Backend,
-    KeptEvent,
-    KeptEvents,
     LoadOrder,
     OrderOutcome,
+    PrefixCacheEvent,
+    PrefixCacheEventBatch,
     WorkerReport,
 )
+from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.courier import Courier
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
@@ -76,7 +76,7 @@
     is_deaf: bool = False
     life: str = "1"
     first_number: int = 1
-    events: list[KeptEvent] = field(default_factory=list)
+    events: list[PrefixCacheEvent] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
@@ -170,7 +170,7 @@
 
     async def kept_events(
         self, address: str, since: int, wait_micros: int, limit_micros: int
-    ) -> Result[KeptEvents, str]:
+    ) -> Result[PrefixCacheEventBatch, str]:
         self.platform.event_calls.append((self.platform.world.now(), self.machine.name, address, since))
         await rest(self.machine, MILLI)
         worker = self.platform.at(address)
@@ -184,7 +184,7 @@
             await rest(self.machine, 10 * MILLI)
         fresh = worker.events[max(0, since + 1 - worker.first_number) :]
         return Ok(
-            KeptEvents(
+            PrefixCacheEventBatch(
                 worker.life,
                 max(last_number, since if since <= last_number else 0),
                 since + 1 < worker.first_number,
@@ -192,7 +192,7 @@
             )
         )
 
-    async def kept_list(self, address: str, limit_micros: int) -> Result[KeptEvents, str]:
+    async def kept_list(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
         raise AssertionError("it holds the worker up")
 
     async def report(self, address: str, limit_micros: int) -> Result[WorkerReport, str]:
@@ -352,8 +352,8 @@
         self.directory = Directory(record, [CORE], self.courier, machine, chance)
         self.keeper = NodeKeeper(fleet.core, machine)
         self.control = ModelControl(fleet.platform, machine)
-        self.book = VersionBook(machine)
-        self.rosters = RosterKeeper(
+        self.book = WorkerVersionTable(machine)
+        self.rosters = RosterSynchronizer(
             self.identity,
             self.courier,
             self.directory,
@@ -364,10 +364,10 @@
             SECOND,
             InvariantCounters(machine, strict=True),
         )
-        self.rosters.watchers.append(self.book.take_roster)
-        self.recorder = RosterRecorder(self.rosters, self.keeper, self.keeper, machine)
+        self.rosters.watchers.append(self.book.apply_roster)
+        self.recorder = RosterPublisher(self.rosters, self.keeper, self.keeper, machine)
         self.sink = ListSink()
-        self.gatherer = KeptGatherer(
+        self.gatherer = PrefixCachePoller(
             self.identity,
             self.courier,
             self.directory,
@@ -378,7 +378,7 @@
             self.keeper,
             self.sink,
         )
-        self.roll_out = RollOut(
+        self.roll_out = WeightsRollout(
             self.identity,
             self.courier,
             self.directory,
