--- a/src/pearhead/consensus/append_receiver.py
+++ b/src/pearhead/consensus/append_receiver.py
@@ -32,7 +32,7 @@
         elif ask.previous_index < log.base_index:
             self._answer(address, ask, is_success=True, match_index=min(log.base_index, log.durable_index))
         elif ask.previous_index > log.last_index() or log.term_at(ask.previous_index) != ask.previous_epoch:
-            self._answer(address, ask, match_index=self._find_hint(ask))
+            self._answer(address, ask, match_index=self._find_conflict_hint(ask))
         else:
             self._append(address, ask)
 
@@ -48,7 +48,7 @@
         )
         self.send(address, "append_result", result)
 
-    def _find_hint(self, ask: AppendAsk) -> int:
+    def _find_conflict_hint(self, ask: AppendAsk) -> int:
         """The last index that may match: skips back over the whole conflicting term."""
         log = self.state.log
         hint_index = min(log.last_index(), ask.previous_index - 1)
@@ -58,7 +58,7 @@
         return max(hint_index, log.base_index)
 
     def _append(self, address: str, ask: AppendAsk) -> None:
-        records = self._take_entries(ask)
+        records = self._append_missing_entries(ask)
         match_index = ask.previous_index + len(ask.entry)
         match_term = self.state.log.term_at(match_index)
         ask_term = self.state.term
@@ -77,7 +77,7 @@
             acknowledge()
         self.applier.commit_to(min(ask.commit_index, match_index))
 
-    def _take_entries(self, ask: AppendAsk) -> list[LogRecord]:
+    def _append_missing_entries(self, ask: AppendAsk) -> list[LogRecord]:
         """Appends the entries that the log lacks in place of those that conflict; returns what is to be written."""
         log = self.state.log
         records: list[LogRecord] = []
--- a/src/pearhead/consensus/applier.py
+++ b/src/pearhead/consensus/applier.py
@@ -35,12 +35,12 @@
             self._apply(entry)
         for listener in self.commit_listeners:
             listener()
-        self.snapshots.keep_if_due()
+        self.snapshots.snapshot_if_due()
 
     def _apply(self, entry: Entry) -> None:
         outcome: Any = self.machine.apply(entry.index, entry.payload) if entry.kind == KIND_COMMAND else None
         self.state.applied_index = entry.index
-        self.snapshots.note_applied(entry)
+        self.snapshots.count_applied_entry(entry)
         self.proposals.resolve(entry, outcome)
         if entry.kind == KIND_MEMBERS:
             for listener in self.membership_listeners:
--- a/src/pearhead/consensus/election_timer.py
+++ b/src/pearhead/consensus/election_timer.py
@@ -6,11 +6,11 @@
 
 from pearhead.runtime.clock import MILLI, Clock
 
-HEARTBEAT_MICROS = 100 * MILLI
-ELECTION_MICROS = 500 * MILLI
+HEARTBEAT_INTERVAL_MICROS = 100 * MILLI
+ELECTION_TIMEOUT_MICROS = 500 * MILLI
 ELECTION_SPREAD_MICROS = 400 * MILLI
 # Heartbeats reach one follower later than another: that must not cost a round of votes.
-LEADER_PRESENT_MICROS = ELECTION_MICROS - HEARTBEAT_MICROS
+LEADER_PRESENT_MICROS = ELECTION_TIMEOUT_MICROS - HEARTBEAT_INTERVAL_MICROS
 # A vote needs two syncs, a pre-vote none.
 PRE_VOTE_RETRY_MICROS, VOTE_RETRY_MICROS = 200 * MILLI, 350 * MILLI
 RETRY_SPREAD_MICROS = 250 * MILLI
@@ -23,11 +23,11 @@
         self.clock = clock
         self.random_source = random_source
         self.deadline_micros = 0
-        self.heard_leader_micros = -ELECTION_MICROS
+        self.heard_leader_micros = -ELECTION_TIMEOUT_MICROS
 
     def reset(self) -> None:
         """Puts the deadline off by a whole randomized timeout."""
-        wait_micros = ELECTION_MICROS + self.random_source.randrange(ELECTION_SPREAD_MICROS)
+        wait_micros = ELECTION_TIMEOUT_MICROS + self.random_source.randrange(ELECTION_SPREAD_MICROS)
         self.deadline_micros = self.clock.now() + wait_micros
 
     def expire(self) -> None:
@@ -39,7 +39,7 @@
         wait_micros = PRE_VOTE_RETRY_MICROS if is_pre_vote else VOTE_RETRY_MICROS
         self.deadline_micros = self.clock.now() + wait_micros + self.random_source.randrange(RETRY_SPREAD_MICROS)
 
-    def note_leader(self) -> None:
+    def record_leader_contact(self) -> None:
         """The leader was heard."""
         self.heard_leader_micros = self.clock.now()
         self.reset()
--- a/src/pearhead/consensus/elections.py
+++ b/src/pearhead/consensus/elections.py
@@ -60,14 +60,14 @@
 
     # ---- candidate -------------------------------------------------------------------------------
 
-    def take_timeout(self) -> None:
+    def handle_election_timeout(self) -> None:
         """The election deadline has passed."""
-        if self.may_stand() and not self.writer.is_stalled():
+        if self.can_campaign() and not self.writer.is_stalled():
             self.start(is_pre_vote=True, is_transfer=False)
         else:
             self.timer.reset()
 
-    def may_stand(self) -> bool:
+    def can_campaign(self) -> bool:
         """A voter that an uncommitted change leaves out may hold the longest log: it stands until that is committed."""
         if self.state.is_installing_snapshot:
             return False
@@ -92,18 +92,18 @@
         self.granted_by = set()
         ask = self._build_ask(is_pre_vote, is_transfer)
         if is_pre_vote:
-            self._ask_all(ask)
+            self._request_votes(ask)
             return
         self.state.term += 1
         self.election_count += 1
         self.state.voted_for = self.state.identity
         vote_term = self.state.term
 
-        def ask_for_votes() -> None:
+        def send_vote_requests() -> None:
             if self.state.term == vote_term and self.state.role == Role.CANDIDATE:
-                self._ask_all(ask)
+                self._request_votes(ask)
 
-        self.writer.persist_vote(ask_for_votes)
+        self.writer.persist_vote(send_vote_requests)
 
     def _build_ask(self, is_pre_vote: bool, is_transfer: bool) -> VoteAsk:
         return VoteAsk(
@@ -114,7 +114,7 @@
             handover=is_transfer,
         )
 
-    def _ask_all(self, ask: VoteAsk) -> None:
+    def _request_votes(self, ask: VoteAsk) -> None:
         self.granted_by.add(self.state.identity)
         for voter_identity, voter_address in self.state.log.membership().voters.items():
             if voter_identity != self.state.identity:
--- a/src/pearhead/consensus/follower.py
+++ b/src/pearhead/consensus/follower.py
@@ -7,8 +7,8 @@
 
 # A link is assumed to carry this much a second at first, and an answer to take this long at least.
 ASSUMED_BYTES_PER_SECOND = 4 * 1024 * 1024
-LEAST_WAIT_MICROS = 100 * MILLI
-MOST_PATIENCE = 32
+MINIMUM_RESPONSE_WAIT_MICROS = 100 * MILLI
+MAXIMUM_BACKOFF_FACTOR = 32
 
 
 class Follower:
@@ -19,12 +19,12 @@
         self.match_index = 0
         self.heard_micros = heard_micros
         self.has_answered = False
-        self.heard_round = 0
+        self.acknowledged_round = 0
         self.sent_micros = -SECOND
         self.in_flight = False
         # Until when the answer to what is in flight is awaited, and the last index of it.
-        self.batch_micros = 0
-        self.batch_last = 0
+        self.response_deadline_micros = 0
+        self.batch_last_index = 0
         self.batch_round = 0
         self.patience = 1
         # The snapshot that is being sent, and the offset of the piece that goes next.
@@ -32,33 +32,37 @@
         self.snapshot_offset: int | None = None
         self.snapshot_checksum = 0
 
-    def note_sent(self, now_micros: int, size: int, last_index: int, round_number: int) -> None:
+    def record_send(self, now_micros: int, size: int, last_index: int, round_number: int) -> None:
         """Something that wants an answer goes out. A slow link is given twice the time at each repeat."""
-        is_repeat = last_index == self.batch_last and now_micros >= self.batch_micros and self.batch_micros > 0
-        self.patience = min(self.patience * 2, MOST_PATIENCE) if is_repeat else self.patience
-        wait_micros = LEAST_WAIT_MICROS + size * SECOND // ASSUMED_BYTES_PER_SECOND
-        self.batch_micros = now_micros + self.patience * wait_micros
-        self.batch_last, self.batch_round = last_index, round_number
+        is_repeat = (
+            last_index == self.batch_last_index
+            and now_micros >= self.response_deadline_micros
+            and self.response_deadline_micros > 0
+        )
+        self.patience = min(self.patience * 2, MAXIMUM_BACKOFF_FACTOR) if is_repeat else self.patience
+        wait_micros = MINIMUM_RESPONSE_WAIT_MICROS + size * SECOND // ASSUMED_BYTES_PER_SECOND
+        self.response_deadline_micros = now_micros + self.patience * wait_micros
+        self.batch_last_index, self.batch_round = last_index, round_number
 
-    def note_heard(self, now_micros: int, round_number: int) -> None:
+    def record_contact(self, now_micros: int, round_number: int) -> None:
         """Any answer in the leader's term came, to a message of this round."""
         self.heard_micros = now_micros
         self.has_answered = True
-        self.heard_round = max(self.heard_round, round_number)
+        self.acknowledged_round = max(self.acknowledged_round, round_number)
 
-    def note_answered(self) -> None:
+    def record_response(self) -> None:
         """The answer to what was in flight came: what is sent next may be a little less patient."""
         self.in_flight = False
-        self.batch_micros = 0
+        self.response_deadline_micros = 0
         self.patience = max(self.patience // 2, 1)
 
-    def note_overtaken(self) -> None:
+    def record_loss(self) -> None:
         """A later heartbeat was answered, and links keep their order: what was in flight is lost, and goes again."""
         self.in_flight = False
-        self.batch_micros = 0
+        self.response_deadline_micros = 0
         self.patience = 1
 
-    def note_snapshot_installed(self, snapshot_index: int) -> None:
+    def record_snapshot_installed(self, snapshot_index: int) -> None:
         """The member holds the whole snapshot up to this index."""
         self.match_index = max(self.match_index, snapshot_index)
         self.next_index = self.match_index + 1
--- a/src/pearhead/consensus/leadership_transfer.py
+++ b/src/pearhead/consensus/leadership_transfer.py
@@ -6,7 +6,7 @@
 from pearhead.rpc.wire_pb2 import ElectNow
 from pearhead.runtime.clock import SECOND, Clock
 
-TRANSFER_MICROS = SECOND
+TRANSFER_TIMEOUT_MICROS = SECOND
 
 
 class LeadershipTransfer:
@@ -19,7 +19,7 @@
         self.deadline_micros: int | None = None
         self.target = ""
 
-    def is_under_way(self) -> bool:
+    def is_in_progress(self) -> bool:
         """Whether a target was chosen and neither leads yet nor took too long."""
         return self.deadline_micros is not None
 
@@ -31,23 +31,23 @@
         if not candidates:
             return False
         self.target = self.state.best_follower(candidates)
-        self.deadline_micros = self.clock.now() + TRANSFER_MICROS
+        self.deadline_micros = self.clock.now() + TRANSFER_TIMEOUT_MICROS
         self.try_to_finish()
         return True
 
     def try_to_finish(self) -> None:
         """Lets the target stand for election as soon as it holds the whole log."""
-        if not self.is_under_way() or not self.state.is_leader():
+        if not self.is_in_progress() or not self.state.is_leader():
             return
         follower = self.state.followers.get(self.target)
         if follower is not None and follower.match_index == self.state.log.last_index():
-            self._tell_to_stand(self.target)
+            self._send_elect_now(self.target)
 
     def transfer_at_once(self) -> None:
         """A leader that must step down lets the best follower stand, whatever it lacks."""
         candidates = [i for i in self._voters() if i in self.state.followers]
         if candidates:
-            self._tell_to_stand(self.state.best_follower(candidates))
+            self._send_elect_now(self.state.best_follower(candidates))
 
     def cancel(self) -> None:
         """Ends the transfer, if one is under way."""
@@ -61,5 +61,5 @@
     def _voters(self) -> dict[str, str]:
         return self.state.log.membership().voters
 
-    def _tell_to_stand(self, identity: str) -> None:
+    def _send_elect_now(self, identity: str) -> None:
         self.send(self._voters()[identity], "elect_now", ElectNow(epoch=self.state.term))
--- a/src/pearhead/consensus/membership.py
+++ b/src/pearhead/consensus/membership.py
@@ -45,7 +45,7 @@
         held = set(agreeing)
         return all(len(held & voters) > len(voters) // 2 for voters in self.voter_sets)
 
-    def agreed(self, value_of: Callable[[str], int]) -> int:
+    def quorum_value(self, value_of: Callable[[str], int]) -> int:
         """The highest value that a majority of each set has reached."""
         return min(_majority_value(sorted(map(value_of, voters), reverse=True)) for voters in self.voter_sets)
 
--- a/src/pearhead/consensus/membership_change.py
+++ b/src/pearhead/consensus/membership_change.py
@@ -14,7 +14,7 @@
 from pearhead.consensus.state import RaftState
 from pearhead.rpc.wire_pb2 import Entry, Members
 
-CHANGE_UNDER_WAY = "another change of members is under way"
+CHANGE_IN_PROGRESS = "another change of members is under way"
 
 Propose = Callable[[bytes, int], Proposal]
 MembersWatcher = Callable[[int, Members], None]
@@ -28,7 +28,7 @@
         self.roles = roles
         self.transfer = transfer
         self.propose = propose
-        self.joint_end: Proposal | None = None
+        self.joint_end_proposal: Proposal | None = None
         self.watchers: list[MembersWatcher] = []
 
     async def change(self, changed: Members) -> ProposalResult:
@@ -37,22 +37,22 @@
             return Err(NOT_LEADER)
         present = self.state.log.membership()
         if present.index > self.state.commit_index or present.is_joint:
-            return Err(CHANGE_UNDER_WAY)
+            return Err(CHANGE_IN_PROGRESS)
         changed_voters = {m.identity for m in changed.member if m.voter}
         if len(present.voters.keys() ^ changed_voters) <= 1:
             return await self._propose_members(changed)
         begun = await self._propose_members(make_joint(present.members, changed))
-        if isinstance(begun, Err) or self.joint_end is None:
+        if isinstance(begun, Err) or self.joint_end_proposal is None:
             return begun
-        return await self.joint_end
+        return await self.joint_end_proposal
 
     def end_joint_change(self) -> None:
         """Ends a joint change as soon as its first entry is committed, whoever began it."""
         present = self.state.log.membership()
         if present.is_joint and present.index <= self.state.commit_index and self.state.is_settled():
-            self.joint_end = self._propose_members(end_joint(present.members))
+            self.joint_end_proposal = self._propose_members(end_joint(present.members))
 
-    def take_committed(self, entry: Entry) -> None:
+    def handle_committed_members(self, entry: Entry) -> None:
         """Members were committed: a leader tells them, and steps down if it is no voter any more."""
         if not self.state.is_leader():
             return
--- a/src/pearhead/consensus/persistence.py
+++ b/src/pearhead/consensus/persistence.py
@@ -13,7 +13,7 @@
 from pearhead.runtime.clock import MILLI, Clock, rest
 
 LOGGER = logging.getLogger("pearhead")
-STALL_MICROS = 1_500 * MILLI
+STALLED_FLUSH_MICROS = 1_500 * MILLI
 SLOW_FLUSH_MICROS = 50 * MILLI
 FULL_RETRY_MICROS = 500 * MILLI
 
@@ -65,7 +65,7 @@
 
     def is_stalled(self) -> bool:
         """Whether the disk is full or a sync takes so long that this member must not lead."""
-        return self.disk_full or self._flush_micros() > STALL_MICROS
+        return self.disk_full or self._flush_micros() > STALLED_FLUSH_MICROS
 
     def _flush_micros(self) -> int:
         return self.clock.now() - self.flush_started if self.flush_started is not None else 0
@@ -91,16 +91,16 @@
                 self.disk_full = False
                 return
             except OSError as disk_error:
-                self._note_error(disk_error)
+                self._record_disk_error(disk_error)
                 await rest(self.clock, FULL_RETRY_MICROS)
 
-    def take_snapshot_error(self, disk_error: OSError) -> None:
+    def handle_snapshot_error(self, disk_error: OSError) -> None:
         """A snapshot could not be written."""
-        self._note_error(disk_error)
+        self._record_disk_error(disk_error)
         # Written until the disk takes it: without it nobody would see that there is room again.
         self.persist_vote(do_nothing)
 
-    def _note_error(self, disk_error: OSError) -> None:
+    def _record_disk_error(self, disk_error: OSError) -> None:
         if disk_error.errno == errno.ENOSPC:
             if not self.disk_full:
                 LOGGER.error("consensus: The disk is full.")
--- a/src/pearhead/consensus/raft.py
+++ b/src/pearhead/consensus/raft.py
@@ -25,7 +25,7 @@
 from pearhead.consensus.roles import RoleChanges
 from pearhead.consensus.snapshot_receiver import SnapshotReceiver
 from pearhead.consensus.snapshot_sender import SnapshotSender
-from pearhead.consensus.snapshot_store import DEFAULT_LIMITS, SnapshotLimits, SnapshotStore
+from pearhead.consensus.snapshot_store import DEFAULT_SNAPSHOT_LIMITS, SnapshotLimits, SnapshotStore
 from pearhead.consensus.state import RaftState, Role, Send, StateMachine
 from pearhead.consensus.wal import Wal
 from pearhead.rpc.wire_pb2 import (
@@ -42,8 +42,8 @@
     VoteAsk,
     VoteResult,
 )
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, Clock, rest
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
 TICK_MICROS = 25 * MILLI
@@ -61,9 +61,9 @@
         send: Send,
         clock: Clock,
         random_source: random.Random,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         fail: Callable[[str], None],
-        snapshot_limits: SnapshotLimits = DEFAULT_LIMITS,
+        snapshot_limits: SnapshotLimits = DEFAULT_SNAPSHOT_LIMITS,
     ) -> None:
         self.identity = identity
         self.wal = wal
@@ -98,9 +98,9 @@
         self._connect_listeners()
 
     def _connect_listeners(self) -> None:
-        self.roles.lead_listeners += [self.transfer.cancel, self.replication.begin_term]
+        self.roles.leadership_listeners += [self.transfer.cancel, self.replication.begin_term]
         self.roles.step_down_listeners += [self.transfer.cancel, self.reads.fail_all, self.proposals.fail_all]
-        self.applier.membership_listeners.append(self.membership_changes.take_committed)
+        self.applier.membership_listeners.append(self.membership_changes.handle_committed_members)
         self.applier.commit_listeners.append(self.membership_changes.end_joint_change)
 
     # ---- start -----------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
 
     def watch_leadership(self, watcher: Callable[[bool], None]) -> None:
         """The watcher is told when this member begins to lead and when it leads no more."""
-        self.roles.lead_listeners.append(lambda: watcher(True))
+        self.roles.leadership_listeners.append(lambda: watcher(True))
         self.roles.step_down_listeners.append(lambda: watcher(False))
 
     # ---- state -----------------------------------------------------------------------------------
@@ -231,7 +231,7 @@
 
     def propose(self, payload: bytes, kind: int = KIND_COMMAND) -> Proposal:
         """Appends an entry; the result comes when it is applied, or when this member leads no more."""
-        if not self.is_leader() or self.transfer.is_under_way() or self.disk_full:
+        if not self.is_leader() or self.transfer.is_in_progress() or self.disk_full:
             return refuse_proposal()
         proposal = self.proposals.add(self.last_index() + 1, self.term)
         self.replication.append(kind, payload)
@@ -297,7 +297,7 @@
         if self.is_leader():
             self._tick_as_leader()
         elif self.timer.is_expired():
-            self.elections.take_timeout()
+            self.elections.handle_election_timeout()
 
     def _tick_as_leader(self) -> None:
         if self.writer.is_stalled():
--- a/src/pearhead/consensus/read_confirmation.py
+++ b/src/pearhead/consensus/read_confirmation.py
@@ -34,19 +34,19 @@
         """Confirms the reads of all rounds that a majority has answered."""
         if not self.pending:
             return
-        agreed_round = self.state.log.membership().agreed(self._heard_round)
+        quorum_round = self.state.log.membership().quorum_value(self._acknowledged_round)
         still_pending = []
         for confirmation in self.pending:
-            if confirmation.round_number > agreed_round:
+            if confirmation.round_number > quorum_round:
                 still_pending.append(confirmation)
             elif not confirmation.future.done():
                 confirmation.future.set_result(True)
         self.pending = still_pending
 
-    def _heard_round(self, identity: str) -> int:
+    def _acknowledged_round(self, identity: str) -> int:
         if identity == self.state.identity:
             return self.state.round_number
-        return self.state.followers[identity].heard_round
+        return self.state.followers[identity].acknowledged_round
 
     def fail_all(self) -> None:
         """This member leads no more."""
--- a/src/pearhead/consensus/replication.py
+++ b/src/pearhead/consensus/replication.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pearhead.consensus.applier import Applier
-from pearhead.consensus.election_timer import HEARTBEAT_MICROS
+from pearhead.consensus.election_timer import HEARTBEAT_INTERVAL_MICROS
 from pearhead.consensus.follower import Follower
 from pearhead.consensus.leadership_transfer import LeadershipTransfer
 from pearhead.consensus.log import KIND_MEMBERS, KIND_NOOP
@@ -52,7 +52,7 @@
     def begin_term(self) -> None:
         """Forgets what an earlier term knew of the followers, and appends the first entry of this one."""
         self.state.followers = {}
-        self._match_followers()
+        self._sync_followers_to_membership()
         self.append(KIND_NOOP, b"")
 
     def append(self, kind: int, payload: bytes) -> Entry:
@@ -60,18 +60,18 @@
         entry = Entry(index=self.state.log.last_index() + 1, epoch=self.state.term, kind=kind, payload=payload)
         self.state.log.append(entry)
         if kind == KIND_MEMBERS:
-            self._match_followers()
+            self._sync_followers_to_membership()
         entry_index, entry_term = entry.index, entry.epoch
 
-        def note_synced() -> None:
+        def handle_synced() -> None:
             if self.state.log.mark_durable(entry_index, entry_term):
                 self.advance_commit()
 
-        self.writer.persist([LogRecord(entry=entry)], note_synced)
+        self.writer.persist([LogRecord(entry=entry)], handle_synced)
         self.broadcast()
         return entry
 
-    def _match_followers(self) -> None:
+    def _sync_followers_to_membership(self) -> None:
         """Keeps one Follower for each other member of the latest membership."""
         followers = self.state.followers
         identities = {m.identity for m in self.state.log.membership().members.member} - {self.state.identity}
@@ -84,9 +84,9 @@
         """Commits what a majority holds, if the last of it is of the present term."""
         if not self.state.is_leader():
             return
-        agreed_index = self.state.log.membership().agreed(self._durable_index)
-        if agreed_index > self.state.commit_index and self.state.log.term_at(agreed_index) == self.state.term:
-            self.applier.commit_to(agreed_index)
+        quorum_index = self.state.log.membership().quorum_value(self._durable_index)
+        if quorum_index > self.state.commit_index and self.state.log.term_at(quorum_index) == self.state.term:
+            self.applier.commit_to(quorum_index)
             self.broadcast()
 
     def _durable_index(self, identity: str) -> int:
@@ -105,16 +105,16 @@
         """Sends something to each follower that got nothing for an interval."""
         now_micros = self.clock.now()
         for follower_identity, follower in self.state.followers.items():
-            if now_micros - follower.sent_micros >= HEARTBEAT_MICROS:
+            if now_micros - follower.sent_micros >= HEARTBEAT_INTERVAL_MICROS:
                 # A large batch is long on its way; meanwhile an empty one goes, and tells that this one leads.
-                follower.in_flight = follower.in_flight and now_micros < follower.batch_micros
+                follower.in_flight = follower.in_flight and now_micros < follower.response_deadline_micros
                 self.send_append(follower_identity, is_heartbeat=True)
 
     def send_append(self, follower_identity: str, is_heartbeat: bool = False) -> None:
         """Sends what one follower lacks, unless something is on its way and nothing else is due."""
         follower = self.state.followers[follower_identity]
         address = self.state.log.membership().addresses.get(follower_identity, "")
-        is_round_due = follower.heard_round < self.state.round_number
+        is_round_due = follower.acknowledged_round < self.state.round_number
         if (follower.in_flight and not is_round_due and not is_heartbeat) or not address:
             return
         follower.sent_micros = self.clock.now()
@@ -131,15 +131,15 @@
             if batch_bytes >= LARGE_BATCH_BYTES:
                 # Only heartbeats sent after it have this round: if one is answered first, the batch is lost.
                 self.state.round_number += 1
-            follower.note_sent(follower.sent_micros, batch_bytes, entries[-1].index, self.state.round_number)
+            follower.record_send(follower.sent_micros, batch_bytes, entries[-1].index, self.state.round_number)
         elif not follower.in_flight:
-            follower.note_sent(follower.sent_micros, 0, previous_index, self.state.round_number)
+            follower.record_send(follower.sent_micros, 0, previous_index, self.state.round_number)
         follower.in_flight = True
         self._send_append_ask(address, previous_index, entries)
 
     def _send_snapshot(self, follower: Follower, address: str) -> None:
         """A piece at a time; while one is on its way, no more than a heartbeat goes."""
-        if follower.in_flight and self.clock.now() < follower.batch_micros:
+        if follower.in_flight and self.clock.now() < follower.response_deadline_micros:
             self._send_append_ask(address, self.state.log.base_index, [])
         else:
             self.snapshot_sender.send_chunk(follower, address)
@@ -170,16 +170,16 @@
 
     def take_append_result(self, identity: str, result: AppendResult) -> None:
         """A follower took entries, refused them, or tells that it waits for its disk."""
-        follower = self._note_heard(identity, result.epoch, result.round)
+        follower = self._record_contact(identity, result.epoch, result.round)
         if follower is None:
             return
-        self._note_append_result(follower, result)
+        self._record_append_result(follower, result)
         self.reads.resolve()
         if result.waiting:
             return
         if follower.snapshot is not None:
             if result.round >= follower.batch_round:
-                follower.note_overtaken()
+                follower.record_loss()
                 self.send_append(identity)
             return
         self.advance_commit()
@@ -187,14 +187,14 @@
             self.send_append(identity)
         self.transfer.try_to_finish()
 
-    def _note_append_result(self, follower: Follower, result: AppendResult) -> None:
+    def _record_append_result(self, follower: Follower, result: AppendResult) -> None:
         """Notes how much of the log a follower holds; one that gets a snapshot tells nothing of that."""
         if result.waiting or follower.snapshot is not None:
             return
-        if result.success and result.match_index >= follower.batch_last:
-            follower.note_answered()
+        if result.success and result.match_index >= follower.batch_last_index:
+            follower.record_response()
         elif not result.success or result.round >= follower.batch_round:
-            follower.note_overtaken()
+            follower.record_loss()
         if result.success:
             follower.match_index = max(follower.match_index, result.match_index)
             follower.next_index = max(follower.next_index, follower.match_index + 1)
@@ -204,15 +204,15 @@
 
     def take_digest_result(self, identity: str, result: DigestResult) -> None:
         """A follower took a piece of a snapshot, or has installed the whole."""
-        follower = self._note_heard(identity, result.epoch, result.round)
+        follower = self._record_contact(identity, result.epoch, result.round)
         if follower is None:
             return
-        is_next_due = self.snapshot_sender.take_result(follower, result)
+        is_next_due = self.snapshot_sender.handle_chunk_result(follower, result)
         self.reads.resolve()
         if is_next_due:
             self.send_append(identity)
 
-    def _note_heard(self, identity: str, result_term: int, round_number: int) -> Follower | None:
+    def _record_contact(self, identity: str, result_term: int, round_number: int) -> Follower | None:
         """The follower whose answer to this leader came; None if the answer is of another term."""
         if result_term > self.state.term:
             self.roles.become_follower(result_term)
@@ -220,17 +220,17 @@
         follower = self.state.followers.get(identity)
         if not self.state.is_leader() or result_term != self.state.term or follower is None:
             return None
-        follower.note_heard(self.clock.now(), round_number)
+        follower.record_contact(self.clock.now(), round_number)
         return follower
 
     def has_quorum(self) -> bool:
         """Whether a majority answered within the last second."""
-        return self.state.log.membership().has_quorum([i for i in self._voters() if self._is_heard(i)])
+        return self.state.log.membership().has_quorum([i for i in self._voters() if self._is_reachable(i)])
 
     def _voters(self) -> dict[str, str]:
         return self.state.log.membership().voters
 
-    def _is_heard(self, identity: str) -> bool:
+    def _is_reachable(self, identity: str) -> bool:
         if identity == self.state.identity:
             return True
         return self.clock.now() - self.state.followers[identity].heard_micros < UNHEARD_MICROS
--- a/src/pearhead/consensus/roles.py
+++ b/src/pearhead/consensus/roles.py
@@ -19,7 +19,7 @@
         self.state = state
         self.writer = writer
         self.timer = timer
-        self.lead_listeners: list[Callable[[], None]] = []
+        self.leadership_listeners: list[Callable[[], None]] = []
         self.step_down_listeners: list[Callable[[], None]] = []
 
     def become_leader(self) -> None:
@@ -27,7 +27,7 @@
         LOGGER.info("consensus: Leads. epoch=%d", self.state.term)
         self.state.role = Role.LEADER
         self.state.leader_identity = self.state.identity
-        for listener in self.lead_listeners:
+        for listener in self.leadership_listeners:
             listener()
 
     def become_follower(self, term: int, leader_identity: str = "") -> None:
@@ -54,4 +54,4 @@
         is_known = self.state.leader_identity == leader_identity
         if term > self.state.term or self.state.role != Role.FOLLOWER or not is_known:
             self.become_follower(term, leader_identity)
-        self.timer.note_leader()
+        self.timer.record_leader_contact()
--- a/src/pearhead/consensus/snapshot_receiver.py
+++ b/src/pearhead/consensus/snapshot_receiver.py
@@ -78,12 +78,12 @@
             result.next_offset = 0
             self._answer(address, result)
         elif not self.store.is_busy:
-            self.store.start_install(self._whole_snapshot(ask), lambda: self._answer(address, result))
+            self.store.start_install(self._assemble_snapshot(ask), lambda: self._answer(address, result))
 
     def _answer(self, address: str, result: DigestResult) -> None:
         self.send(address, "digest_result", result)
 
-    def _whole_snapshot(self, ask: DigestAsk) -> DigestFile:
+    def _assemble_snapshot(self, ask: DigestAsk) -> DigestFile:
         snapshot = DigestFile(index=ask.index, epoch=ask.last_epoch, state=bytes(self.incoming.state))
         snapshot.members.CopyFrom(ask.members)
         return snapshot
--- a/src/pearhead/consensus/snapshot_sender.py
+++ b/src/pearhead/consensus/snapshot_sender.py
@@ -29,7 +29,7 @@
         self.state.round_number += 1
         chunk = snapshot.state[offset : offset + CHUNK_BYTES]
         follower.in_flight = True
-        follower.note_sent(self.clock.now(), len(chunk), -offset, self.state.round_number)
+        follower.record_send(self.clock.now(), len(chunk), -offset, self.state.round_number)
         ask = DigestAsk(
             epoch=self.state.term,
             index=snapshot.index,
@@ -50,17 +50,17 @@
         follower.snapshot_offset = 0
         return snapshot
 
-    def take_result(self, follower: Follower, result: DigestResult) -> bool:
+    def handle_chunk_result(self, follower: Follower, result: DigestResult) -> bool:
         """Notes how far the follower is; False if it only asks again for the piece that is on its way."""
         is_repeat = result.next_offset == follower.snapshot_offset
         if is_repeat and follower.in_flight and follower.snapshot_offset:
             return False
-        follower.note_answered()
+        follower.record_response()
         snapshot = follower.snapshot
         if snapshot is None or result.index != snapshot.index:
             return True
         if result.next_offset >= len(snapshot.state):
-            follower.note_snapshot_installed(result.index)
+            follower.record_snapshot_installed(result.index)
         else:
             follower.snapshot_offset = result.next_offset
         return True
--- a/src/pearhead/consensus/snapshot_store.py
+++ b/src/pearhead/consensus/snapshot_store.py
@@ -9,26 +9,32 @@
 from pearhead.consensus.state import RaftState, StateMachine
 from pearhead.consensus.wal import Wal
 from pearhead.rpc.wire_pb2 import DigestFile, Entry
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 
 
 @dataclass(frozen=True)
 class SnapshotLimits:
     """When a snapshot is due, by entries or by bytes, and how many entries stay in the log behind it."""
 
-    every_entries: int = 4_096
+    entries_per_snapshot: int = 4_096
     kept_entries: int = 1_024
-    every_bytes: int = 8 * 1024 * 1024
+    bytes_per_snapshot: int = 8 * 1024 * 1024
 
 
-DEFAULT_LIMITS = SnapshotLimits()
+DEFAULT_SNAPSHOT_LIMITS = SnapshotLimits()
 
 
 class SnapshotStore:
     """The snapshots of one member; one at a time is written."""
 
     def __init__(
-        self, state: RaftState, machine: StateMachine, wal: Wal, writer: LogWriter, crew: Crew, limits: SnapshotLimits
+        self,
+        state: RaftState,
+        machine: StateMachine,
+        wal: Wal,
+        writer: LogWriter,
+        crew: BackgroundTaskGroup,
+        limits: SnapshotLimits,
     ) -> None:
         self.state = state
         self.machine = machine
@@ -41,14 +47,16 @@
         # A snapshot is being written, the own one or one from the leader.
         self.is_busy = False
 
-    def note_applied(self, entry: Entry) -> None:
+    def count_applied_entry(self, entry: Entry) -> None:
         """An entry was applied, which counts towards the next snapshot."""
         self.applied_bytes += len(entry.payload)
 
-    def keep_if_due(self) -> None:
+    def snapshot_if_due(self) -> None:
         """Begins to write a snapshot if enough was applied since the last one."""
         applied_entries = self.state.applied_index - self.snapshot_index
-        is_due = applied_entries >= self.limits.every_entries or self.applied_bytes >= self.limits.every_bytes
+        is_due = (
+            applied_entries >= self.limits.entries_per_snapshot or self.applied_bytes >= self.limits.bytes_per_snapshot
+        )
         if is_due and applied_entries > 0 and not self.is_busy:
             self.is_busy = True
             self.applied_bytes = 0
@@ -68,29 +76,29 @@
     async def keep(self, snapshot: DigestFile) -> None:
         """Writes a snapshot, then compacts the log."""
         try:
-            await self.wal.keep_digest(snapshot)
+            await self.wal.save_snapshot(snapshot)
             self.snapshot_index = snapshot.index
             self._compact_log(snapshot.index)
         except OSError as disk_error:
-            self.writer.take_snapshot_error(disk_error)
+            self.writer.handle_snapshot_error(disk_error)
         finally:
             self.is_busy = False
 
     def _compact_log(self, snapshot_index: int) -> None:
         log = self.state.log
         new_base_index = min(snapshot_index, max(log.base_index, snapshot_index - self.limits.kept_entries))
-        new_base_index = max(new_base_index, self._base_by_bytes(snapshot_index))
+        new_base_index = max(new_base_index, self._base_index_by_bytes(snapshot_index))
         if new_base_index > log.base_index:
             log.compact_to(new_base_index)
 
-    def _base_by_bytes(self, index: int) -> int:
+    def _base_index_by_bytes(self, index: int) -> int:
         """Behind a snapshot no more bytes of entries are kept than lead to the next one (§4.3)."""
         kept_bytes = 0
         while index > self.state.log.base_index:
             entry = self.state.log.entry_at(index)
             assert entry is not None
             kept_bytes += len(entry.payload)
-            if kept_bytes > self.limits.every_bytes:
+            if kept_bytes > self.limits.bytes_per_snapshot:
                 break
             index -= 1
         return index
@@ -105,13 +113,13 @@
             # What waits to be written goes first; nothing new is taken meanwhile.
             await self.writer.drain()
             kept_entries = self._entries_after(snapshot)
-            await self.wal.reset_to(snapshot, kept_entries)
+            await self.wal.reset_to_snapshot(snapshot, kept_entries)
             if snapshot.index > self.state.commit_index:
                 self.load(snapshot)
                 self.state.log.replace_entries(kept_entries)
             on_installed()
         except OSError as disk_error:
-            self.writer.take_snapshot_error(disk_error)
+            self.writer.handle_snapshot_error(disk_error)
         finally:
             self.is_busy = self.state.is_installing_snapshot = False
 
--- a/src/pearhead/consensus/wal.py
+++ b/src/pearhead/consensus/wal.py
@@ -20,10 +20,10 @@
 LOGGER = logging.getLogger("pearhead")
 MAGIC = b"\xa7PH1"
 HEADER = struct.Struct(">4sIIQI")
-SEGMENT_LIMIT = 4 * 1024 * 1024
-KEPT_DIGESTS = 2
+MAXIMUM_SEGMENT_BYTES = 4 * 1024 * 1024
+KEPT_SNAPSHOTS = 2
 SEGMENT_PATTERN = re.compile(r"log-\d{12}")
-DIGEST_PATTERN = re.compile(r"digest-\d{20}")
+SNAPSHOT_PATTERN = re.compile(r"digest-\d{20}")
 
 
 class WalCorruptError(Exception):
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Recovered:
+class RecoveredLog:
     """What the files held: the last term and vote, the latest snapshot, and the entries after it."""
 
     mark: Mark = field(default_factory=Mark)
@@ -40,41 +40,41 @@
 
 
 @dataclass
-class FoundRecord:
+class ParsedRecord:
     """A record read from a segment, with its place in its batch and where it ends."""
 
     record: LogRecord
     batch_number: int
-    left_count: int
+    remaining_count: int
     end_offset: int
 
 
-def seal_record(record: LogRecord, batch_number: int, left_count: int = 0) -> bytes:
+def encode_record(record: LogRecord, batch_number: int, remaining_count: int = 0) -> bytes:
     """The bytes of one record, after which so many others of its batch follow."""
     payload_bytes = record.SerializeToString()
-    check_sum = zlib.crc32(struct.pack(">QI", batch_number, left_count) + payload_bytes)
-    return HEADER.pack(MAGIC, len(payload_bytes), check_sum, batch_number, left_count) + payload_bytes
+    check_sum = zlib.crc32(struct.pack(">QI", batch_number, remaining_count) + payload_bytes)
+    return HEADER.pack(MAGIC, len(payload_bytes), check_sum, batch_number, remaining_count) + payload_bytes
 
 
-def seal_batch(records: list[LogRecord], batch_number: int) -> bytes:
+def encode_batch(records: list[LogRecord], batch_number: int) -> bytes:
     """The bytes of all records of one batch."""
     return b"".join(
-        seal_record(record, batch_number, len(records) - position - 1) for position, record in enumerate(records)
+        encode_record(record, batch_number, len(records) - position - 1) for position, record in enumerate(records)
     )
 
 
-def read_record(segment_bytes: bytes, offset: int) -> FoundRecord | None:
+def read_record(segment_bytes: bytes, offset: int) -> ParsedRecord | None:
     """The record at an offset; None if it isn't whole and sound."""
     if offset + HEADER.size > len(segment_bytes):
         return None
-    magic, payload_size, check_sum, batch_number, left_count = HEADER.unpack_from(segment_bytes, offset)
+    magic, payload_size, check_sum, batch_number, remaining_count = HEADER.unpack_from(segment_bytes, offset)
     end_offset = offset + HEADER.size + payload_size
     if magic != MAGIC or end_offset > len(segment_bytes):
         return None
     payload_bytes = segment_bytes[offset + HEADER.size : end_offset]
-    if zlib.crc32(struct.pack(">QI", batch_number, left_count) + payload_bytes) != check_sum:
+    if zlib.crc32(struct.pack(">QI", batch_number, remaining_count) + payload_bytes) != check_sum:
         return None
-    return FoundRecord(LogRecord.FromString(payload_bytes), batch_number, left_count, end_offset)
+    return ParsedRecord(LogRecord.FromString(payload_bytes), batch_number, remaining_count, end_offset)
 
 
 def segment_name(segment_number: int) -> str:
@@ -82,7 +82,7 @@
     return f"log-{segment_number:012d}"
 
 
-def digest_name(index: int) -> str:
+def snapshot_file_name(index: int) -> str:
     """The file name of the snapshot whose last entry has this index."""
     return f"digest-{index:020d}"
 
@@ -95,42 +95,42 @@
         self.segment_number = 0
         self.segment_size = 0
         self.batch_number = 0
-        self.batch_whole = True
+        self.is_batch_complete = True
         self.next_index = 1
-        self.tail_dirty = False
+        self.has_dirty_tail = False
         self.mark = Mark()
         self.first_indexes: dict[int, int] = {}
         # What the next batch must begin with: the end of a takeover that was interrupted.
-        self.owed_records: list[LogRecord] = []
+        self.deferred_records: list[LogRecord] = []
         self.write_lock = asyncio.Lock()
 
-    async def recover(self) -> Recovered:
+    async def recover(self) -> RecoveredLog:
         """Reads all files, cuts a torn tail off, and raises WalCorruptError at damage before it."""
-        recovered = Recovered()
+        recovered = RecoveredLog()
         file_names = self.disk.names()
-        digest_names = [n for n in file_names if DIGEST_PATTERN.fullmatch(n)]
-        if digest_names:
-            recovered.digest = self._read_digest(digest_names[-1])
+        snapshot_file_names = [n for n in file_names if SNAPSHOT_PATTERN.fullmatch(n)]
+        if snapshot_file_names:
+            recovered.digest = self._read_snapshot_file(snapshot_file_names[-1])
         segment_numbers = [int(n[4:]) for n in file_names if SEGMENT_PATTERN.fullmatch(n)]
         for segment_number in segment_numbers:
             await self._recover_segment(segment_number, segment_number == segment_numbers[-1], recovered)
         if segment_numbers and segment_numbers != list(range(segment_numbers[0], segment_numbers[-1] + 1)):
             raise WalCorruptError(f"a log segment is missing among {segment_numbers}")
-        self._keep_what_follows(recovered)
+        self._retain_entries_after_snapshot(recovered)
         self.mark.CopyFrom(recovered.mark)
         self.segment_number = segment_numbers[-1] if segment_numbers else 0
         return recovered
 
-    def _keep_what_follows(self, recovered: Recovered) -> None:
+    def _retain_entries_after_snapshot(self, recovered: RecoveredLog) -> None:
         """Leaves the entries after the digest, if they are of its history, and checks that none is missing."""
         digest = recovered.digest or DigestFile()
         held = next((e for e in recovered.entries if e.index == digest.index), None)
         recovered.entries = [e for e in recovered.entries if e.index > digest.index]
-        is_other_history = held is not None and held.epoch != digest.epoch
-        if recovered.entries and (is_other_history or recovered.entries[0].epoch < digest.epoch):
+        is_diverged = held is not None and held.epoch != digest.epoch
+        if recovered.entries and (is_diverged or recovered.entries[0].epoch < digest.epoch):
             # The digest was taken over from a leader, and power was lost before these entries were cut.
             recovered.entries = []
-            self.owed_records = [LogRecord(cut_from=1)]
+            self.deferred_records = [LogRecord(cut_from=1)]
         for position, entry in enumerate(recovered.entries):
             if entry.index != digest.index + 1 + position:
                 raise WalCorruptError(f"the log has a gap before entry {entry.index} after digest {digest.index}")
@@ -140,26 +140,26 @@
         """Writes one batch and syncs it. Only one batch is under way at a time."""
         async with self.write_lock:
             await self._cut_dirty_tail()
-            if self.segment_number == 0 or self.segment_size > SEGMENT_LIMIT:
+            if self.segment_number == 0 or self.segment_size > MAXIMUM_SEGMENT_BYTES:
                 await self._open_segment([])
-            written_records = self.owed_records + records
-            batch_bytes = seal_batch(written_records, self.batch_number + 1)
+            written_records = self.deferred_records + records
+            batch_bytes = encode_batch(written_records, self.batch_number + 1)
             # What a full disk took of a batch is cut off before the next try.
-            self.tail_dirty = True
+            self.has_dirty_tail = True
             await self.disk.append(segment_name(self.segment_number), batch_bytes)
-            self.tail_dirty = False
+            self.has_dirty_tail = False
             self.batch_number += 1
             self.segment_size += len(batch_bytes)
-            self.owed_records = []
+            self.deferred_records = []
             for record in written_records:
                 self._note(record)
 
-    async def keep_digest(self, digest: DigestFile) -> None:
+    async def save_snapshot(self, digest: DigestFile) -> None:
         """Writes a digest, then lets go of the segments that it covers."""
         async with self.write_lock:
             # A torn tail is allowed in the last segment only.
             await self._cut_dirty_tail()
-            await self._write_digest(digest)
+            await self._write_snapshot_file(digest)
             await self._open_segment([])
             for segment_number in sorted(self.first_indexes):
                 next_first = self.first_indexes.get(segment_number + 1)
@@ -167,9 +167,9 @@
                 if next_first is None or next_first > digest.index + 1:
                     break
                 await self._remove_segment(segment_number)
-            await self._remove_old_digests()
+            await self._remove_old_snapshots()
 
-    async def reset_to(self, digest: DigestFile, kept_entries: list[Entry]) -> None:
+    async def reset_to_snapshot(self, digest: DigestFile, kept_entries: list[Entry]) -> None:
         """Takes over a digest received from a leader: what the log held before no longer counts.
 
         The cut and the entries that are kept come with one segment, whole or not at all, and only then older segments
@@ -178,42 +178,42 @@
         async with self.write_lock:
             # A torn tail is allowed in the last segment only.
             await self._cut_dirty_tail()
-            await self._write_digest(digest)
+            await self._write_snapshot_file(digest)
             await self._open_segment([LogRecord(cut_from=1), *(LogRecord(entry=entry) for entry in kept_entries)])
             self.next_index = digest.index + 1 + len(kept_entries)
             for segment_number in sorted(self.first_indexes)[:-1]:
                 await self._remove_segment(segment_number)
-            await self._remove_old_digests()
+            await self._remove_old_snapshots()
 
     async def _cut_dirty_tail(self) -> None:
-        if self.tail_dirty:
+        if self.has_dirty_tail:
             await self.disk.truncate(segment_name(self.segment_number), self.segment_size)
-            self.tail_dirty = False
+            self.has_dirty_tail = False
 
-    async def _write_digest(self, digest: DigestFile) -> None:
+    async def _write_snapshot_file(self, digest: DigestFile) -> None:
         digest_bytes = digest.SerializeToString()
-        sealed_bytes = struct.pack(">I", zlib.crc32(digest_bytes)) + digest_bytes
-        await self.disk.replace(digest_name(digest.index), sealed_bytes)
+        checksummed_bytes = struct.pack(">I", zlib.crc32(digest_bytes)) + digest_bytes
+        await self.disk.replace(snapshot_file_name(digest.index), checksummed_bytes)
 
     async def _remove_segment(self, segment_number: int) -> None:
         await self.disk.remove(segment_name(segment_number))
         del self.first_indexes[segment_number]
 
-    async def _remove_old_digests(self) -> None:
-        digest_names = [n for n in self.disk.names() if DIGEST_PATTERN.fullmatch(n)]
-        for file_name in digest_names[:-KEPT_DIGESTS]:
+    async def _remove_old_snapshots(self) -> None:
+        snapshot_file_names = [n for n in self.disk.names() if SNAPSHOT_PATTERN.fullmatch(n)]
+        for file_name in snapshot_file_names[:-KEPT_SNAPSHOTS]:
             await self.disk.remove(file_name)
 
     async def _open_segment(self, records: list[LogRecord]) -> None:
         # The mark leads each segment, so removing older ones loses no vote.
-        batch = [LogRecord(mark=self.mark), *self.owed_records, *records]
-        batch_bytes = seal_batch(batch, self.batch_number + 1)
+        batch = [LogRecord(mark=self.mark), *self.deferred_records, *records]
+        batch_bytes = encode_batch(batch, self.batch_number + 1)
         await self.disk.replace(segment_name(self.segment_number + 1), batch_bytes)
         self.segment_number += 1
         self.batch_number += 1
         self.segment_size = len(batch_bytes)
         self.first_indexes[self.segment_number] = self.next_index
-        self.owed_records = []
+        self.deferred_records = []
 
     def _note(self, record: LogRecord) -> None:
         if record.HasField("mark"):
@@ -223,14 +223,14 @@
         else:
             self.next_index = record.cut_from
 
-    def _read_digest(self, file_name: str) -> DigestFile:
-        sealed_bytes = self.disk.read(file_name)
-        (check_sum,) = struct.unpack(">I", sealed_bytes[:4])
-        if zlib.crc32(sealed_bytes[4:]) != check_sum:
+    def _read_snapshot_file(self, file_name: str) -> DigestFile:
+        checksummed_bytes = self.disk.read(file_name)
+        (check_sum,) = struct.unpack(">I", checksummed_bytes[:4])
+        if zlib.crc32(checksummed_bytes[4:]) != check_sum:
             raise WalCorruptError(f"{file_name} fails its checksum")
-        return DigestFile.FromString(sealed_bytes[4:])
+        return DigestFile.FromString(checksummed_bytes[4:])
 
-    async def _recover_segment(self, segment_number: int, is_last: bool, recovered: Recovered) -> None:
+    async def _recover_segment(self, segment_number: int, is_last: bool, recovered: RecoveredLog) -> None:
         segment_bytes = self.disk.read(segment_name(segment_number))
         self.first_indexes[segment_number] = self.next_index
         offset = 0
@@ -242,7 +242,7 @@
                 await self.disk.truncate(segment_name(segment_number), offset)
                 break
             record, offset = found.record, found.end_offset
-            self.batch_number, self.batch_whole = found.batch_number, found.left_count == 0
+            self.batch_number, self.is_batch_complete = found.batch_number, found.remaining_count == 0
             self._note(record)
             if record.HasField("mark"):
                 recovered.mark.CopyFrom(record.mark)
@@ -256,7 +256,7 @@
         where = f"{segment_name(segment_number)} at byte {offset}"
         if not is_last:
             raise WalCorruptError(f"{where} is damaged, and later segments follow")
-        torn_batch = self.batch_number + 1 if self.batch_whole else self.batch_number
+        torn_batch = self.batch_number + 1 if self.is_batch_complete else self.batch_number
         search_offset = segment_bytes.find(MAGIC, offset + 1)
         while search_offset >= 0:
             found = read_record(segment_bytes, search_offset)
--- a/src/pearhead/control_plane/core.py
+++ b/src/pearhead/control_plane/core.py
@@ -23,8 +23,8 @@
 from pearhead.control_plane.membership_controller import MembershipController
 from pearhead.control_plane.view_service import ViewService
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.serializer import Serializer
-from pearhead.rpc.courier import Courier
+from pearhead.invalidation.revision_sequencer import RevisionSequencer
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     Command,
     CommandAsk,
@@ -37,8 +37,8 @@
     PurgeNote,
     Record,
 )
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 from pearhead.runtime.disk import Disk
 from pearhead.runtime.net import Net
 
@@ -88,7 +88,7 @@
         self.disk = disk
         self.chance = chance
         self.fail = fail
-        self.crew = Crew("control_plane")
+        self.crew = BackgroundTaskGroup("control_plane")
         self.fleet = Fleet()
         self.hold_seen: dict[str, tuple[int, int]] = {}
         self.leader_since = 0
@@ -96,16 +96,16 @@
         self.founders = startup.founders
         self.tell_event: Callable[[str, int, dict[str, Any]], None] = lambda type_name, index, data: None
         self.raft: RaftMember
-        self.courier: Courier
+        self.courier: RpcEndpoint
         self.directory: Directory
         self.membership: MembershipController
         self.view_service: ViewService
-        self.serializer: Serializer
+        self.serializer: RevisionSequencer
 
     async def start(self) -> None:
         self.identity = await self._learn_identity()
         self.founders = self._learn_founders()
-        self.courier = Courier(self.identity, self.startup.address, self.net, self.clock)
+        self.courier = RpcEndpoint(self.identity, self.startup.address, self.net, self.clock)
         self_record = Record(
             identity=self.identity,
             address=self.startup.address,
@@ -139,7 +139,7 @@
         self.view_service = ViewService(self.identity, self.raft, self.fleet)
         self.raft.watch_leadership(self._take_leadership)
         self.raft.watch_members(self._take_members)
-        self.serializer = Serializer(
+        self.serializer = RevisionSequencer(
             self, self.courier, self.directory, self.clock, self.crew, self.startup.tableLifetimeMicros
         )
         for body_name, handler in (
--- a/src/pearhead/control_plane/main.py
+++ b/src/pearhead/control_plane/main.py
@@ -21,8 +21,8 @@
 from pearhead.control_plane.operatorapi import build_operator_api
 from pearhead.control_plane.rescue import Rescue
 from pearhead.runtime.clock import BootClock
-from pearhead.runtime.command import run_command
-from pearhead.runtime.daemon import open_logs, serve_until_stopped
+from pearhead.runtime.command_line import run_command
+from pearhead.runtime.daemon import configure_logging, serve_until_stopped
 from pearhead.runtime.disk import FolderBusyError, FolderDisk
 from pearhead.runtime.draining_server import DrainingServer
 from pearhead.runtime.socketnet import SocketNet, split_address
@@ -67,7 +67,7 @@
         core.crew.start(teller.run())
 
     async def drain() -> None:
-        await server.drain_around(clock, startup.drainMicros, core.drain)
+        await server.drain_with_process(clock, startup.drainMicros, core.drain)
 
     status = await serve_until_stopped(drain, failed)
     core.stop()
@@ -86,7 +86,7 @@
         checked = read_startup(startup, flags, needs_folder=True)
         if isinstance(checked, Err):
             return exit_with_faults("control_plane", checked.err_value)
-        open_logs(checked.ok_value.logLevel)
+        configure_logging(checked.ok_value.logLevel)
         raise SystemExit(asyncio.run(_serve(checked.ok_value)))
 
     def inspect(self, folder: str) -> None:
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -14,7 +14,7 @@
 from pearhead.config.startup import Startup
 from pearhead.consensus.raft import RaftMember
 from pearhead.discovery.directory import Directory
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     FoundAsk,
     FoundResult,
@@ -60,7 +60,7 @@
         startup: Startup,
         founders: list[str],
         raft: RaftMember,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         fail: Callable[[str], None],
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -5,7 +5,7 @@
 from pearhead.consensus.log import KIND_COMMAND
 from pearhead.consensus.raft import RaftMember
 from pearhead.control_plane.fleet import Fleet
-from pearhead.rpc.delta_packing import DeltaPacker
+from pearhead.rpc.delta_compression import DeltaCompressor
 from pearhead.rpc.wire_pb2 import Entry, TermAsk, TermResult
 
 
@@ -16,12 +16,12 @@
         self.identity = identity
         self.raft = raft
         self.fleet = fleet
-        self.packer = DeltaPacker()
+        self.packer = DeltaCompressor()
         self.touching_places: dict[tuple[int, int], bool] = {}
 
     def take_leadership(self, leads: bool) -> None:
         """What was packed for an earlier leader's nodes goes."""
-        self.packer = DeltaPacker()
+        self.packer = DeltaCompressor()
 
     def last_visible_index(self) -> int:
         """The last index in this log that touches what nodes see, committed or not."""
--- a/src/pearhead/discovery/directory.py
+++ b/src/pearhead/discovery/directory.py
@@ -7,19 +7,19 @@
 
 from bitarray import bitarray
 
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Hello, HelloResult, Record
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
 
-HELLO_MICROS = SECOND
+HELLO_INTERVAL_MICROS = SECOND
 LIFETIME_MICROS = 5 * SECOND
 # Records older than this are told one by one also to those who know the same, so that none of them ages the others;
 # not where more than this share are: then most of them are only not heard of yet.
-LAGGING_MICROS = 2_500 * MILLI
-MOST_LAGGING_SHARE = 0.5
-PEER_COUNT = 2
+LAGGING_RECORD_AGE_MICROS = 2_500 * MILLI
+MAXIMUM_LAGGING_SHARE = 0.5
+GOSSIP_FANOUT = 2
 RECORD_LIMIT = 1_000
-CACHE_MICROS = 200_000
+MEMBERS_CACHE_LIFETIME_MICROS = 200_000
 
 
 class Directory:
@@ -29,7 +29,7 @@
         self,
         self_record: Record,
         seed_addresses: list[str],
-        courier: Courier,
+        courier: RpcEndpoint,
         clock: Clock,
         chance: random.Random,
     ) -> None:
@@ -40,29 +40,29 @@
         self.chance = chance
         self.records: dict[str, tuple[Record, int]] = {}
         # Asked for many times a second; who is known changes seldom, and records end by whole seconds.
-        self.cached: dict[str | None, list[Record]] = {}
-        self.cached_from = self.cached_until = 0
+        self.cached_members: dict[str | None, list[Record]] = {}
+        self.cache_start_micros = self.cache_expiry_micros = 0
         courier.on_tell("hello", self._take_hello)
-        courier.on_tell("hello_result", self._take_hello_result)
+        courier.on_tell("hello_result", self._handle_hello_result)
 
     def members(self, role: str | None = None) -> list[Record]:
         """The live records, one an address: a process started again goes before its former life."""
         now_micros = self.clock.now()
-        if not self.cached_from <= now_micros < self.cached_until:
-            self.cached = {}
-            self.cached_from, self.cached_until = now_micros, now_micros + CACHE_MICROS
-        found = self.cached.get(role)
+        if not self.cache_start_micros <= now_micros < self.cache_expiry_micros:
+            self.cached_members = {}
+            self.cache_start_micros, self.cache_expiry_micros = now_micros, now_micros + MEMBERS_CACHE_LIFETIME_MICROS
+        found = self.cached_members.get(role)
         if found is None:
-            found = self.cached[role] = self._find_members(role, now_micros)
+            found = self.cached_members[role] = self._find_members(role, now_micros)
         return list(found)
 
     def _find_members(self, role: str | None, now_micros: int) -> list[Record]:
-        born_limit = now_micros - LIFETIME_MICROS
+        oldest_live_micros = now_micros - LIFETIME_MICROS
         by_address: dict[str, tuple[int, Record]] = {}
-        for _, (record, born_micros) in sorted(self.records.items()):
-            held_born, _ = by_address.get(record.address, (-1, record))
-            if born_micros >= born_limit and born_micros > held_born:
-                by_address[record.address] = (born_micros, record)
+        for _, (record, issued_micros) in sorted(self.records.items()):
+            known_issued_micros, _ = by_address.get(record.address, (-1, record))
+            if issued_micros >= oldest_live_micros and issued_micros > known_issued_micros:
+                by_address[record.address] = (issued_micros, record)
         found = [record for _, record in by_address.values() if role is None or record.role == role]
         return sorted(found, key=lambda r: r.identity)
 
@@ -96,16 +96,16 @@
                 hello.self.CopyFrom(self.self_record)
                 self.courier.tell(target_address, "hello", hello)
             round_number += 1
-            await rest(self.clock, HELLO_MICROS)
+            await rest(self.clock, HELLO_INTERVAL_MICROS)
 
     def _choose_targets(self) -> list[str]:
         core_addresses = [r.address for r in self.members("control_plane")]
         other_addresses = [r.address for r in self.members() if r.role != "control_plane"]
-        peer_addresses = self.chance.sample(other_addresses, min(PEER_COUNT, len(other_addresses)))
+        peer_addresses = self.chance.sample(other_addresses, min(GOSSIP_FANOUT, len(other_addresses)))
         # Seeds serve first contact only (§3.2).
         return (core_addresses or self.seed_addresses) + peer_addresses
 
-    def _aged_records(self) -> list[Record]:
+    def _records_with_age(self) -> list[Record]:
         """A relay adds its holding time, so no record lives longer for being passed on."""
         aged_records = []
         for record in self.members():
@@ -116,37 +116,37 @@
         return aged_records
 
     def _take_hello(self, identity: str, address: str, hello: Hello) -> None:
-        self._take_record(hello.self, 0)
+        self._merge_record(hello.self, 0)
         if not hello.wants_known:
             return
         hello_result = HelloResult()
         if hello.known_hash == self._known_hash():
-            records = self._aged_records()
-            lagging = [r for r in records if r.age_micros > LAGGING_MICROS]
-            if len(lagging) <= MOST_LAGGING_SHARE * len(records):
+            records = self._records_with_age()
+            lagging = [r for r in records if r.age_micros > LAGGING_RECORD_AGE_MICROS]
+            if len(lagging) <= MAXIMUM_LAGGING_SHARE * len(records):
                 hello_result.known.extend(lagging)
-                records = [r for r in records if r.age_micros <= LAGGING_MICROS]
+                records = [r for r in records if r.age_micros <= LAGGING_RECORD_AGE_MICROS]
             hello_result.is_same = True
             hello_result.oldest_age_micros = max((r.age_micros for r in records), default=0)
         else:
-            hello_result.known.extend(self._aged_records())
+            hello_result.known.extend(self._records_with_age())
             self_record = hello_result.known.add()
             self_record.CopyFrom(self.self_record)
         self.courier.tell(address, "hello_result", hello_result)
 
-    def _take_hello_result(self, identity: str, address: str, hello_result: HelloResult) -> None:
-        self._take_known(list(hello_result.known))
+    def _handle_hello_result(self, identity: str, address: str, hello_result: HelloResult) -> None:
+        self._merge_known_records(list(hello_result.known))
         if hello_result.is_same:
-            self._refresh_same(hello_result)
+            self._refresh_shared_records(hello_result)
 
-    def _refresh_same(self, hello_result: HelloResult) -> None:
+    def _refresh_shared_records(self, hello_result: HelloResult) -> None:
         """All that both know, but for those told one by one, were alive no longer ago than the oldest of them."""
-        born_micros = self.clock.now() - hello_result.oldest_age_micros
+        issued_micros = self.clock.now() - hello_result.oldest_age_micros
         lagging = {record.identity for record in hello_result.known}
         for record in self.members():
-            _, held_born = self.records[record.identity]
+            _, known_issued_micros = self.records[record.identity]
             if record.identity not in lagging:
-                self.records[record.identity] = (record, max(held_born, born_micros))
+                self.records[record.identity] = (record, max(known_issued_micros, issued_micros))
 
     def _known_hash(self) -> str:
         """Over all live records and this process's own, so that two who know the same agree."""
@@ -157,19 +157,23 @@
             known_hash.update(record.channels)
         return known_hash.hexdigest()
 
-    def _take_known(self, known_records: list[Record]) -> None:
+    def _merge_known_records(self, known_records: list[Record]) -> None:
         for record in known_records:
-            self._take_record(record, record.age_micros)
+            self._merge_record(record, record.age_micros)
 
-    def _take_record(self, record: Record, age_micros: int) -> None:
+    def _merge_record(self, record: Record, age_micros: int) -> None:
         if record.identity == self.self_record.identity:
             return
-        born_micros = self.clock.now() - age_micros
-        held_record, held_born = self.records.get(record.identity, (None, -1))
-        if held_record is None or born_micros > held_born:
-            self.records[record.identity] = (record, born_micros)
-            if held_record is None or held_record != record or held_born < self.clock.now() - LIFETIME_MICROS:
-                self.cached_until = 0
+        issued_micros = self.clock.now() - age_micros
+        known_record, known_issued_micros = self.records.get(record.identity, (None, -1))
+        if known_record is None or issued_micros > known_issued_micros:
+            self.records[record.identity] = (record, issued_micros)
+            if (
+                known_record is None
+                or known_record != record
+                or known_issued_micros < self.clock.now() - LIFETIME_MICROS
+            ):
+                self.cache_expiry_micros = 0
             if len(self.records) > RECORD_LIMIT:
                 oldest_identity = min(self.records, key=lambda i: self.records[i][1])
                 del self.records[oldest_identity]
--- a/src/pearhead/invalidation/listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -9,8 +9,8 @@
 
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.channel import JoinedChannels, object_channel, volume_channel
-from pearhead.invalidation.serializer import page_pairs
-from pearhead.rpc.courier import Courier
+from pearhead.invalidation.revision_sequencer import paginate_pairs
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     Pair,
     PurgeNote,
@@ -19,16 +19,16 @@
     Table,
     Wakeup,
 )
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
 RESEND_MICROS = 250 * MILLI
 RESEND_COUNT = 20
-TABLE_ASK_MICROS = 400 * MILLI
+TABLE_REQUEST_INTERVAL_MICROS = 400 * MILLI
 RELAY_MICROS = 120 * MILLI
 IDLE_MICROS = 120 * SECOND
-CHANGING_MICROS = 10 * SECOND
+CHANGE_TIMEOUT_MICROS = 10 * SECOND
 
 Volume = tuple[str, str]
 
@@ -41,27 +41,27 @@
     serial: int = 0
     expiry_micros: int = -1
     asked_micros: int = -SECOND
-    relay_due: int = 0
+    relay_due_micros: int = 0
     table_revisions: dict[int, int] = field(default_factory=dict)
     heard: dict[int, tuple[int, int]] = field(default_factory=dict)
     changing: dict[int, tuple[bytes, int]] = field(default_factory=dict)
     pages: dict[int, list[tuple[int, int]]] = field(default_factory=dict)
-    pages_mark: tuple[int, int, int] = (0, 0, 0)
-    pages_expiry: int = 0
+    pages_version: tuple[int, int, int] = (0, 0, 0)
+    pages_expiry_micros: int = 0
 
-    def is_overtaken(self) -> bool:
+    def has_newer_revisions(self) -> bool:
         """A bump was heard of that the table does not hold: who had only the table would use the old part (§6.4)."""
         return bool(self.heard or self.changing)
 
 
-class Listener:
+class RevisionListener:
     def __init__(
         self,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         lifetime_micros: int,
     ) -> None:
         self.courier = courier
@@ -75,14 +75,14 @@
         self.repairs: dict[bytes, RevisionRepair] = {}
         self.open_transactions: set[bytes] = set()
         self.conflict_count = 0
-        self.copy_watcher: Callable[[PurgeNote], None] = lambda note: None
+        self.copy_note_handler: Callable[[PurgeNote], None] = lambda note: None
         courier.on_tell("purge_note", self._take_note)
 
     # ---- asked by the router and the fetch planner ---------------------------------------------
 
     def revision_of(self, owner: str, line: str, part: int) -> int | None:
         """The part's revision if it is known to be current now; None means prefill (§6.4)."""
-        state = self._use(owner, line)
+        state = self._touch_volume(owner, line)
         self._join(object_channel(owner, line, part))
         if state.expiry_micros <= self.clock.now() or part in state.changing:
             return None
@@ -92,15 +92,15 @@
 
     def last_revision_of(self, owner: str, line: str, part: int) -> int:
         """The last that was known, current or not; good only where a worker checks what it runs on (§6.7)."""
-        state = self._use(owner, line)
+        state = self._touch_volume(owner, line)
         return state.heard[part][0] if part in state.heard else state.table_revisions.get(part, 1)
 
     def is_changing(self, owner: str, line: str, part: int) -> bool:
-        return part in self._use(owner, line).changing
+        return part in self._touch_volume(owner, line).changing
 
     async def bump(self, owner: str, line: str, part: int) -> int | None:
         """Asks the serializer for the next revision; goes on with plus one until the answer is here."""
-        state = self._use(owner, line)
+        state = self._touch_volume(owner, line)
         self._join(object_channel(owner, line, part))
         transaction = self.chance.randbytes(16)
         held_revision = state.heard.get(part, (state.table_revisions.get(part, 1), 0))[0]
@@ -115,8 +115,8 @@
             for try_number in range(RESEND_COUNT):
                 # Woken first: the request that follows a silence finds the serializer listening.
                 if try_number:
-                    self._cast(volume_channel(owner, line), wakeup)
-                self._cast(object_channel(owner, line, part), request, with_cores=try_number > 0)
+                    self._send_to_channel(volume_channel(owner, line), wakeup)
+                self._send_to_channel(object_channel(owner, line, part), request, include_cores=try_number > 0)
                 await rest(self.clock, RESEND_MICROS)
                 repair = self.repairs.pop(transaction, None)
                 if repair is not None:
@@ -148,21 +148,21 @@
                 continue
             for part, (_, since_micros) in list(state.changing.items()):
                 # Its answer never came: only a table made since then can tell (§6.4).
-                if now_micros - since_micros > CHANGING_MICROS:
+                if now_micros - since_micros > CHANGE_TIMEOUT_MICROS:
                     del state.changing[part]
                     state.expiry_micros = min(state.expiry_micros, now_micros)
-            if state.relay_due and now_micros >= state.relay_due:
-                state.relay_due = 0
+            if state.relay_due_micros and now_micros >= state.relay_due_micros:
+                state.relay_due_micros = 0
                 self._relay_table(owner, line, state)
             is_soon = state.expiry_micros - now_micros < self.lifetime_micros // 3
-            if is_soon and now_micros - state.asked_micros >= TABLE_ASK_MICROS:
+            if is_soon and now_micros - state.asked_micros >= TABLE_REQUEST_INTERVAL_MICROS:
                 # Spread, so that one request and its table serve all who listen (SRM).
                 state.asked_micros = now_micros + self.chance.randrange(100) * MILLI
                 request = PurgeNote(owner=owner, line=line)
                 request.table_request.SetInParent()
-                self._cast(volume_channel(owner, line), request, with_cores=True)
+                self._send_to_channel(volume_channel(owner, line), request, include_cores=True)
 
-    def _use(self, owner: str, line: str) -> VolumeState:
+    def _touch_volume(self, owner: str, line: str) -> VolumeState:
         state = self.volumes.get((owner, line))
         if state is None:
             state = self.volumes[owner, line] = VolumeState(self.clock.now())
@@ -177,9 +177,9 @@
     def _mark_changing(self, state: VolumeState, part: int, transaction: bytes) -> None:
         state.changing[part] = (transaction, self.clock.now())
 
-    def _cast(self, channel_number: int, note: PurgeNote, with_cores: bool = False) -> None:
+    def _send_to_channel(self, channel_number: int, note: PurgeNote, include_cores: bool = False) -> None:
         target_addresses = self.directory.listeners(channel_number)
-        if with_cores:
+        if include_cores:
             for record in self.directory.members("control_plane"):
                 if record.address not in target_addresses:
                     target_addresses.append(record.address)
@@ -189,7 +189,7 @@
 
     def _take_note(self, identity: str, address: str, note: PurgeNote) -> None:
         if note.HasField("copy_note") or note.HasField("changed_note"):
-            self.copy_watcher(note)
+            self.copy_note_handler(note)
             return
         state = self.volumes.get((note.owner, note.line))
         if state is None:
@@ -198,14 +198,14 @@
         if body_name == "revision_request":
             self._mark_changing(state, note.part, note.revision_request.transaction)
         elif body_name == "revision_repair":
-            self._take_repair(state, note.part, note.revision_repair)
+            self._apply_repair(state, note.part, note.revision_repair)
         elif body_name == "table_request":
-            if state.expiry_micros - self.clock.now() > self.lifetime_micros // 2 and not state.relay_due:
-                state.relay_due = self.clock.now() + RELAY_MICROS + self.chance.randrange(RELAY_MICROS)
+            if state.expiry_micros - self.clock.now() > self.lifetime_micros // 2 and not state.relay_due_micros:
+                state.relay_due_micros = self.clock.now() + RELAY_MICROS + self.chance.randrange(RELAY_MICROS)
         elif body_name == "table":
-            self._take_table(state, note.table)
+            self._apply_table_page(state, note.table)
 
-    def _take_repair(self, state: VolumeState, part: int, repair: RevisionRepair) -> None:
+    def _apply_repair(self, state: VolumeState, part: int, repair: RevisionRepair) -> None:
         if repair.transaction in self.open_transactions:
             self.repairs[repair.transaction] = repair
         if repair.epoch < state.epoch:
@@ -217,30 +217,30 @@
         if changing_transaction == repair.transaction:
             del state.changing[part]
 
-    def _take_table(self, state: VolumeState, table: Table) -> None:
+    def _apply_table_page(self, state: VolumeState, table: Table) -> None:
         if table.epoch < state.epoch or (table.epoch, table.index) < (state.epoch, state.index):
             return
         mark = (table.epoch, table.index, table.serial)
-        if mark != state.pages_mark:
-            state.pages, state.pages_mark = {}, mark
-            state.pages_expiry = self.clock.now() + table.lifetime_micros
+        if mark != state.pages_version:
+            state.pages, state.pages_version = {}, mark
+            state.pages_expiry_micros = self.clock.now() + table.lifetime_micros
         state.pages[table.page] = [(pair.part, pair.revision) for pair in table.pair]
-        state.pages_expiry = min(state.pages_expiry, self.clock.now() + table.lifetime_micros)
+        state.pages_expiry_micros = min(state.pages_expiry_micros, self.clock.now() + table.lifetime_micros)
         if len(state.pages) < table.pages:
             return
-        state.relay_due = 0
+        state.relay_due_micros = 0
         state.epoch, state.index, state.serial = mark
         state.table_revisions = {p: r for pairs in state.pages.values() for p, r in pairs}
         state.heard = {p: h for p, h in state.heard.items() if h[1] > table.index}
-        state.expiry_micros = max(state.expiry_micros, state.pages_expiry)
-        state.pages_mark = (0, 0, 0)
+        state.expiry_micros = max(state.expiry_micros, state.pages_expiry_micros)
+        state.pages_version = (0, 0, 0)
 
     def _relay_table(self, owner: str, line: str, state: VolumeState) -> None:
         """Any holder may repair the table; it takes its holding time off the lifetime (§6.4)."""
         left_micros = state.expiry_micros - self.clock.now()
-        if left_micros <= 0 or state.is_overtaken():
+        if left_micros <= 0 or state.has_newer_revisions():
             return
-        pages = page_pairs(sorted(state.table_revisions.items()))
+        pages = paginate_pairs(sorted(state.table_revisions.items()))
         for page_number, pairs in enumerate(pages):
             note = PurgeNote(owner=owner, line=line)
             note.table.CopyFrom(
@@ -254,4 +254,4 @@
                     serial=state.serial,
                 )
             )
-            self._cast(volume_channel(owner, line), note)
+            self._send_to_channel(volume_channel(owner, line), note)
--- a/src/pearhead/invalidation/serializer.py
+++ b/src/pearhead/invalidation/revision_sequencer.py
@@ -8,16 +8,16 @@
 
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.channel import JoinedChannels, object_channel, volume_channel
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Pair, PurgeNote, RevisionRepair, Table
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import Clock
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
-PAIRS_A_PAGE = 90
+PAIRS_PER_PAGE = 90
 
 
-class RevisionKeeper(Protocol):
+class RevisionStore(Protocol):
     """What the serializer asks of the core."""
 
     def is_leader(self) -> bool: ...
@@ -33,18 +33,18 @@
         """Epoch and applied index."""
 
 
-def page_pairs(pairs: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
-    return [pairs[i : i + PAIRS_A_PAGE] for i in range(0, len(pairs), PAIRS_A_PAGE)] or [[]]
+def paginate_pairs(pairs: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
+    return [pairs[i : i + PAIRS_PER_PAGE] for i in range(0, len(pairs), PAIRS_PER_PAGE)] or [[]]
 
 
-class Serializer:
+class RevisionSequencer:
     def __init__(
         self,
-        keeper: RevisionKeeper,
-        courier: Courier,
+        keeper: RevisionStore,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         lifetime_micros: int,
     ) -> None:
         self.keeper = keeper
@@ -58,7 +58,7 @@
         self.busy_transactions: set[bytes] = set()
         self.table_serial = 0
         self.handlers: dict[str, Callable[[str, PurgeNote], Coroutine[Any, Any, None]]] = {
-            "revision_request": self._number_part,
+            "revision_request": self._assign_revision,
             "table_request": self._send_table,
         }
         courier.on_tell("purge_note", self._take_note)
@@ -80,7 +80,7 @@
         if handler is not None and self.keeper.is_leader():
             self.crew.start(handler(address, note))
 
-    async def _number_part(self, address: str, note: PurgeNote) -> None:
+    async def _assign_revision(self, address: str, note: PurgeNote) -> None:
         channel_number = object_channel(note.owner, note.line, note.part)
         if not self.channels.joined_bits[channel_number]:
             return  # Not on this channel yet: the sender's wakeup brings us in.
@@ -99,7 +99,7 @@
         repair.revision_repair.CopyFrom(
             RevisionRepair(transaction=transaction, revision=numbered[0], index=numbered[1], epoch=epoch)
         )
-        self._cast(channel_number, address, repair)
+        self._send_to_channel(channel_number, address, repair)
 
     async def _send_table(self, address: str, note: PurgeNote) -> None:
         volume = (note.owner, note.line)
@@ -112,7 +112,7 @@
             if not await self.keeper.confirm():
                 return
             epoch, index = self.keeper.position()
-            pages = page_pairs(self.keeper.pairs_of(note.owner, note.line))
+            pages = paginate_pairs(self.keeper.pairs_of(note.owner, note.line))
             left_micros = self.lifetime_micros - (self.clock.now() - asked_micros)
             if left_micros <= 0:
                 return
@@ -130,11 +130,11 @@
                         lifetime_micros=left_micros,
                     )
                 )
-                self._cast(volume_channel(note.owner, note.line), address, table_note)
+                self._send_to_channel(volume_channel(note.owner, note.line), address, table_note)
         finally:
             self.busy_tables.discard(volume)
 
-    def _cast(self, channel_number: int, asker_address: str, note: PurgeNote) -> None:
+    def _send_to_channel(self, channel_number: int, asker_address: str, note: PurgeNote) -> None:
         target_addresses = self.directory.listeners(channel_number)
         if asker_address not in target_addresses:
             target_addresses.append(asker_address)
--- a/src/pearhead/pearheadctl/main.py
+++ b/src/pearhead/pearheadctl/main.py
@@ -6,7 +6,7 @@
 
 from pearhead.pearheadctl.operator import OperatorCommand, OperatorError
 from pearhead.pearheadctl.shell import QueryCommand
-from pearhead.runtime.command import run_command
+from pearhead.runtime.command_line import run_command
 
 
 class PearheadCtl(OperatorCommand):
--- a/src/pearhead/router/cache_salt_builder.py
+++ b/src/pearhead/router/cache_salt_builder.py
@@ -8,7 +8,7 @@
 
 from pearhead.config.description import Tenant, owner_of
 from pearhead.config.view import View
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.opaque_request import PromptPart
 
 PART_NUMBER_LIMIT = 2**63
@@ -25,7 +25,7 @@
 class CacheSaltBuilder:
     """Owner, line, weights version, and the revisions of parts that are not at the first."""
 
-    def __init__(self, listener: Listener) -> None:
+    def __init__(self, listener: RevisionListener) -> None:
         self.listener = listener
         self.owners: tuple[View | None, dict[str, str]] = (None, {})
 
--- a/src/pearhead/router/core_command_client.py
+++ b/src/pearhead/router/core_command_client.py
@@ -9,7 +9,7 @@
 
 from pearhead.config.view import View
 from pearhead.router.command_session import CommandSession
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Command, CommandAsk, CommandResult
 from pearhead.runtime.clock import MILLI
 
@@ -34,7 +34,7 @@
 
 
 class CoreCommandClient:
-    def __init__(self, keeper: ViewSource, courier: Courier, chance: random.Random) -> None:
+    def __init__(self, keeper: ViewSource, courier: RpcEndpoint, chance: random.Random) -> None:
         self.keeper = keeper
         self.courier = courier
         self.chance = chance
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -9,7 +9,7 @@
 from pearhead.config.startup import Startup
 from pearhead.config.view import View
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.cache_salt_builder import CacheSaltBuilder
 from pearhead.router.client_http_server import ClientLimits
 from pearhead.router.core_command_client import CoreCommandClient
@@ -33,10 +33,10 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerSelector
 from pearhead.router.worker_version_table import WorkerVersionTable
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import KeptNote, ReadNote, Record, UseNote
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 from pearhead.runtime.invariants import Invariant, InvariantCounters
 from pearhead.runtime.loop_lag import LoopLag
 from pearhead.runtime.net import Net
@@ -89,11 +89,11 @@
         self.settings = settings
         self.clock = clock
         self.chance = chance
-        self.crew = Crew("router")
+        self.crew = BackgroundTaskGroup("router")
         self.invariants = InvariantCounters(clock)
         self.loop_lag = LoopLag(clock)
         self.identity = chance.randbytes(12).hex()
-        self.courier = Courier(self.identity, startup.address, net, clock)
+        self.courier = RpcEndpoint(self.identity, startup.address, net, clock)
         record = Record(
             identity=self.identity,
             address=startup.address,
@@ -103,7 +103,9 @@
         )
         self.directory = Directory(record, startup.seeds, self.courier, clock, chance)
         self.keeper = ViewReplica(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
-        self.listener = Listener(self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros)
+        self.listener = RevisionListener(
+            self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros
+        )
         self.node_count_tracker = NodeCountTracker(clock, settings.max_view_age_micros)
         self.loads = WorkerLoadTracker(clock)
         self.index = PrefixCacheIndex()
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -9,8 +9,8 @@
 
 from pearhead.config.description import CapabilityEntry, owner_of
 from pearhead.config.view import View, WorkerFact
-from pearhead.invalidation.key import cache_salt, chain_keys
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.cache_keys import cache_salt, chain_keys
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.copy_index import CopyIndex
 from pearhead.router.cost_estimator import CostEstimator
 from pearhead.router.errors import ErrorKind, Refusal
@@ -27,7 +27,7 @@
 
 class JobScheduler:
     def __init__(
-        self, keeper: ViewReplica, listener: Listener, index: CopyIndex, clock: Clock, old_weights_micros: int
+        self, keeper: ViewReplica, listener: RevisionListener, index: CopyIndex, clock: Clock, old_weights_micros: int
     ) -> None:
         self.keeper = keeper
         self.listener = listener
--- a/src/pearhead/router/main.py
+++ b/src/pearhead/router/main.py
@@ -16,8 +16,8 @@
 from pearhead.router.node_process import NodeProcess
 from pearhead.router.tornado_transport import TornadoJobTransport, TornadoWorkerClient
 from pearhead.runtime.clock import SECOND, BootClock
-from pearhead.runtime.command import run_command
-from pearhead.runtime.daemon import open_logs, serve_until_stopped
+from pearhead.runtime.command_line import run_command
+from pearhead.runtime.daemon import configure_logging, serve_until_stopped
 from pearhead.runtime.draining_server import DrainingServer
 from pearhead.runtime.socketnet import SocketNet, split_address
 
@@ -74,7 +74,7 @@
         checked = read_startup(startup, flags, needs_folder=False)
         if isinstance(checked, Err):
             return exit_with_faults("router", checked.err_value)
-        open_logs(checked.ok_value.logLevel)
+        configure_logging(checked.ok_value.logLevel)
         raise SystemExit(asyncio.run(_serve(checked.ok_value)))
 
     def check(self, startup: str = "", **flags: Any) -> None:
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -15,7 +15,7 @@
 
 from pearhead.config.startup import Startup
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.admission import AdmissionController, AdmissionResult
 from pearhead.router.copy_index import CopyIndex
 from pearhead.router.errors import ErrorKind, Refusal
@@ -33,10 +33,10 @@
 from pearhead.router.retry_budget import RetryBudget
 from pearhead.router.view_replica import ViewReplica
 from pearhead.router.worker_lease import WorkerLeaseController, WorkerLink
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Record
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 from pearhead.runtime.net import Net
 
 LOGGER = logging.getLogger("pearhead")
@@ -60,9 +60,9 @@
         self.clock = clock
         self.carrier = carrier
         self.chance = chance
-        self.crew = Crew("router")
+        self.crew = BackgroundTaskGroup("router")
         self.identity = chance.randbytes(12).hex()
-        self.courier = Courier(self.identity, startup.address, net, clock)
+        self.courier = RpcEndpoint(self.identity, startup.address, net, clock)
         self_record = Record(
             identity=self.identity,
             address=startup.address,
@@ -72,7 +72,9 @@
         )
         self.directory = Directory(self_record, startup.seeds, self.courier, clock, chance)
         self.keeper = ViewReplica(self.courier, self.directory, clock, chance, self.crew, startup.termMicros)
-        self.listener = Listener(self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros)
+        self.listener = RevisionListener(
+            self.courier, self.directory, clock, chance, self.crew, startup.tableLifetimeMicros
+        )
         self.index = CopyIndex()
         self.nominator = JobScheduler(self.keeper, self.listener, self.index, clock, startup.oldWeightsMicros)
         self.admission = AdmissionController(clock)
--- a/src/pearhead/router/prefix_cache_poller.py
+++ b/src/pearhead/router/prefix_cache_poller.py
@@ -16,10 +16,10 @@
 from pearhead.router.rendezvous import RankCache
 from pearhead.router.roster_merge import Roster
 from pearhead.router.worker_control import PrefixCacheEvent, PrefixCacheEventBatch, WorkerControl
-from pearhead.rpc.courier import DATAGRAM_ROOM, Courier
+from pearhead.rpc.rpc_endpoint import MAXIMUM_DATAGRAM_BODY_BYTES, RpcEndpoint
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 200 * MILLI
@@ -128,10 +128,10 @@
     def __init__(
         self,
         identity: str,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         control: WorkerControl,
         rosters: RosterProvider,
         keeper: ViewSource,
@@ -238,7 +238,7 @@
         self.sink.take(note)
         packed, joined = pack_note(note), combine_notes(self.told_notes.get(name), note)
         self.told_notes[name] = note
-        if joined is not None and (packed_combined := pack_note(joined)).ByteSize() <= DATAGRAM_ROOM:
+        if joined is not None and (packed_combined := pack_note(joined)).ByteSize() <= MAXIMUM_DATAGRAM_BODY_BYTES:
             packed = packed_combined
         if self.spread is not None and self.spread(packed):
             return
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -11,7 +11,7 @@
 from pearhead.discovery.directory import Directory
 from pearhead.router.rendezvous import rendezvous_score
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import KeptNote, Record, RelayNote, UseNote, WorkerUse
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
 
@@ -54,7 +54,7 @@
         self,
         identity: str,
         zone: str,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         loads: WorkerLoadTracker,
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -20,10 +20,10 @@
 from pearhead.router.roster_age_monitor import RosterAgeMonitor
 from pearhead.router.roster_merge import LONG_AGO, Roster, RosterMerge, pack_backend, unpack_backend
 from pearhead.router.worker_control import Backend, WorkerControl
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 from pearhead.runtime.invariants import Invariant, InvariantCounters
 
 LOGGER = logging.getLogger("pearhead")
@@ -71,11 +71,11 @@
     def __init__(
         self,
         identity: str,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         control: WorkerControl,
         list_period_micros: int,
         invariants: InvariantCounters | None = None,
--- a/src/pearhead/router/view_replica.py
+++ b/src/pearhead/router/view_replica.py
@@ -11,11 +11,11 @@
 from pearhead.config.view import View
 from pearhead.consensus.membership import Membership
 from pearhead.discovery.directory import Directory
-from pearhead.rpc.courier import Courier
-from pearhead.rpc.delta_packing import DeltaPacker, delta_of
+from pearhead.rpc.delta_compression import DeltaCompressor, extract_delta
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Members, TermAsk, TermResult
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 300 * MILLI
@@ -34,11 +34,11 @@
 class ViewReplica:
     def __init__(
         self,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         term_micros: int,
     ) -> None:
         self.courier = courier
@@ -59,7 +59,7 @@
         self.has_view = False
         # Called with each view that comes in, once all above is noted of it.
         self.view_observers: list[Callable[[View], None]] = []
-        self.packer = DeltaPacker()
+        self.packer = DeltaCompressor()
         courier.on_ask("term_ask", self._answer_peer_ask)
 
     def is_current(self) -> bool:
@@ -186,7 +186,7 @@
             self.membership = Membership(result.members_index, result.members)
 
     def _apply_view_delta(self, result: TermResult) -> None:
-        delta = delta_of(result)
+        delta = extract_delta(result)
         if delta is None or delta.index <= self.view.index:
             return
         next_view = self.view.with_delta(delta)
--- a/src/pearhead/router/weights_rollout.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -17,10 +17,10 @@
 from pearhead.router.roster_merge import Roster
 from pearhead.router.worker_control import Backend, LoadOrder, OrderOutcome, WorkerControl
 from pearhead.router.worker_version_table import WorkerVersionTable
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Command, ModelNote
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 50 * MILLI
@@ -88,10 +88,10 @@
     def __init__(
         self,
         identity: str,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         control: WorkerControl,
         rosters: RosterProvider,
         keeper: ViewSource,
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -14,7 +14,7 @@
 
 from pearhead.config.view import View, WorkerFact
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.command_session import CommandSession
 from pearhead.router.copy_index import CopyIndex
 from pearhead.router.job_transport import SendPrecondition
@@ -27,10 +27,10 @@
     is_wave_serving,
 )
 from pearhead.router.view_replica import ViewReplica
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import ChangedNote, Command, CommandAsk, CommandResult, CopyNote, PurgeNote
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
-from pearhead.runtime.crew import Crew
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 200 * MILLI
@@ -83,14 +83,14 @@
         self,
         identity: str,
         keeper: ViewReplica,
-        listener: Listener,
+        listener: RevisionListener,
         index: CopyIndex,
         link: WorkerLink,
-        courier: Courier,
+        courier: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        crew: Crew,
+        crew: BackgroundTaskGroup,
         worker_lease_micros: int,
     ) -> None:
         self.identity = identity
@@ -116,7 +116,7 @@
         self.may_serve: Callable[[View, str, str], bool] = lambda view, line, worker: True
         self.serving_since: dict[tuple[str, int], int] = {}
         self.is_draining = False
-        listener.copy_watcher = self._handle_purge_note
+        listener.copy_note_handler = self._handle_purge_note
 
     async def run(self) -> None:
         while True:
--- a/src/pearhead/rpc/delta_packing.py
+++ b/src/pearhead/rpc/delta_compression.py
@@ -8,12 +8,12 @@
 
 from pearhead.rpc.wire_pb2 import TermResult, ViewDelta
 
-PACKED_FROM = 4_096
-PACK_LEVEL = 1
-DELTA_LIMIT = 64 * 1024 * 1024
+COMPRESSION_THRESHOLD_BYTES = 4_096
+COMPRESSION_LEVEL = 1
+MAXIMUM_DELTA_BYTES = 64 * 1024 * 1024
 
 
-class DeltaPacker:
+class DeltaCompressor:
     """Keeps the last one packed: all nodes that were level ask for the same."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         mark = (delta.base_index, delta.index, delta.hash)
         if self.held[:3] != mark:
             plain = delta.SerializeToString()
-            packed = zlib.compress(plain, PACK_LEVEL) if len(plain) > PACKED_FROM else b""
+            packed = zlib.compress(plain, COMPRESSION_LEVEL) if len(plain) > COMPRESSION_THRESHOLD_BYTES else b""
             self.held = (*mark, packed)
         if self.held[3]:
             result.packed_delta = self.held[3]
@@ -34,13 +34,13 @@
             result.delta.CopyFrom(delta)
 
 
-def delta_of(result: TermResult) -> ViewDelta | None:
+def extract_delta(result: TermResult) -> ViewDelta | None:
     """The delta of a result, packed or not; None if there is none or it can't be read."""
     if not result.packed_delta:
         return result.delta if result.HasField("delta") else None
     try:
-        unpacker = zlib.decompressobj()
-        plain = unpacker.decompress(result.packed_delta, DELTA_LIMIT)
-        return ViewDelta.FromString(plain) if unpacker.eof else None
+        decompressor = zlib.decompressobj()
+        plain = decompressor.decompress(result.packed_delta, MAXIMUM_DELTA_BYTES)
+        return ViewDelta.FromString(plain) if decompressor.eof else None
     except (zlib.error, DecodeError):
         return None
--- a/src/pearhead/rpc/metrics.py
+++ b/src/pearhead/rpc/metrics.py
@@ -7,14 +7,14 @@
 from prometheus_client import Metric
 from prometheus_client.registry import Collector
 
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.runtime.metrics import labelled_counter
 
 
 class MessageCollector(Collector):
     """Messages and bytes sent by kind, by connection or datagram."""
 
-    def __init__(self, courier: Courier) -> None:
+    def __init__(self, courier: RpcEndpoint) -> None:
         self.courier = courier
 
     def collect(self) -> Iterable[Metric]:
--- a/src/pearhead/rpc/courier.py
+++ b/src/pearhead/rpc/rpc_endpoint.py
@@ -13,28 +13,28 @@
 
 from pearhead.rpc.wire_pb2 import Envelope
 from pearhead.runtime.clock import Clock
-from pearhead.runtime.net import MAXIMUM_DATAGRAM, Net
+from pearhead.runtime.net import MAXIMUM_DATAGRAM_BYTES, Net
 
 # The envelope's field by the message that it holds.
 BODY_NAMES = {f.message_type.name: f.name for f in Envelope.DESCRIPTOR.fields if f.message_type is not None}
-LIFE_BITS = 64
-ASK_SUFFIX = "_ask"
+INCARNATION_BITS = 64
+REQUEST_SUFFIX = "_ask"
 # Of a datagram, what is left for a body by the envelope around it.
-DATAGRAM_ROOM = MAXIMUM_DATAGRAM - 100
+MAXIMUM_DATAGRAM_BODY_BYTES = MAXIMUM_DATAGRAM_BYTES - 100
 
-TellHandler = Callable[[str, str, Any], None]
-AskHandler = Callable[[str, str, Any], Awaitable[Message | None]]
+OneWayMessageHandler = Callable[[str, str, Any], None]
+RpcRequestHandler = Callable[[str, str, Any], Awaitable[Message | None]]
 
 
-def reply_name(ask_name: str) -> str:
+def reply_name(request_name: str) -> str:
     """The envelope's field that an answer to this question comes in; a note is answered by a note of its kind."""
-    if not ask_name.endswith(ASK_SUFFIX):
-        return ask_name
+    if not request_name.endswith(REQUEST_SUFFIX):
+        return request_name
     return f"{ask_name.removesuffix(ASK_SUFFIX)}_result"
 
 
 @dataclass
-class _OpenAsk:
+class _PendingRequest:
     """A question that waits for its answer: from whom, of what type."""
 
     target_address: str
@@ -42,7 +42,7 @@
     answer: asyncio.Future[Any]
 
 
-class Courier:
+class RpcEndpoint:
     """Tells and asks other processes. An answer counts only for the question that it names, in this life of the
     process, of the type that was asked for and from the address that was asked."""
 
@@ -52,27 +52,27 @@
         self.net = net
         self.clock = clock
         # Numbers begin anew with each life, so a late answer to a former one must not pass for one to this.
-        self.life = secrets.randbits(LIFE_BITS) or 1
-        self.next_ask = 1
-        self.open_asks: dict[int, _OpenAsk] = {}
-        self.tell_handlers: dict[str, TellHandler] = {}
-        self.ask_handlers: dict[str, AskHandler] = {}
+        self.life = secrets.randbits(INCARNATION_BITS) or 1
+        self.next_request_number = 1
+        self.pending_requests: dict[int, _PendingRequest] = {}
+        self.one_way_handlers: dict[str, OneWayMessageHandler] = {}
+        self.rpc_request_handlers: dict[str, RpcRequestHandler] = {}
         self.result_tasks: dict[asyncio.Task[None], None] = {}
         self.sent_counts: dict[str, int] = {}
         self.sent_bytes: dict[str, int] = {}
         net.listen(self._receive)
 
-    def on_tell(self, body_name: str, handler: TellHandler) -> None:
-        self.tell_handlers[body_name] = handler
+    def on_tell(self, body_name: str, handler: OneWayMessageHandler) -> None:
+        self.one_way_handlers[body_name] = handler
 
-    def on_ask(self, body_name: str, handler: AskHandler) -> None:
-        self.ask_handlers[body_name] = handler
+    def on_ask(self, body_name: str, handler: RpcRequestHandler) -> None:
+        self.rpc_request_handlers[body_name] = handler
 
     def tell(self, target_address: str, body_name: str, body: Message) -> None:
-        self.net.send(target_address, self._seal(body_name, body))
+        self.net.send(target_address, self._encode_envelope(body_name, body))
 
     def cast(self, target_addresses: list[str], body_name: str, body: Message) -> None:
-        datagram_bytes = self._seal(body_name, body)
+        datagram_bytes = self._encode_envelope(body_name, body)
         for target_address in target_addresses:
             self.net.cast(target_address, datagram_bytes)
         extra_count = len(target_addresses) - 1
@@ -80,7 +80,7 @@
 
     def broadcast(self, target_addresses: list[str], body_name: str, body: Message) -> None:
         """Casts what fits a datagram, and tells each what does not."""
-        if body.ByteSize() <= DATAGRAM_ROOM:
+        if body.ByteSize() <= MAXIMUM_DATAGRAM_BODY_BYTES:
             if target_addresses:
                 self.cast(target_addresses, body_name, body)
             return
@@ -88,10 +88,10 @@
             self.tell(target_address, body_name, body)
 
     async def ask(self, target_address: str, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
-        ask_number = self.next_ask
-        self.next_ask += 1
+        request_number = self.next_request_number
+        self.next_request_number += 1
         result_future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.open_asks[ask_number] = _OpenAsk(target_address, reply_name(body_name), result_future)
+        self.pending_requests[request_number] = _PendingRequest(target_address, reply_name(body_name), result_future)
 
         def expire() -> None:
             if not result_future.done():
@@ -99,18 +99,20 @@
 
         limit_timer = self.clock.after(limit_micros, expire)
         try:
-            self.net.send(target_address, self._seal(body_name, body, ask=ask_number))
+            self.net.send(target_address, self._encode_envelope(body_name, body, ask=request_number))
             result_body = await result_future
         finally:
             limit_timer.cancel()
-            del self.open_asks[ask_number]
+            del self.pending_requests[request_number]
         return Err(f"no answer from {target_address}") if result_body is None else Ok(result_body)
 
     def stop(self) -> None:
         for result_task in list(self.result_tasks):
             result_task.cancel()
 
-    def _seal(self, body_name: str, body: Message, ask: int = 0, reply_to: int = 0, reply_life: int = 0) -> bytes:
+    def _encode_envelope(
+        self, body_name: str, body: Message, ask: int = 0, reply_to: int = 0, reply_life: int = 0
+    ) -> bytes:
         envelope = Envelope(
             identity=self.identity,
             address=self.own_address,
@@ -140,31 +142,34 @@
             return
         body = getattr(envelope, body_name)
         if envelope.reply_to:
-            self._take_reply(envelope, body_name, body)
+            self._handle_reply(envelope, body_name, body)
         elif envelope.ask:
-            ask_handler = self.ask_handlers.get(body_name)
-            if ask_handler is not None:
-                result_task = asyncio.get_running_loop().create_task(self._send_result(ask_handler, envelope, body))
+            rpc_request_handler = self.rpc_request_handlers.get(body_name)
+            if rpc_request_handler is not None:
+                result_task = asyncio.get_running_loop().create_task(
+                    self._send_result(rpc_request_handler, envelope, body)
+                )
                 self.result_tasks[result_task] = None
                 result_task.add_done_callback(lambda task: self.result_tasks.pop(task, None))
         else:
-            tell_handler = self.tell_handlers.get(body_name)
-            if tell_handler is not None:
-                tell_handler(envelope.identity, envelope.address, body)
+            one_way_handler = self.one_way_handlers.get(body_name)
+            if one_way_handler is not None:
+                one_way_handler(envelope.identity, envelope.address, body)
 
-    def _take_reply(self, envelope: Envelope, body_name: str, body: Message) -> None:
-        open_ask = self.open_asks.get(envelope.reply_to)
-        if open_ask is None or open_ask.answer.done():
+    def _handle_reply(self, envelope: Envelope, body_name: str, body: Message) -> None:
+        pending_request = self.pending_requests.get(envelope.reply_to)
+        if pending_request is None or pending_request.answer.done():
             return
-        is_ours = envelope.reply_life == self.life and envelope.address == open_ask.target_address
-        if is_ours and body_name == open_ask.reply_name:
-            open_ask.answer.set_result(body)
+        is_ours = envelope.reply_life == self.life and envelope.address == pending_request.target_address
+        if is_ours and body_name == pending_request.reply_name:
+            pending_request.answer.set_result(body)
 
-    async def _send_result(self, ask_handler: AskHandler, envelope: Envelope, body: Message) -> None:
-        result_body = await ask_handler(envelope.identity, envelope.address, body)
+    async def _send_result(self, rpc_request_handler: RpcRequestHandler, envelope: Envelope, body: Message) -> None:
+        result_body = await rpc_request_handler(envelope.identity, envelope.address, body)
         if result_body is None:
             return
         body_name = BODY_NAMES[result_body.DESCRIPTOR.name]
         self.net.send(
-            envelope.address, self._seal(body_name, result_body, reply_to=envelope.ask, reply_life=envelope.life)
+            envelope.address,
+            self._encode_envelope(body_name, result_body, reply_to=envelope.ask, reply_life=envelope.life),
         )
--- a/src/pearhead/runtime/collectors.py
+++ b/src/pearhead/runtime/collectors.py
@@ -22,11 +22,13 @@
 
     def collect(self) -> Iterable[Metric]:
         """Reads the queues and the counts of losses."""
-        links, losses = self.net.out_links.values(), self.net.losses
+        links, losses = self.net.outgoing_connections.values(), self.net.losses
         yield gauge("links", "Connections out, kept or tried.", len(links))
         yield gauge("link_queued_frames", "Frames that wait on connections out.", sum(len(x.waiting) for x in links))
-        yield gauge("link_queued_bytes", "Bytes that wait on connections out.", sum(x.waiting_size for x in links))
-        yield gauge("link_longest_queue_bytes", "The longest queue.", max((x.waiting_size for x in links), default=0))
+        yield gauge("link_queued_bytes", "Bytes that wait on connections out.", sum(x.queued_byte_count for x in links))
+        yield gauge(
+            "link_longest_queue_bytes", "The longest queue.", max((x.queued_byte_count for x in links), default=0)
+        )
         yield labelled_counter(
             "link_frames_dropped",
             "Frames that were given up before they were written.",
@@ -35,7 +37,7 @@
         )
         yield counter("link_write_failures", "Writes that ended a connection out.", losses.failed_writes)
         yield counter("datagram_errors", "Datagrams that the system refused.", losses.refused_datagrams)
-        yield gauge("datagram_queued_bytes", "Bytes of datagrams that wait.", self.net.cast_queue_size())
+        yield gauge("datagram_queued_bytes", "Bytes of datagrams that wait.", self.net.datagram_backlog_bytes())
 
 
 class LoopLagCollector(Collector):
--- a/src/pearhead/runtime/daemon.py
+++ b/src/pearhead/runtime/daemon.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 LOGGER = logging.getLogger("pearhead")
-FORM_FAULT = "log: A line could not be formed."
+FORMAT_ERROR_TEXT = "log: A line could not be formed."
 
 
 class LineFormatter(logging.Formatter):
@@ -45,7 +45,7 @@
         return line + "\n" + "".join(traceback.format_exception(*record.exc_info)).rstrip("\n")
 
 
-def open_logs(level_name: str) -> None:
+def configure_logging(level_name: str) -> None:
     """Sends the logger's records of `level_name` and above to standard error, in the form of `LineFormatter`."""
     # The records' fields that no line shows are not gathered (Python's logging HOWTO, "Optimization").
     logging.logThreads = False
@@ -61,7 +61,7 @@
 async def serve_until_stopped(
     drain: Callable[[], Awaitable[None]],
     failed: asyncio.Event,
-    note_signal: Callable[[], None] = lambda: None,
+    on_signal: Callable[[], None] = lambda: None,
 ) -> int:
     """The first SIGTERM drains, a second one stops at once.
 
@@ -70,12 +70,12 @@
     event_loop = asyncio.get_running_loop()
     stop_events = [asyncio.Event(), asyncio.Event()]
 
-    def take_signal() -> None:
+    def handle_signal() -> None:
         stop_events[1 if stop_events[0].is_set() else 0].set()
 
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        event_loop.add_signal_handler(signal_number, take_signal)
-        _call_on_signal(signal_number, note_signal)
+        event_loop.add_signal_handler(signal_number, handle_signal)
+        _call_on_signal(signal_number, on_signal)
     gc.freeze()
     first_stop = asyncio.ensure_future(stop_events[0].wait())
     failure = asyncio.ensure_future(failed.wait())
@@ -90,8 +90,8 @@
     return 0
 
 
-def _call_on_signal(signal_number: int, note_signal: Callable[[], None]) -> None:
+def _call_on_signal(signal_number: int, on_signal: Callable[[], None]) -> None:
     """Calls it at once, also while the event loop is busy; the loop still hears of the signal by its wakeup pipe."""
-    signal.signal(signal_number, lambda number, frame: note_signal())
+    signal.signal(signal_number, lambda number, frame: on_signal())
     # Setting a handler makes the signal interrupt system calls again.
     signal.siginterrupt(signal_number, False)
--- a/src/pearhead/runtime/disk.py
+++ b/src/pearhead/runtime/disk.py
@@ -14,7 +14,7 @@
 LOGGER = logging.getLogger("pearhead")
 AnyT = TypeVar("AnyT")
 LOCK_FILE = "lock"
-PART_SUFFIX = ".part"
+TEMPORARY_SUFFIX = ".part"
 
 
 class FolderBusyError(Exception):
@@ -43,7 +43,7 @@
         """Cuts a file to `kept_size` bytes and syncs it."""
 
 
-class FileCalls(Protocol):
+class FileSystem(Protocol):
     """What the data folder asks of the operating system: tests put one in its place that loses power."""
 
     def names(self) -> list[str]:
@@ -74,7 +74,7 @@
         """After this, names made, changed and removed before last."""
 
 
-class FolderFiles:
+class FolderFileSystem:
     """The calls on a real folder."""
 
     def __init__(self, folder_path: Path) -> None:
@@ -140,18 +140,18 @@
         except OSError as lock_error:
             LOGGER.warning("disk: The folder can't be locked, going on without. fault=%r", lock_error)
         self.worker = concurrent.futures.ThreadPoolExecutor(1, "disk")
-        self._begin(FolderFiles(folder_path))
+        self._begin(FolderFileSystem(folder_path))
 
-    def _begin(self, files: FileCalls) -> None:
+    def _begin(self, files: FileSystem) -> None:
         self.files = files
         # Made by an append that failed before the folder was synced.
         self.unsynced_names: set[str] = set()
-        self._settle()
+        self._sync_leftover_files()
 
-    def _settle(self) -> None:
+    def _sync_leftover_files(self) -> None:
         """Syncs what the life before left: it may have been killed before it did, and this one will act on it."""
         for file_name in self.files.names():
-            if file_name.endswith(PART_SUFFIX):
+            if file_name.endswith(TEMPORARY_SUFFIX):
                 self.files.remove(file_name)
             else:
                 self.files.sync(file_name)
@@ -159,7 +159,7 @@
 
     def names(self) -> list[str]:
         """The names of all files but unfinished replacements, sorted."""
-        return [name for name in self.files.names() if not name.endswith(PART_SUFFIX)]
+        return [name for name in self.files.names() if not name.endswith(TEMPORARY_SUFFIX)]
 
     def read(self, file_name: str) -> bytes:
         """See `Disk.read`."""
@@ -192,9 +192,9 @@
             self._sync_folder()
 
     def _replace(self, file_name: str, content_bytes: bytes) -> None:
-        part_name = file_name + PART_SUFFIX
-        self.files.write(part_name, content_bytes, at_end=False)
-        self.files.rename(part_name, file_name)
+        temporary_name = file_name + TEMPORARY_SUFFIX
+        self.files.write(temporary_name, content_bytes, at_end=False)
+        self.files.rename(temporary_name, file_name)
         self._sync_folder()
 
     def _remove(self, file_name: str) -> None:
--- a/src/pearhead/runtime/draining_server.py
+++ b/src/pearhead/runtime/draining_server.py
@@ -91,7 +91,9 @@
         while self.open_requests and clock.now() < end_micros:
             await rest(clock, POLL_MICROS)
 
-    async def drain_around(self, clock: Clock, limit_micros: int, drain_process: Callable[[], Awaitable[None]]) -> None:
+    async def drain_with_process(
+        self, clock: Clock, limit_micros: int, drain_process: Callable[[], Awaitable[None]]
+    ) -> None:
         """Drains the process and the server; what was read before is answered, as work may be under way elsewhere.
 
         `limit_micros`: for both together.
--- a/src/pearhead/runtime/bench.py
+++ b/src/pearhead/runtime/fake_runtime.py
@@ -6,7 +6,7 @@
 from pearhead.runtime.clock import SECOND
 
 
-class Bench:
+class FakeRuntime:
     """A clock that is set by hand, and a network that delivers nothing and keeps the notes that were cast."""
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         """The time that was set last, in microseconds."""
         return self.now_micros
 
-    def after(self, delay_micros: int, callback: object) -> Bench:
+    def after(self, delay_micros: int, callback: object) -> FakeRuntime:
         """Returns a timer that never fires."""
         return self
 
--- a/src/pearhead/runtime/invariants.py
+++ b/src/pearhead/runtime/invariants.py
@@ -8,7 +8,7 @@
 from pearhead.runtime.clock import SECOND, Clock
 
 LOGGER = logging.getLogger("pearhead")
-LOG_GAP_MICROS = SECOND
+LOG_INTERVAL_MICROS = SECOND
 
 
 class Invariant(Enum):
@@ -51,7 +51,7 @@
         """Each kind at most once a second: a violation in a loop must not cost the processor."""
         now_micros = self.clock.now()
         logged_micros = self.logged_micros.get(name)
-        if logged_micros is not None and now_micros - logged_micros < LOG_GAP_MICROS:
+        if logged_micros is not None and now_micros - logged_micros < LOG_INTERVAL_MICROS:
             return
         self.logged_micros[name] = now_micros
         LOGGER.error("daemon: An invariant does not hold. invariant=%s detail=%r", name.value, detail)
--- a/src/pearhead/runtime/loop_lag.py
+++ b/src/pearhead/runtime/loop_lag.py
@@ -13,9 +13,9 @@
     def __init__(self, clock: Clock, window_micros: int = WINDOW_MICROS) -> None:
         self.clock = clock
         self.window_micros = window_micros
-        self.window_began = clock.now()
-        self.greatest_micros = 0
-        self.greatest_before_micros = 0
+        self.window_start_micros = clock.now()
+        self.window_maximum_micros = 0
+        self.previous_maximum_micros = 0
 
     async def rest(self, delay_micros: int) -> None:
         """Rests as `clock.rest` does, and notes how late it woke."""
@@ -23,21 +23,21 @@
         await rest(self.clock, delay_micros)
         self.note(self.clock.now() - due_micros)
 
-    def note(self, late_micros: int) -> None:
+    def note(self, lateness_micros: int) -> None:
         """Takes one measurement."""
-        self._turn_window()
-        self.greatest_micros = max(self.greatest_micros, late_micros)
+        self._rotate_window()
+        self.window_maximum_micros = max(self.window_maximum_micros, lateness_micros)
 
     def maximum_micros(self) -> int:
         """The greatest lateness of late."""
-        self._turn_window()
-        return max(self.greatest_micros, self.greatest_before_micros)
+        self._rotate_window()
+        return max(self.window_maximum_micros, self.previous_maximum_micros)
 
-    def _turn_window(self) -> None:
-        elapsed_micros = self.clock.now() - self.window_began
+    def _rotate_window(self) -> None:
+        elapsed_micros = self.clock.now() - self.window_start_micros
         if elapsed_micros < self.window_micros:
             return
         is_next = elapsed_micros < 2 * self.window_micros
-        self.greatest_before_micros = self.greatest_micros if is_next else 0
-        self.greatest_micros = 0
-        self.window_began = self.clock.now()
+        self.previous_maximum_micros = self.window_maximum_micros if is_next else 0
+        self.window_maximum_micros = 0
+        self.window_start_micros = self.clock.now()
--- a/src/pearhead/runtime/metrics.py
+++ b/src/pearhead/runtime/metrics.py
@@ -23,7 +23,7 @@
 NAME_PREFIX = "pearhead_"
 METRICS_PATH = "/metrics"
 IDLE_SECONDS = 30.0
-REQUEST_BYTES = 4_096
+MAXIMUM_REQUEST_BYTES = 4_096
 
 
 def gauge(name: str, documentation: str, value: float | None) -> Metric:
@@ -85,7 +85,10 @@
         return None
     application = Application(metrics_routes(registry), log_function=lambda handler: None)
     server = HTTPServer(
-        application, idle_connection_timeout=IDLE_SECONDS, max_body_size=REQUEST_BYTES, max_header_size=REQUEST_BYTES
+        application,
+        idle_connection_timeout=IDLE_SECONDS,
+        max_body_size=MAXIMUM_REQUEST_BYTES,
+        max_header_size=MAXIMUM_REQUEST_BYTES,
     )
     host_name, port_number = split_address(address)
     try:
--- a/src/pearhead/runtime/net.py
+++ b/src/pearhead/runtime/net.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAXIMUM_DATAGRAM = 1_200
-MAXIMUM_FRAME = 16 * 1024 * 1024
+MAXIMUM_DATAGRAM_BYTES = 1_200
+MAXIMUM_FRAME_BYTES = 16 * 1024 * 1024
 
 Receiver = Callable[[bytes], None]
 
--- a/src/pearhead/runtime/socketnet.py
+++ b/src/pearhead/runtime/socketnet.py
@@ -11,19 +11,19 @@
 from dataclasses import dataclass
 
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock, rest
-from pearhead.runtime.net import MAXIMUM_FRAME, Receiver
+from pearhead.runtime.net import MAXIMUM_FRAME_BYTES, Receiver
 
 LOGGER = logging.getLogger("pearhead")
 QUEUE_LIMIT = 512
-QUEUE_SIZE = 32 * 1024 * 1024
+MAXIMUM_QUEUE_BYTES = 32 * 1024 * 1024
 BATCH_SIZE = 64 * 1024
 FRESH_MICROS = SECOND
 CONNECT_MICROS = 600 * MILLI
 RETRY_MICROS = 100 * MILLI
-STUCK_MICROS = SECOND
+WRITE_STALL_MICROS = SECOND
 FRAME_HEADER = struct.Struct(">I")
 # A machine in the dark answers nothing: without these a connection to it stays open for minutes (§3.5).
-LINK_OPTIONS = (
+SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 1_000),
@@ -42,13 +42,13 @@
 def set_options(stream_writer: asyncio.StreamWriter) -> None:
     """Sets `LINK_OPTIONS` on a connection, as far as the system knows them."""
     own_socket = stream_writer.get_extra_info("socket")
-    for level, name, value in LINK_OPTIONS:
+    for level, name, value in SOCKET_OPTIONS:
         with contextlib.suppress(OSError):
             own_socket.setsockopt(level, name, value)
 
 
 @dataclass
-class LinkLosses:
+class NetLossCounts:
     """What a net gave up, counted since the start of the process."""
 
     stale_frames: int = 0
@@ -57,7 +57,7 @@
     refused_datagrams: int = 0
 
 
-class _CastProtocol(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     def __init__(self, owner: SocketNet) -> None:
         self.owner = owner
 
@@ -68,15 +68,15 @@
         self.owner.losses.refused_datagrams += 1
 
 
-class OutLink:
+class OutgoingConnection:
     """One connection out: frames in order, and none that waited for longer than a second (§3.5)."""
 
-    def __init__(self, target_address: str, clock: Clock, losses: LinkLosses) -> None:
+    def __init__(self, target_address: str, clock: Clock, losses: NetLossCounts) -> None:
         self.host_name, self.port_number = split_address(target_address)
         self.clock = clock
         self.losses = losses
         self.waiting: deque[tuple[int, bytes]] = deque()
-        self.waiting_size = 0
+        self.queued_byte_count = 0
         self.wake = asyncio.Event()
         self.stream_reader: asyncio.StreamReader | None = None
         self.stream_writer: asyncio.StreamWriter | None = None
@@ -84,9 +84,11 @@
     def push(self, frame: bytes) -> None:
         """Queues a frame; the oldest frames are dropped while the queue is over its limits."""
         self.waiting.append((self.clock.now(), frame))
-        self.waiting_size += len(frame)
-        while len(self.waiting) > QUEUE_LIMIT or (self.waiting_size > QUEUE_SIZE and len(self.waiting) > 1):
-            self._take_first()
+        self.queued_byte_count += len(frame)
+        while len(self.waiting) > QUEUE_LIMIT or (
+            self.queued_byte_count > MAXIMUM_QUEUE_BYTES and len(self.waiting) > 1
+        ):
+            self._pop_oldest_frame()
             self.losses.overflow_frames += 1
         self.wake.set()
 
@@ -99,28 +101,28 @@
                     self.wake.clear()
                     await self.wake.wait()
                 elif self._is_open() or await self._connect():
-                    await self._write(self._take_batch())
+                    await self._write(self._pop_batch())
                 else:
                     await rest(self.clock, RETRY_MICROS)
         finally:
             self._reset()
 
-    def _take_first(self) -> bytes:
+    def _pop_oldest_frame(self) -> bytes:
         _, frame = self.waiting.popleft()
-        self.waiting_size -= len(frame)
+        self.queued_byte_count -= len(frame)
         return frame
 
     def _drop_stale(self) -> None:
         while self.waiting and self.clock.now() - self.waiting[0][0] > FRESH_MICROS:
-            self._take_first()
+            self._pop_oldest_frame()
             self.losses.stale_frames += 1
 
-    def _take_batch(self) -> bytes:
+    def _pop_batch(self) -> bytes:
         """What waits goes by one call of the system."""
         parts: list[bytes] = []
         size = 0
         while self.waiting and size < BATCH_SIZE:
-            frame = self._take_first()
+            frame = self._pop_oldest_frame()
             parts += (FRAME_HEADER.pack(len(frame)), frame)
             size += len(frame)
         return b"".join(parts)
@@ -150,7 +152,7 @@
             self.stream_writer.write(batch)
             while left_size := transport.get_write_buffer_size():
                 try:
-                    async with asyncio.timeout(STUCK_MICROS / SECOND):
+                    async with asyncio.timeout(WRITE_STALL_MICROS / SECOND):
                         await self.stream_writer.drain()
                 except TimeoutError:
                     if transport.get_write_buffer_size() >= left_size:
@@ -176,29 +178,29 @@
         self.own_address = own_address
         self.clock: Clock = clock or BootClock()
         self.frame_receiver: Receiver = lambda frame_bytes: None
-        self.out_links: dict[str, OutLink] = {}
-        self.losses = LinkLosses()
-        self.own_tasks: set[asyncio.Task[None]] = set()
+        self.outgoing_connections: dict[str, OutgoingConnection] = {}
+        self.losses = NetLossCounts()
+        self.owned_tasks: set[asyncio.Task[None]] = set()
         self.stream_server: asyncio.Server | None = None
-        self.cast_transport: asyncio.DatagramTransport | None = None
+        self.datagram_transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> None:
         """Binds both sockets; raises OSError if the address is in use."""
         host_name, port_number = split_address(self.own_address)
         self.stream_server = await asyncio.start_server(self._serve, host_name, port_number)
         event_loop = asyncio.get_running_loop()
-        self.cast_transport, _ = await event_loop.create_datagram_endpoint(
-            lambda: _CastProtocol(self), local_addr=(host_name, port_number)
+        self.datagram_transport, _ = await event_loop.create_datagram_endpoint(
+            lambda: _DatagramProtocol(self), local_addr=(host_name, port_number)
         )
 
     def close(self) -> None:
         """Closes the sockets and cancels all connections."""
         if self.stream_server is not None:
             self.stream_server.close()
-        if self.cast_transport is not None:
-            self.cast_transport.close()
-        for own_task in list(self.own_tasks):
-            own_task.cancel()
+        if self.datagram_transport is not None:
+            self.datagram_transport.close()
+        for owned_task in list(self.owned_tasks):
+            owned_task.cancel()
 
     def listen(self, frame_receiver: Receiver) -> None:
         """See `Net.listen`."""
@@ -213,35 +215,37 @@
 
     def cast(self, target_address: str, datagram_bytes: bytes) -> None:
         """See `Net.cast`."""
-        if self.cast_transport is not None:
-            self.cast_transport.sendto(datagram_bytes, split_address(target_address))
+        if self.datagram_transport is not None:
+            self.datagram_transport.sendto(datagram_bytes, split_address(target_address))
 
-    def cast_queue_size(self) -> int:
+    def datagram_backlog_bytes(self) -> int:
         """Bytes of datagrams that the system did not take yet."""
-        if self.cast_transport is None:
+        if self.datagram_transport is None:
             return 0
         # The type stubs do not name it, but the event loop's datagram transport has it.
-        return int(self.cast_transport.get_write_buffer_size())  # type: ignore[attr-defined]
+        return int(self.datagram_transport.get_write_buffer_size())  # type: ignore[attr-defined]
 
     def send(self, target_address: str, frame_bytes: bytes) -> None:
         """See `Net.send`; the first frame to an address opens a connection to it."""
-        out_link = self.out_links.get(target_address)
-        if out_link is None:
-            out_link = self.out_links[target_address] = OutLink(target_address, self.clock, self.losses)
-            send_task = asyncio.get_running_loop().create_task(out_link.run())
-            self.own_tasks.add(send_task)
-            send_task.add_done_callback(self.own_tasks.discard)
-        out_link.push(frame_bytes)
+        outgoing_connection = self.outgoing_connections.get(target_address)
+        if outgoing_connection is None:
+            outgoing_connection = self.outgoing_connections[target_address] = OutgoingConnection(
+                target_address, self.clock, self.losses
+            )
+            send_task = asyncio.get_running_loop().create_task(outgoing_connection.run())
+            self.owned_tasks.add(send_task)
+            send_task.add_done_callback(self.owned_tasks.discard)
+        outgoing_connection.push(frame_bytes)
 
     async def _serve(self, stream_reader: asyncio.StreamReader, stream_writer: asyncio.StreamWriter) -> None:
         serve_task = asyncio.current_task()
         assert serve_task is not None
-        self.own_tasks.add(serve_task)
+        self.owned_tasks.add(serve_task)
         set_options(stream_writer)
         try:
             while True:
                 (frame_size,) = FRAME_HEADER.unpack(await stream_reader.readexactly(FRAME_HEADER.size))
-                if frame_size > MAXIMUM_FRAME:
+                if frame_size > MAXIMUM_FRAME_BYTES:
                     LOGGER.warning("net: A frame was over the limit. bytes=%d", frame_size)
                     return
                 self.take(await stream_reader.readexactly(frame_size))
@@ -250,5 +254,5 @@
         except asyncio.CancelledError:
             return
         finally:
-            self.own_tasks.discard(serve_task)
+            self.owned_tasks.discard(serve_task)
             stream_writer.close()
--- a/src/pearhead/testbed/capacity/change_costs.py
+++ b/src/pearhead/testbed/capacity/change_costs.py
@@ -23,8 +23,8 @@
 from pearhead.consensus.wal import Wal
 from pearhead.control_plane.fleet import Fleet
 from pearhead.rpc.wire_pb2 import Command, ElectNow, Item, Member, Members
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import Timer
-from pearhead.runtime.crew import Crew
 
 MEMBER_COUNT = 3
 ROUTE_COUNT = 1_400
@@ -111,7 +111,7 @@
     """Three members that agree, the first of them leading."""
 
     def __init__(self) -> None:
-        self.crew = Crew("change_costs")
+        self.crew = BackgroundTaskGroup("change_costs")
         self.clock = StepClock()
         self.disks = [CountingDisk() for _ in range(MEMBER_COUNT)]
         self.fleets = [Fleet() for _ in range(MEMBER_COUNT)]
--- a/src/pearhead/testbed/capacity/hollow_nodes.py
+++ b/src/pearhead/testbed/capacity/hollow_nodes.py
@@ -17,14 +17,14 @@
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
 
-from pearhead.discovery.directory import HELLO_MICROS, PEER_COUNT, Directory
+from pearhead.discovery.directory import GOSSIP_FANOUT, HELLO_INTERVAL_MICROS, Directory
 from pearhead.router.view_replica import ViewReplica
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Envelope, Hello, HelloResult, Record
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock, rest
-from pearhead.runtime.crew import Crew
-from pearhead.runtime.daemon import open_logs, serve_until_stopped
+from pearhead.runtime.daemon import configure_logging, serve_until_stopped
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.runtime.net import Net
 from pearhead.runtime.socketnet import SocketNet, split_address
 
@@ -36,8 +36,8 @@
     """The table of all hollow nodes of a process, sorted five times a second and not for each reader."""
 
     def __init__(self, own_records: list[Record], seeds: list[str], clock: Clock, chance: random.Random) -> None:
-        bench = Bench()
-        super().__init__(own_records[0], seeds, Courier("", "", bench, bench), clock, chance)
+        bench = FakeRuntime()
+        super().__init__(own_records[0], seeds, RpcEndpoint("", "", bench, bench), clock, chance)
         self.own_records = own_records
         self.fresh_until = -1
         self.by_role: dict[str | None, list[Record]] = {}
@@ -51,7 +51,7 @@
     def refresh(self) -> None:
         """All own records are alive: they share this process."""
         for record in self.own_records:
-            self._take_record(record, 0)
+            self._merge_record(record, 0)
         found = super().members()
         self.by_role = {None: found}
         for record in found:
@@ -61,16 +61,16 @@
 
     def make_result(self, hello: Hello) -> HelloResult | None:
         """What a node answers to a hello (§3.2); None if nothing is asked."""
-        self._take_record(hello.self, 0)
+        self._merge_record(hello.self, 0)
         if not hello.wants_known:
             return None
         if hello.known_hash == self.known_hash:
             ages = [self.clock.now() - self.records[r.identity][1] for r in self.members()]
             return HelloResult(is_same=True, oldest_age_micros=max(ages, default=0))
-        return HelloResult(known=[*self._aged_records(), self.self_record])
+        return HelloResult(known=[*self._records_with_age(), self.self_record])
 
 
-class CountingCourier(Courier):
+class CountingCourier(RpcEndpoint):
     """Counts what comes in by its body, as the courier counts what goes out."""
 
     def __init__(self, identity: str, own_address: str, net: Net, clock: Clock) -> None:
@@ -88,7 +88,7 @@
 class HollowNode:
     """One node's hellos and term questions, over a socket of its own."""
 
-    def __init__(self, record: Record, clock: Clock, chance: random.Random, crew: Crew) -> None:
+    def __init__(self, record: Record, clock: Clock, chance: random.Random, crew: BackgroundTaskGroup) -> None:
         self.record = record
         self.clock = clock
         self.chance = chance
@@ -106,15 +106,15 @@
         self.directory = directory
         self.keeper = ViewReplica(self.courier, directory, self.clock, self.chance, self.crew, term_micros)
         self.courier.on_tell("hello", self._take_hello)
-        self.courier.on_tell("hello_result", directory._take_hello_result)
+        self.courier.on_tell("hello_result", directory._handle_hello_result)
         await self.net.open()
-        await rest(self.clock, self.chance.randrange(HELLO_MICROS))
+        await rest(self.clock, self.chance.randrange(HELLO_INTERVAL_MICROS))
         self.crew.start(self.keeper.run())
         round_number = 0
         while True:
             self._greet(round_number)
             round_number += 1
-            await rest(self.clock, HELLO_MICROS)
+            await rest(self.clock, HELLO_INTERVAL_MICROS)
 
     def look(self) -> None:
         """Notes when a view came in force here, and when the term was lost."""
@@ -127,7 +127,7 @@
     def _greet(self, round_number: int) -> None:
         cores = [r.address for r in self.directory.members("control_plane")]
         others = [r.address for r in self.directory.members("router") if r.address != self.record.address]
-        peers = self.chance.sample(others, min(PEER_COUNT, len(others)))
+        peers = self.chance.sample(others, min(GOSSIP_FANOUT, len(others)))
         targets = (cores or self.directory.seed_addresses) + peers
         for position, address in enumerate(targets):
             is_asked = position == round_number % len(targets)
@@ -160,7 +160,7 @@
     def __init__(self, order: HollowNodesOrder, clock: Clock) -> None:
         self.clock = clock
         self.order = order
-        self.crew = Crew("testbed")
+        self.crew = BackgroundTaskGroup("testbed")
         chance = random.Random(order.seed)
         records = [
             Record(
@@ -241,7 +241,7 @@
 
 
 def main() -> None:
-    open_logs("WARNING")
+    configure_logging("WARNING")
     raise SystemExit(asyncio.run(serve(HollowNodesOrder(**json.loads(sys.argv[1])))))
 
 
--- a/src/pearhead/testbed/capacity/hollow_workers.py
+++ b/src/pearhead/testbed/capacity/hollow_workers.py
@@ -17,7 +17,7 @@
 from tornado.web import Application, RequestHandler
 
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock, rest
-from pearhead.runtime.daemon import open_logs, serve_until_stopped
+from pearhead.runtime.daemon import configure_logging, serve_until_stopped
 from pearhead.runtime.socketnet import split_address
 
 LINE_MICROS = 5 * MILLI
@@ -139,7 +139,7 @@
 
 
 def main() -> None:
-    open_logs("WARNING")
+    configure_logging("WARNING")
     raise SystemExit(asyncio.run(serve(HollowWorkersOrder(**json.loads(sys.argv[1])))))
 
 
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -22,11 +22,11 @@
 from pearhead.control_plane.fleet import Fleet
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.channel import CHANNEL_COUNT
-from pearhead.invalidation.listener import Listener
-from pearhead.invalidation.serializer import Serializer
+from pearhead.invalidation.revision_listener import RevisionListener
+from pearhead.invalidation.revision_sequencer import RevisionSequencer
 from pearhead.router.copy_index import KEYS_PER_WORKER, CopyIndex
 from pearhead.router.worker_lease import KEYS_PER_NOTE
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
     Command,
@@ -40,9 +40,9 @@
     ViewDelta,
     Worker,
 )
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.runtime.socketnet import SocketNet
 from pearhead.testbed.capacity.live_fleet import build_description
 from pearhead.testbed.capacity.process_stat import read_process_stat
@@ -70,11 +70,11 @@
 
 
 def _directory(records: int) -> Directory:
-    bench = Bench()
+    bench = FakeRuntime()
     directory = Directory(
         Record(identity="me", address="10.0.0.1:7000", role="router", area="zone-01", httpAddress="10.0.0.1:8000"),
         [],
-        Courier("me", "10.0.0.1:7000", bench, bench),
+        RpcEndpoint("me", "10.0.0.1:7000", bench, bench),
         bench,
         random.Random(1),
     )
@@ -103,7 +103,7 @@
     sink_address = f"127.0.0.1:{sink.getsockname()[1]}"
     net = SocketNet("127.0.0.1:0")
     await net.open()
-    courier = Courier("0" * 24, "10.0.0.1:7000", net, Bench())
+    courier = RpcEndpoint("0" * 24, "10.0.0.1:7000", net, FakeRuntime())
     note = PurgeNote(copy_note=CopyNote(worker="worker-1234", life="0" * 16, kept=["0" * 32] * KEYS_PER_NOTE))
     spent = _micros(lambda: courier.cast([sink_address] * targets, "purge_note", note))
     net.close()
@@ -117,7 +117,7 @@
     directory = _directory(records)
     held = _resident() - before
     identities = [r.identity for r in directory.members("router")]
-    whole = sum(r.ByteSize() + 2 for r in directory._aged_records())
+    whole = sum(r.ByteSize() + 2 for r in directory._records_with_age())
     return {
         "members, µs": _micros(directory.members),
         "hash of what is known, µs": _micros(directory._known_hash),
@@ -175,7 +175,7 @@
     }
 
 
-class _EchoNet(Bench):
+class _EchoNet(FakeRuntime):
     """Counts datagrams and bytes, and keeps them for whoever plays the network."""
 
     def __init__(self) -> None:
@@ -220,11 +220,13 @@
 
 async def _measure_volumes(volumes: int) -> Row:
     node_net, core_net, chance = _EchoNet(), _EchoNet(), random.Random(1)
-    courier = Courier("me", "10.0.0.1:7000", node_net, node_net)
+    courier = RpcEndpoint("me", "10.0.0.1:7000", node_net, node_net)
     directory = _directory(3)
-    listener = Listener(courier, directory, node_net, chance, Crew("testbed"), 30 * SECOND)
-    core_courier = Courier("core", "10.0.0.2:7000", core_net, core_net)
-    serializer = Serializer(_Tables(), core_courier, _directory(0), core_net, Crew("testbed"), 30 * SECOND)
+    listener = RevisionListener(courier, directory, node_net, chance, BackgroundTaskGroup("testbed"), 30 * SECOND)
+    core_courier = RpcEndpoint("core", "10.0.0.2:7000", core_net, core_net)
+    serializer = RevisionSequencer(
+        _Tables(), core_courier, _directory(0), core_net, BackgroundTaskGroup("testbed"), 30 * SECOND
+    )
     before = _resident()
     names = [f"tenant:tenant-{n}" for n in range(volumes)]
     for name in names:
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -10,7 +10,7 @@
 
 from tornado.httpserver import HTTPServer
 
-from pearhead.runtime.command import run_command
+from pearhead.runtime.command_line import run_command
 from pearhead.runtime.socketnet import split_address
 from pearhead.testbed.caller import Caller
 from pearhead.testbed.deployment import DEPLOYMENTS, description_text
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -12,7 +12,7 @@
 from pearhead.config.view import View, WorkerFact
 from pearhead.control_plane.core import CoreProcess
 from pearhead.control_plane.fleet import Fleet
-from pearhead.invalidation.key import cache_salt, chain_keys
+from pearhead.invalidation.cache_keys import cache_salt, chain_keys
 from pearhead.router import job_scheduler
 from pearhead.router.job import Job
 from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -11,8 +11,8 @@
 
 from result import Err, Ok, Result
 
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Timer, rest
-from pearhead.runtime.crew import Crew
 from pearhead.runtime.net import Receiver
 from pearhead.testbed.simulator.loop import VirtualLoop
 from pearhead.testbed.simulator.uplink import Uplink
@@ -39,7 +39,7 @@
         self.kernel_answers = True
         self.life = 0
         self.held_actions: list[Action] = []
-        self.crew = Crew(name)
+        self.crew = BackgroundTaskGroup(name)
         self.disk = SimDisk(self)
 
     def now(self) -> int:
@@ -72,7 +72,7 @@
         self.life += 1
         self.is_alive, self.is_frozen = True, False
         self.held_actions = []
-        self.crew = Crew(self.name)
+        self.crew = BackgroundTaskGroup(self.name)
 
     def crash(self, loses_power: bool) -> None:
         self.is_alive = False
--- a/tests/powerless_files.py
+++ b/tests/powerless_files.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from pearhead.runtime.disk import FileCalls, FolderDisk
+from pearhead.runtime.disk import FileSystem, FolderDisk
 
 AnyT = TypeVar("AnyT")
 
@@ -195,7 +195,7 @@
 class PowerlessDisk(FolderDisk):
     """The product's own folder disk on such files, without its thread and its lock."""
 
-    def __init__(self, files: FileCalls) -> None:
+    def __init__(self, files: FileSystem) -> None:
         self._begin(files)
 
     async def _off_loop(self, call: Callable[[], AnyT]) -> AnyT:
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -30,8 +30,8 @@
 from pearhead.consensus.snapshot_store import SnapshotLimits
 from pearhead.consensus.wal import Wal, WalCorruptError, read_record
 from pearhead.rpc.wire_pb2 import AppendResult, DigestResult, Entry, LogRecord, Mark, Member, Members, VoteResult
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.runtime.crew import Crew
 from pearhead.testbed.simulator.loop import VirtualLoop
 
 AnyT = TypeVar("AnyT")
@@ -405,7 +405,7 @@
             lambda address, body_name, body: self._tell(place, member, address, body_name, body),
             place.clock,
             random.Random(self.chance.getrandbits(64)),
-            Crew(place.address),
+            BackgroundTaskGroup(place.address),
             lambda reason: self.fail("disk", reason),
             SnapshotLimits(DIGEST_EVERY, KEPT_ENTRIES),
         )
@@ -919,7 +919,7 @@
     def _settled_leader(self) -> RaftMember | None:
         for place in self._up():
             if place.member is not None and place.member.settled():
-                if not place.member.transfer.is_under_way() and not place.member.disk_full:
+                if not place.member.transfer.is_in_progress() and not place.member.disk_full:
                     return place.member
         return None
 
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -23,9 +23,9 @@
 from pearhead.control_plane.membership_controller import MembershipController
 from pearhead.control_plane.operatorapi import build_operator_api
 from pearhead.rpc.wire_pb2 import ApplyDescription, Command, CommandResult, Entry, Member, Members, NameWeights
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import BootClock
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 Json = dict[str, Any]
 KEY = "0" * 63
@@ -84,7 +84,7 @@
         address="127.0.0.1:1", httpAddress="127.0.0.1:2", area="z", seeds=["127.0.0.1:1"], founders=["127.0.0.1:1"]
     )
     disk: Any = None
-    core = CoreProcess(startup, BootClock(), Bench(), disk, random.Random(1), lambda reason: None)
+    core = CoreProcess(startup, BootClock(), FakeRuntime(), disk, random.Random(1), lambda reason: None)
     only: Any = OnlyCore(core)
     core.raft = only
     unused: Any = None
@@ -373,7 +373,7 @@
     async def test_a_storm_of_large_changes_leaves_a_small_folder(self) -> None:
         disk = CountedDisk()
         fleet = Fleet()
-        crew = Crew("test")
+        crew = BackgroundTaskGroup("test")
         member = RaftMember(
             "one",
             Wal(disk),
@@ -383,7 +383,7 @@
             random.Random(1),
             crew,
             self.fail,
-            SnapshotLimits(every_bytes=200_000),
+            SnapshotLimits(bytes_per_snapshot=200_000),
         )
         await member.recover()
         await member.bootstrap("a:1")
@@ -408,7 +408,7 @@
             lambda address, name, body: None,
             BootClock(),
             random.Random(1),
-            Crew("test"),
+            BackgroundTaskGroup("test"),
             self.fail,
         )
         await recovered.recover()
@@ -422,7 +422,7 @@
             lambda address, name, body: None,
             BootClock(),
             random.Random(1),
-            Crew("test"),
+            BackgroundTaskGroup("test"),
             self.fail,
         )
         sizes = (3, 2, 5, 1, 1)
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -11,13 +11,13 @@
 from pearhead.config.view import WorkerFact
 from pearhead.control_plane.fleet import Fleet
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.listener import Listener
-from pearhead.invalidation.serializer import Serializer
+from pearhead.invalidation.revision_listener import RevisionListener
+from pearhead.invalidation.revision_sequencer import RevisionSequencer
 from pearhead.router.copy_index import CopyIndex
 from pearhead.router.job_transport import SendPrecondition
 from pearhead.router.view_replica import ViewReplica
 from pearhead.router.worker_lease import WorkerLeaseController, _PollState
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import BumpPart, Command, PurgeNote, Record
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import SimNet, World, pause, run_virtual
@@ -79,10 +79,10 @@
         machine.boot()
         self.machine = machine
         net = SimNet(machine, f"{name}:1")
-        courier = Courier(name, f"{name}:1", net, machine)
+        courier = RpcEndpoint(name, f"{name}:1", net, machine)
         record = Record(identity=name, address=f"{name}:1", role="router")
         directory = Directory(record, [CORE], courier, machine, machine.chance)
-        self.listener = Listener(courier, directory, machine, machine.chance, machine.crew, LIFETIME_MICROS)
+        self.listener = RevisionListener(courier, directory, machine, machine.chance, machine.crew, LIFETIME_MICROS)
         keeper = ViewReplica(courier, directory, machine, machine.chance, machine.crew, SECOND)
         self.index = CopyIndex()
         self.holder = WorkerLeaseController(
@@ -124,10 +124,10 @@
         self.core = OneCore()
         machine = world.machine("core")
         machine.boot()
-        courier = Courier("core", CORE, SimNet(machine, CORE), machine)
+        courier = RpcEndpoint("core", CORE, SimNet(machine, CORE), machine)
         record = Record(identity="core", address=CORE, role="control_plane")
         directory = Directory(record, [], courier, machine, machine.chance)
-        serializer = Serializer(self.core, courier, directory, machine, machine.crew, LIFETIME_MICROS)
+        serializer = RevisionSequencer(self.core, courier, directory, machine, machine.crew, LIFETIME_MICROS)
         serializer.join_volumes([(OWNER, LINE)])
         machine.crew.start(directory.run())
         self.reader = PurgeNode(world, "reader")
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -26,8 +26,8 @@
 from pearhead.router.errors import ERROR_TABLE, Refusal
 from pearhead.router.gateway import GatewayProcess, GatewaySettings
 from pearhead.router.opaque_request import OpaqueRequest, ResponseWriter
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 LIMITS = ClientLimits(header_bytes=500, body_bytes=1_000, header_micros=3 * SECOND, idle_micros=15 * SECOND)
 GET = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -317,7 +317,9 @@
     async def test_a_gateway_tells_those_of_the_description_last_known(self) -> None:
         startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"])
         unused: Any = None
-        gateway = GatewayProcess(startup, GatewaySettings(), Bench(), Bench(), unused, unused, random.Random(1))
+        gateway = GatewayProcess(
+            startup, GatewaySettings(), FakeRuntime(), FakeRuntime(), unused, unused, random.Random(1)
+        )
         self.assertEqual(gateway.client_limits(), ClientLimits())
         gateway.keeper.view = self.view(1, {"header_bytes": 16_384, "idle_micros": 15_000 * MILLI})
         self.assertEqual(gateway.client_limits(), ClientLimits(header_bytes=16_384, idle_micros=15 * SECOND))
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -16,7 +16,7 @@
 from pearhead.consensus.wal import Wal
 from pearhead.control_plane.fleet import TAKEN_LIMIT, Fleet
 from pearhead.router.command_session import CommandSession
-from pearhead.rpc.courier import Courier, reply_name
+from pearhead.rpc.rpc_endpoint import RpcEndpoint, reply_name
 from pearhead.rpc.wire_pb2 import (
     AppendAsk,
     Command,
@@ -34,9 +34,9 @@
     VoteResult,
     Worker,
 )
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import pause
 from tests.test_change import build_core, change
@@ -61,7 +61,7 @@
         self.loaded = digest_bytes
 
 
-class FarClock(Bench):
+class FarClock(FakeRuntime):
     """The elections' deadlines have long passed, and no leader was heard for as long."""
 
     def now(self) -> int:
@@ -88,7 +88,7 @@
             self.tell,
             FarClock(),
             random.Random(1),
-            Crew("member"),
+            BackgroundTaskGroup("member"),
             lambda reason: None,
         )
         self.raft.state.term = epoch
@@ -207,7 +207,7 @@
         self.assertEqual(set(joint.voters), set("abcd"))
         quorums = {q: joint.has_quorum(q) for q in ("ab", "ac", "ad", "acd", "bcd", "cd")}
         self.assertEqual(quorums, {"ab": True, "ac": False, "ad": False, "acd": True, "bcd": True, "cd": False})
-        self.assertEqual(joint.agreed({"a": 9, "b": 3, "c": 9, "d": 5}.__getitem__), 5)
+        self.assertEqual(joint.quorum_value({"a": 9, "b": 3, "c": 9, "d": 5}.__getitem__), 5)
         ended = Membership(8, end_joint(joint.members))
         self.assertEqual((set(ended.voters), ended.is_joint, len(ended.members.member)), (set("abd"), False, 4))
         self.assertFalse(Membership(0, Members()).has_quorum(["a"]), "nobody votes yet")
@@ -305,7 +305,7 @@
     async def ask(self, change: Any) -> bool:
         """Whether an answer, changed in some way, is taken for the answer to an order."""
         frames: Any = Frames()
-        courier = Courier("me", "me:1", frames, Bench())
+        courier = RpcEndpoint("me", "me:1", frames, FakeRuntime())
         asked = asyncio.ensure_future(courier.ask("core:1", "command_ask", CommandAsk(command=b"x"), SECOND))
         await asyncio.sleep(0)
         question = frames.sent[-1][1]
@@ -342,7 +342,7 @@
 
     async def test_each_life_is_another(self) -> None:
         frames: Any = Frames()
-        lives = {Courier("me", "me:1", frames, Bench()).life for _ in range(50)}
+        lives = {RpcEndpoint("me", "me:1", frames, FakeRuntime()).life for _ in range(50)}
         self.assertEqual(len(lives), 50)
 
 
--- a/tests/test_delta_packing.py
+++ b/tests/test_delta_packing.py
@@ -5,7 +5,7 @@
 import json
 import unittest
 
-from pearhead.rpc.delta_packing import DeltaPacker, delta_of
+from pearhead.rpc.delta_compression import DeltaCompressor, extract_delta
 from pearhead.rpc.wire_pb2 import Section, TermResult, ViewDelta
 
 
@@ -28,24 +28,24 @@
 
 
 class DeltaPackingTest(unittest.TestCase):
-    def put(self, packer: DeltaPacker, delta: ViewDelta | None) -> TermResult:
+    def put(self, packer: DeltaCompressor, delta: ViewDelta | None) -> TermResult:
         result = TermResult(last_visible_index=7)
         packer.put(result, delta)
         return TermResult.FromString(result.SerializeToString())
 
     def test_small_and_large_ones_come_out_as_they_went_in(self) -> None:
-        packer = DeltaPacker()
+        packer = DeltaCompressor()
         for delta in (make_delta(1), make_delta(1_040), make_delta(1_040), make_delta(3, index=8)):
-            self.assertEqual(delta_of(self.put(packer, delta)), delta)
-        self.assertIsNone(delta_of(self.put(packer, None)))
+            self.assertEqual(extract_delta(self.put(packer, delta)), delta)
+        self.assertIsNone(extract_delta(self.put(packer, None)))
 
     def test_a_thousand_routes_need_a_fifth_of_their_size_at_most(self) -> None:
         delta = make_delta(1_040)
-        result = self.put(DeltaPacker(), delta)
+        result = self.put(DeltaCompressor(), delta)
         self.assertFalse(result.HasField("delta"))
         self.assertLess(result.ByteSize(), delta.ByteSize() / 5)
 
     def test_what_cant_be_read_is_no_delta(self) -> None:
-        packed = self.put(DeltaPacker(), make_delta(1_040)).packed_delta
+        packed = self.put(DeltaCompressor(), make_delta(1_040)).packed_delta
         for broken in (packed[:-9], b"x" + packed, packed[:200] + b"\0\0" + packed[202:], b"x"):
-            self.assertIsNone(delta_of(TermResult(packed_delta=broken)))
+            self.assertIsNone(extract_delta(TermResult(packed_delta=broken)))
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -6,10 +6,10 @@
 import unittest
 
 from pearhead.discovery.directory import Directory
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import HelloResult, Record
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.simulator.world import Machine, SimNet, World, pause, run_virtual
 
 CORE_COUNT = 3
@@ -18,19 +18,19 @@
 
 class DirectoryTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self_record = Record(identity="me", address="a:1", role="router")
-        courier = Courier("me", "a:1", self.bench, self.bench)
+        courier = RpcEndpoint("me", "a:1", self.bench, self.bench)
         self.directory = Directory(self_record, ["seed:1"], courier, self.bench, random.Random(1))
 
     def hear(self, identity: str, address: str, age_micros: int, role: str = "control_plane") -> None:
         record = Record(identity=identity, address=address, role=role, age_micros=age_micros)
-        self.directory._take_hello_result("x", "x:1", HelloResult(known=[record]))
+        self.directory._handle_hello_result("x", "x:1", HelloResult(known=[record]))
 
     def test_records_age_over_relays_and_a_new_life_goes_first(self) -> None:
         self.hear("old", "b:1", 4 * SECOND)
         self.assertEqual([r.identity for r in self.directory.members()], ["old"])
-        self.assertEqual(self.directory._aged_records()[0].age_micros, 4 * SECOND)
+        self.assertEqual(self.directory._records_with_age()[0].age_micros, 4 * SECOND)
         self.hear("new", "b:1", 0)
         self.assertEqual([r.identity for r in self.directory.members()], ["new"])
         self.hear("new", "b:1", 3 * SECOND)
@@ -43,7 +43,7 @@
         self.hear("b", "b:1", 0)
         self.bench.now_micros += 4 * SECOND
         result = HelloResult(is_same=True, oldest_age_micros=2 * SECOND)
-        self.directory._take_hello_result("x", "x:1", result)
+        self.directory._handle_hello_result("x", "x:1", result)
         self.bench.now_micros += 2 * SECOND
         self.assertEqual([r.identity for r in self.directory.members()], ["b"])
         self.bench.now_micros += 2 * SECOND
@@ -72,7 +72,7 @@
         machine: Machine = self.world.machine(name)
         machine.boot()
         address = f"{name}:1"
-        courier = Courier(name, address, SimNet(machine, address), machine)
+        courier = RpcEndpoint(name, address, SimNet(machine, address), machine)
         record = Record(identity=name, address=address, role=role)
         directory = Directory(record, self.seeds, courier, machine, random.Random(f"{self.world.seed} {name}"))
         machine.crew.start(directory.run())
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -21,8 +21,8 @@
 from pearhead.router.request_proxy import hash_key
 from pearhead.router.weights_grace_period import WeightsGracePeriod
 from pearhead.rpc.wire_pb2 import Record
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 NODE_COUNT = 9
 WINDOW_MICROS = 10 * SECOND
@@ -31,7 +31,7 @@
 OLD_MICROS = 6 * SECOND
 
 
-def make_gateway(bench: Bench, key_trust_micros: int = 0) -> GatewayProcess:
+def make_gateway(bench: FakeRuntime, key_trust_micros: int = 0) -> GatewayProcess:
     startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], oldWeightsMicros=OLD_MICROS)
     unused: Any = None
     settings = GatewaySettings(max_view_age_micros=SERVE_ON_MICROS, key_trust_micros=key_trust_micros)
@@ -54,7 +54,7 @@
 
 class ViewAgeTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_view_is_served_by_for_a_bounded_time_after_it_was_confirmed(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         gateway = make_gateway(bench)
         self.assertIsNone(gateway.view(), "nothing was confirmed yet")
         gateway.keeper.view, gateway.keeper.current_at = make_view(0), bench.now()
@@ -71,7 +71,7 @@
 
 class KeyAgeTest(unittest.IsolatedAsyncioTestCase):
     async def test_keys_end_in_their_own_time_at_a_node_that_hears_of_no_core(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         for bound_micros, trusted_micros in ((5 * SECOND, 5 * SECOND), (0, SERVE_ON_MICROS)):
             gateway = make_gateway(bench, bound_micros)
             gateway.keeper.view, gateway.keeper.has_view = make_view(3), True
@@ -83,7 +83,7 @@
             self.assertEqual(gateway.trusts_keys(), not bound_micros)
 
     async def test_a_gate_asks_for_each_request_with_a_key_and_again_as_it_is_sent(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         gateway = make_gateway(bench, 5 * SECOND)
         tenant = Tenant("t", keyHashes=[hash_key("key")])
         routes = [Route("r", "h", "/a/", [Split("s", 1)], SECOND), Route("p", "h", "/p/", [Split("s", 1)], SECOND)]
@@ -104,7 +104,7 @@
 
 class WeightsAgeTest(unittest.IsolatedAsyncioTestCase):
     async def test_old_weights_are_used_for_a_bounded_time_from_before_their_successors_naming(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         keeper = make_gateway(bench).keeper
         clock = WeightsGracePeriod(bench, keeper, OLD_MICROS)
         self.assertTrue(clock.may_use(make_view(1, m=1), "m", 1))
@@ -126,7 +126,7 @@
     """The shares of what the fleet may do together are reckoned from how many nodes there are."""
 
     async def asyncSetUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.gateway = make_gateway(self.bench)
         for number in range(1, NODE_COUNT):
             record = Record(identity=f"n{number}", address=f"a:{10 + number}", role="router")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -20,8 +20,8 @@
 from pearhead.router.job_api import HandlerLineWriter, build_job_api
 from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
 from pearhead.router.node_process import NodeProcess
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import BootClock
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.deployment import ACADEMY, build_description, tenant_key
 
 CHUNK = "x" * 100_000
@@ -96,7 +96,7 @@
     async def asyncSetUp(self) -> None:
         self.carrier = ScriptedCarrier()
         startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], bodyLimitBytes=10_000)
-        self.node = NodeProcess(startup, BootClock(), Bench(), self.carrier, NoLink(), random.Random(1))
+        self.node = NodeProcess(startup, BootClock(), FakeRuntime(), self.carrier, NoLink(), random.Random(1))
         self.node.keeper.view = make_view()
         self.node.keeper.is_current = lambda: True  # type: ignore[method-assign]
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -20,8 +20,8 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerChoice
 from pearhead.rpc.wire_pb2 import ReadNote
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 EVENTS = [b"id: %d\ndata: x\n\n" % n for n in range(1, 4)]
 HEAD = (200, "OK", HTTPHeaders({"Seal": "s", "Connection": "keep-alive"}))
@@ -100,7 +100,7 @@
 class LatePlacer(FakePlacer):
     """Knows of no worker before a moment."""
 
-    def __init__(self, bench: Bench, known_micros: int) -> None:
+    def __init__(self, bench: FakeRuntime, known_micros: int) -> None:
         super().__init__()
         self.bench = bench
         self.known_micros = known_micros
@@ -179,17 +179,17 @@
         return self.held
 
 
-class TickingBench(Bench):
+class TickingBench(FakeRuntime):
     """Time goes on only while somebody rests."""
 
-    def after(self, delay_micros: int, callback: Any) -> Bench:
+    def after(self, delay_micros: int, callback: Any) -> FakeRuntime:
         self.now_micros += delay_micros
         callback()
         return self
 
 
 class LateCurrent(FakeCurrent):
-    def __init__(self, view: View, bench: Bench, known_micros: int) -> None:
+    def __init__(self, view: View, bench: FakeRuntime, known_micros: int) -> None:
         super().__init__(view)
         self.bench = bench
         self.known_micros = known_micros
@@ -215,7 +215,7 @@
         tell: Callable[[ReadNote], None] = lambda note: None,
         **fields: Any,
     ) -> FakePen:
-        bench = Bench()
+        bench = FakeRuntime()
         self.pool, self.placer, self.pen = FakePool(calls), getattr(self, "placer", FakePlacer()), FakePen()
         self.loads = WorkerLoadTracker(bench)
         self.gate = RequestProxy(
@@ -320,7 +320,7 @@
         self.assertEqual(self.told(), (200, "whole", 1))
 
     async def test_a_node_that_knows_nothing_yet_does_not_call_all_back_at_once(self) -> None:
-        bench, dialect = Bench(), NotingDialect()
+        bench, dialect = FakeRuntime(), NotingDialect()
         gate = RequestProxy(
             bench,
             FakeCurrent(None),
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -18,11 +18,11 @@
 from pearhead.control_plane.core import CoreProcess
 from pearhead.control_plane.fleet import Fleet
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.serializer import Serializer
+from pearhead.invalidation.revision_sequencer import RevisionSequencer
 from pearhead.router.job import JobRequest
 from pearhead.router.node_process import NodeProcess
 from pearhead.router.view_replica import ViewReplica
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     BumpPart,
     Command,
@@ -38,9 +38,9 @@
     ViewDelta,
     Worker,
 )
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.deployment import ACADEMY, tenant_key
 from pearhead.testbed.simulator.explore import Exploration, Explorer, StepClock, Story
 from tests.test_front import NoLink, ScriptedCarrier, make_view
@@ -86,7 +86,7 @@
 
 
 def make_node(carrier: ScriptedCarrier) -> NodeProcess:
-    node = NodeProcess(STARTUP, StepClock(), Bench(), carrier, NoLink(), random.Random(1))
+    node = NodeProcess(STARTUP, StepClock(), FakeRuntime(), carrier, NoLink(), random.Random(1))
     node.keeper.view = make_view()
     node.keeper.is_current = lambda: True  # type: ignore[method-assign]
     return node
@@ -105,10 +105,10 @@
         delta = ViewDelta(index=index, hash=hash_sections(sections))
         delta.section.append(Section(name="workers", index=index, body=sections["workers"][1]))
         views[index] = delta
-    clock, bench = StepClock(), Bench()
-    courier = Courier("me", "a:1", bench, clock)
+    clock, bench = StepClock(), FakeRuntime()
+    courier = RpcEndpoint("me", "a:1", bench, clock)
     directory = Directory(Record(identity="me"), ["s:1"], courier, clock, random.Random(1))
-    keeper = ViewReplica(courier, directory, clock, random.Random(1), Crew("t"), SECOND)
+    keeper = ViewReplica(courier, directory, clock, random.Random(1), BackgroundTaskGroup("t"), SECOND)
 
     async def ask(target_address: str, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
         await asyncio.sleep(0)
@@ -187,13 +187,13 @@
 
 async def bump_against_retransmission_and_leader_change() -> None:
     log, clock = SharedLog(), StepClock()
-    benches = {name: Bench() for name in ("old", "new")}
-    crew = Crew("t")
+    benches = {name: FakeRuntime() for name in ("old", "new")}
+    crew = BackgroundTaskGroup("t")
     serializers = {}
     for name, bench in benches.items():
-        courier = Courier(name, f"{name}:1", bench, clock)
+        courier = RpcEndpoint(name, f"{name}:1", bench, clock)
         directory = Directory(Record(identity=name), ["s:1"], courier, clock, random.Random(1))
-        serializers[name] = Serializer(LogKeeper(name, log), courier, directory, clock, crew, SECOND)
+        serializers[name] = RevisionSequencer(LogKeeper(name, log), courier, directory, clock, crew, SECOND)
         serializers[name].channels.joined_bits.setall(1)
     request = PurgeNote(owner="o", line="l", part=7)
     request.revision_request.CopyFrom(RevisionRequest(transaction=b"one"))
@@ -207,7 +207,7 @@
         log.leader = "new"
 
     await asyncio.gather(send(), change())
-    await asyncio.gather(*crew.own_tasks)
+    await asyncio.gather(*crew.owned_tasks)
     repairs = [n.revision_repair.revision for b in benches.values() for n in b.notes if n.HasField("revision_repair")]
     assert set(repairs) <= {2}, f"one transaction gave {repairs}"
     assert log.fleet.parts["o/l"][7] == 2, f"bumped to {log.fleet.parts['o/l'][7]}"
@@ -235,7 +235,7 @@
 
 
 def make_core(clock: StepClock) -> CoreProcess:
-    core = CoreProcess(STARTUP, clock, Bench(), YieldingDisk(), random.Random(1), lambda reason: None)
+    core = CoreProcess(STARTUP, clock, FakeRuntime(), YieldingDisk(), random.Random(1), lambda reason: None)
     core.raft = LogRaft(core.fleet, core)  # type: ignore[assignment]
     workers = Command(workers=SetWorkers(worker=[Worker(name="w", address="w:1", service="s")]))
     core.apply(0, workers.SerializeToString())
@@ -310,7 +310,7 @@
             await wal.append([LogRecord(entry=Entry(index=index, epoch=1))])
 
     async def cut() -> None:
-        await wal.keep_digest(DigestFile(index=1, epoch=1))
+        await wal.save_snapshot(DigestFile(index=1, epoch=1))
 
     await asyncio.gather(write(), cut())
     recovered = await Wal(disk).recover()
--- a/tests/test_invalidation_key.py
+++ b/tests/test_invalidation_key.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from pearhead.invalidation.key import chain_keys
+from pearhead.invalidation.cache_keys import chain_keys
 
 
 class ChainKeysTest(unittest.TestCase):
--- a/tests/test_invalidation_listener.py
+++ b/tests/test_invalidation_listener.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.listener import CHANGING_MICROS, Listener
-from pearhead.rpc.courier import Courier
+from pearhead.invalidation.revision_listener import CHANGE_TIMEOUT_MICROS, RevisionListener
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     Pair,
     PurgeNote,
@@ -18,17 +18,19 @@
     Table,
     TableRequest,
 )
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 
 class ListenerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
-        courier = Courier("me", "a:1", self.bench, self.bench)
+        self.bench = FakeRuntime()
+        courier = RpcEndpoint("me", "a:1", self.bench, self.bench)
         self.directory = Directory(Record(identity="me"), ["s:1"], courier, self.bench, random.Random(1))
-        self.listener = Listener(courier, self.directory, self.bench, random.Random(1), Crew("test"), 30 * SECOND)
+        self.listener = RevisionListener(
+            courier, self.directory, self.bench, random.Random(1), BackgroundTaskGroup("test"), 30 * SECOND
+        )
         self.directory.records["core"] = (
             Record(identity="core", address="c:1", role="control_plane", channels=b"\xff" * 32),
             2**60,
@@ -78,7 +80,7 @@
         self.revision(7)
         self.table(1, 10)
         self.hear(part=7, revision_request=RevisionRequest(transaction=b"t"))
-        self.bench.now_micros += CHANGING_MICROS + 1
+        self.bench.now_micros += CHANGE_TIMEOUT_MICROS + 1
         self.listener._refresh()
         self.assertIsNone(self.revision(8))
         self.table(1, 12, p7=2)
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -18,8 +18,8 @@
 from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, ResponseVerdict
 from pearhead.router.request_proxy import RequestProxy, hash_key
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
@@ -106,7 +106,7 @@
         self, wait_micros: int, tenant_urgency: int = 5, route_urgency: int = 5
     ) -> tuple[int, ForwardingMetadata]:
         """How long a worker's answer is waited for, and what the worker is told."""
-        bench, call, dialect = Bench(), NotingCall(HEAD, (b"ok",)), NotingDirections()
+        bench, call, dialect = FakeRuntime(), NotingCall(HEAD, (b"ok",)), NotingDirections()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, urgency=route_urgency)
         view = View()
         tenant = Tenant("t", [hash_key("k")], urgency=tenant_urgency)
--- a/tests/test_load_book.py
+++ b/tests/test_load_book.py
@@ -7,13 +7,13 @@
 from pearhead.router.fleet_retry_budget import FleetRetryBudget
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.rpc.wire_pb2 import UseNote, WorkerUse
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 
 class LoadBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.loads = WorkerLoadTracker(self.bench)
 
     def tell(self, teller: str, serial: int, running: int) -> None:
@@ -53,7 +53,7 @@
 class FleetBudgetTest(unittest.TestCase):
     def test_all_nodes_together_stay_within_the_fleets_budget_in_any_window(self) -> None:
         for nodes, requests in ((1, 50), (9, 15), (63, 1)):
-            bench = Bench()
+            bench = FakeRuntime()
             budgets = [FleetRetryBudget(bench, 0.2, 58, 10 * SECOND) for _ in range(nodes)]
             spent: list[int] = []
             for _ in range(400):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -16,7 +16,7 @@
 
 from pearhead.router.stats_log import StatsLog, processor_micros
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.runtime.daemon import FORM_FAULT, LineFormatter
+from pearhead.runtime.daemon import FORMAT_ERROR_TEXT, LineFormatter
 from pearhead.testbed.simulator.world import World, pause, run_virtual
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -36,15 +36,15 @@
 from pearhead.router.relay import RELAY_PERIOD_MICROS  # noqa: E402
 from pearhead.router.roster_age_monitor import OLD_MICROS, RosterAgeMonitor  # noqa: E402
 from pearhead.router.worker_control import Backend  # noqa: E402
-from pearhead.rpc.courier import Courier  # noqa: E402
+from pearhead.rpc.rpc_endpoint import RpcEndpoint  # noqa: E402
 from pearhead.rpc.wire_pb2 import Member, Members, UseNote  # noqa: E402
-from pearhead.runtime.bench import Bench  # noqa: E402
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, rest  # noqa: E402
 from pearhead.runtime.collectors import LinkCollector  # noqa: E402
+from pearhead.runtime.fake_runtime import FakeRuntime  # noqa: E402
 from pearhead.runtime.invariants import Invariant, InvariantCounters, InvariantViolationError  # noqa: E402
 from pearhead.runtime.loop_lag import LoopLag  # noqa: E402
 from pearhead.runtime.metrics import METRICS_PATH, build_registry, serve_metrics  # noqa: E402
-from pearhead.runtime.socketnet import FRESH_MICROS, QUEUE_LIMIT, OutLink, SocketNet, split_address  # noqa: E402
+from pearhead.runtime.socketnet import FRESH_MICROS, QUEUE_LIMIT, OutgoingConnection, SocketNet, split_address  # noqa: E402
 from pearhead.testbed.simulator.world import World, pause, run_virtual  # noqa: E402
 from tests.test_relay import Fleet as RelayFleet  # noqa: E402
 from tests.workerfleet import WorkerFleet  # noqa: E402
@@ -118,7 +118,7 @@
 
 class GatewayFiguresTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.net = SocketNet("127.0.0.1:1", self.bench)
         self.gateway = build_gateway(self.bench, self.net)
         self.edge = build_edge(self.bench)
@@ -186,8 +186,8 @@
             members=lambda: members,
             voters=lambda: {"a": "a:1"},
         )
-        bench = Bench()
-        courier = Courier("a", "a:1", bench, bench)
+        bench = FakeRuntime()
+        courier = RpcEndpoint("a", "a:1", bench, bench)
         core = cast(CoreProcess, SimpleNamespace(raft=raft, clock=bench, courier=courier))
         found = read(build_registry([CoreCollector(core)]))
         self.assertEqual(
@@ -202,9 +202,9 @@
 
 class LinkFiguresTest(unittest.TestCase):
     def test_what_waits_and_what_is_given_up_is_counted(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         net = SocketNet("127.0.0.1:1", bench)
-        link = net.out_links["a:1"] = OutLink("a:1", bench, net.losses)
+        link = net.outgoing_connections["a:1"] = OutgoingConnection("a:1", bench, net.losses)
         for _ in range(QUEUE_LIMIT + 3):
             link.push(b"12345")
         registry = build_registry([LinkCollector(net)])
@@ -279,7 +279,7 @@
 
 class LoopLagTest(unittest.TestCase):
     def test_the_greatest_lateness_is_kept_for_one_to_two_windows(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         lag = LoopLag(bench, 10 * SECOND)
         lag.note(40 * MILLI)
         lag.note(5 * MILLI)
@@ -309,7 +309,7 @@
 
 class InvariantCountersTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
 
     def test_violations_are_counted_and_each_kind_logged_once_a_second(self) -> None:
         counters = InvariantCounters(self.bench)
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -26,8 +26,8 @@
 from pearhead.router.worker_control import Backend
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerChoice
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND, BootClock
+from pearhead.runtime.fake_runtime import FakeRuntime
 from tests.test_client_limits import PlainReader
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
 
@@ -288,7 +288,7 @@
                 worker = HastyWorker(read_on_after)
                 server = await asyncio.start_server(worker.serve, "127.0.0.1", 0, limit=4096)
                 address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-                pool = UpstreamPool(Bench())
+                pool = UpstreamPool(FakeRuntime())
                 await self.ask(pool, address, "POST", body)
                 await self.ask(pool, address, "GET", b"")
                 pool.forget(address)
@@ -319,7 +319,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = UpstreamPool(Bench())
+        pool = UpstreamPool(FakeRuntime())
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         call = (await pool.call(address, CallLimits(SECOND))).unwrap()
         call.send("GET", "/x", HTTPHeaders({"Host": "h"}), b"")
@@ -420,7 +420,7 @@
     """GONE: a client that closed while a connection to its worker came up is sent on to nobody."""
 
     async def test_nothing_is_sent_for_a_client_that_closed_while_its_worker_was_connected(self) -> None:
-        bench, pen = Bench(), ClosingPen()
+        bench, pen = FakeRuntime(), ClosingPen()
         call = FakeCall(HEAD, (b"ok",))
         pool: Any = ClosingPool(pen, call)
         placer: Any = FakePlacer()
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -23,8 +23,8 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerSelector
 from pearhead.router.worker_version_table import WorkerVersionTable
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
@@ -135,7 +135,7 @@
     def placer(self, *services: str) -> WorkerSelector:
         backends = {f"w-{name}": Backend(f"w-{name}", "10.0.0.1:1", "z", name, 8) for name in services}
         unused: Any = None
-        bench = Bench()
+        bench = FakeRuntime()
         roster = Roster(backends)
         loads = WorkerLoadTracker(bench)
         return WorkerSelector(
@@ -178,7 +178,7 @@
     """BUDGET: what a worker is told to have is never longer than the client's, also when it is sent once more."""
 
     async def ends(self, client_micros: int, turned_away_after_micros: int) -> list[int]:
-        bench, dialect = Bench(), TimingDialect()
+        bench, dialect = FakeRuntime(), TimingDialect()
         turned_away = SlowCall(bench, turned_away_after_micros, (503, "", HTTPHeaders()))
         pool: Any = FakePool([turned_away, FakeCall(HEAD, (b"ok",))])
         placer: Any = FakePlacer()
@@ -226,7 +226,7 @@
 class SlowCall(FakeCall):
     """Answers after a while."""
 
-    def __init__(self, bench: Bench, after_micros: int, head: Any) -> None:
+    def __init__(self, bench: FakeRuntime, after_micros: int, head: Any) -> None:
         super().__init__(head)
         self.bench = bench
         self.after_micros = after_micros
@@ -241,7 +241,7 @@
 
     async def test_no_key_and_no_route_is_refused_by_a_node_that_knows_nothing(self) -> None:
         for key, path in (("k", "/a/x"), ("wrong", "/a/x"), ("", "/a/x"), ("k", "/nowhere")):
-            bench, pen = Bench(), FakePen()
+            bench, pen = FakeRuntime(), FakePen()
             unused: Any = None
             placer: Any = FakePlacer()
             gate = RequestProxy(
--- a/tests/test_paced_cast.py
+++ b/tests/test_paced_cast.py
@@ -6,7 +6,7 @@
 import unittest
 
 from pearhead.router.paced_broadcaster import BATCH_BYTES, BATCH_PAUSE_MICROS, PacedBroadcaster
-from pearhead.rpc.courier import DATAGRAM_ROOM, Courier
+from pearhead.rpc.rpc_endpoint import MAXIMUM_DATAGRAM_BODY_BYTES, RpcEndpoint
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
 from pearhead.testbed.simulator.world import World, run_virtual
 
@@ -37,9 +37,9 @@
 
 class BroadcastTest(unittest.TestCase):
     def test_what_fits_a_datagram_is_cast_and_the_rest_is_told(self) -> None:
-        for byte_count, is_cast in ((DATAGRAM_ROOM, True), (DATAGRAM_ROOM + 1, False)):
+        for byte_count, is_cast in ((MAXIMUM_DATAGRAM_BODY_BYTES, True), (MAXIMUM_DATAGRAM_BODY_BYTES + 1, False)):
             net = RecordingNet()
-            courier = Courier("me", "me:1", net, World)  # type: ignore[arg-type]
+            courier = RpcEndpoint("me", "me:1", net, World)  # type: ignore[arg-type]
             note = note_of(byte_count)
             self.assertEqual(note.ByteSize(), byte_count)
             courier.broadcast(ADDRESSES, "roster_note", note)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -19,8 +19,8 @@
 from pearhead.router.worker_selector import WorkerChoice, WorkerSelector
 from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 ROUTE = Route("r", "h", "/a/", [Split("s", 1)], 5 * SECOND)
 
@@ -32,7 +32,7 @@
 
 class PlacerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.service = Service(
             "s", "model", ["l"], capacity=24, cache_tokens=100_000, token_bytes=160_000, link_mbps=500_000.0
         )
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -11,7 +11,7 @@
 
 from pearhead.config.description import Description, Route, Service, Split, Tenant
 from pearhead.config.view import View
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.cache_salt_builder import CacheSalt, CacheSaltBuilder
 from pearhead.router.opaque_request import OpaqueRequest, PromptPart
 from pearhead.router.prefix_cache_index import PrefixCacheIndex
@@ -22,8 +22,8 @@
 from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.rpc.wire_pb2 import KeptNote, ModelNote
 from pearhead.rpc.wire_pb2 import KeptPart as ToldPart
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.emulator.checkers import find_breaches
 from pearhead.testbed.emulator.engine import (
     EngineModel,
@@ -69,7 +69,7 @@
     """A store and one worker at a time, and a node's placing; the memory is the emulated engine's."""
 
     def __init__(self, salt_type: type[CacheSaltBuilder]) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.listener = FreshListener()
         self.records: list[Record] = []
         self.store: dict[tuple[str, str, str], KeptPart] = {}
@@ -92,7 +92,7 @@
             self.book,
             self.index,
             WorkerLoadTracker(self.bench),
-            salt_type(cast(Listener, self.listener)),
+            salt_type(cast(RevisionListener, self.listener)),
             lambda view, line, version: True,
         )
 
--- a/tests/test_read_book.py
+++ b/tests/test_read_book.py
@@ -13,8 +13,8 @@
 from pearhead.router.worker_control import Backend
 from pearhead.router.worker_selector import WorkerChoice
 from pearhead.rpc.wire_pb2 import ReadNote
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 
 def make_request(*tokens: int) -> OpaqueRequest:
@@ -31,7 +31,7 @@
 
 class ReadBookTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.told: list[ReadNote] = []
         self.kept: list[tuple[str, str, list[str]]] = []
         self.book = PrefillTracker(self.bench, self.expect, self.tell)
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -11,15 +11,15 @@
     PrefillRates,
     prefill_read_micros,
 )
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 TOKENS = 10_000
 
 
 class ReadRatesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.rates = PrefillRates(self.bench)
 
     def read(self, factor: float, waited_micros: int = 0, count: int = 1, tokens: int = TOKENS) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -14,9 +14,9 @@
 from pearhead.router.prefix_cache_poller import PrefixCachePoller, combine_notes, pack_note
 from pearhead.router.relay import RELAY_PERIOD_MICROS, Relay
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart, Record, RelayNote
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 ZONES = ("a", "b", "c")
 
@@ -53,7 +53,7 @@
 
 class Fleet:
     def __init__(self, size: int) -> None:
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.records = [
             Record(identity=f"n{n}", address=f"n{n}", role="router", area=ZONES[n % len(ZONES)]) for n in range(size)
         ]
@@ -69,7 +69,7 @@
         self.relays = {r.identity: self._relay(r) for r in self.records}
 
     def _relay(self, record: Record) -> Relay:
-        courier: Courier = FakeCourier(self, record.identity)  # type: ignore[assignment]
+        courier: RpcEndpoint = FakeCourier(self, record.identity)  # type: ignore[assignment]
         directory: Directory = FakeDirectory(record.identity, self.records)  # type: ignore[assignment]
 
         def take(identity: str, address: str, note: KeptNote) -> None:
--- a/tests/test_relayed_tables.py
+++ b/tests/test_relayed_tables.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.listener import Listener
-from pearhead.rpc.courier import Courier
+from pearhead.invalidation.revision_listener import RevisionListener
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Pair, PurgeNote, Record, RevisionRepair, RevisionRequest, Table, TableRequest
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 OWNER, LINE, PART = "tenant:t", "l", 7
 LIFETIME_MICROS = 30 * SECOND
@@ -23,14 +23,16 @@
     """One node's listener, with a clock set by hand; what it casts is handed on by the test."""
 
     def __init__(self, name: str) -> None:
-        self.bench = Bench()
-        courier = Courier(name, f"{name}:1", self.bench, self.bench)
+        self.bench = FakeRuntime()
+        courier = RpcEndpoint(name, f"{name}:1", self.bench, self.bench)
         directory = Directory(Record(identity=name), [CORE], courier, self.bench, random.Random(1))
         directory.records["core"] = (
             Record(identity="core", address=CORE, role="control_plane", channels=b"\xff" * 32),
             2**60,
         )
-        self.listener = Listener(courier, directory, self.bench, random.Random(1), Crew(name), LIFETIME_MICROS)
+        self.listener = RevisionListener(
+            courier, directory, self.bench, random.Random(1), BackgroundTaskGroup(name), LIFETIME_MICROS
+        )
         self.revision()
 
     def revision(self) -> int | None:
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -29,8 +29,8 @@
 from pearhead.router.worker_control import Backend, LoadOrder, OrderOutcome
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerChoice
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from front import PlatformDialect  # noqa: E402
@@ -195,7 +195,7 @@
 
     def __init__(self, *workers: Worker, connection_limit: int = 0, nodes: int = 1, capacity: int = 4) -> None:
         self.workers = list(workers)
-        self.bench = Bench()
+        self.bench = FakeRuntime()
         self.pool = UpstreamPool(self.bench)
         self.loads = WorkerLoadTracker(self.bench)
         self.connection_limit = connection_limit
