--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -8,30 +8,30 @@
 from pearhead.config.description import CapabilityEntry, Description, Limits, Line, Service, Tenant
 from pearhead.config.view import LoadFact, View, WeightsFact, WorkerFact
 from pearhead.discovery.directory import Directory
-from pearhead.invalidation.key import chain_keys
-from pearhead.invalidation.listener import Listener
+from pearhead.invalidation.cache_keys import chain_keys
+from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.copy_index import CopyIndex
 from pearhead.router.errors import ErrorKind
 from pearhead.router.job import Job, JobRequest, Placement, PrefixPart
 from pearhead.router.job_scheduler import REPORTED_UNHEALTHY_MICROS, JobScheduler
 from pearhead.router.view_replica import ViewReplica
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Record
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 
 class NominatorTest(unittest.TestCase):
     """Three workers on weights of revision 5; parts 1 and 2 of a kept tenant; a store."""
 
     def setUp(self) -> None:
-        self.bench = Bench()
-        courier = Courier("me", "a:1", self.bench, self.bench)
+        self.bench = FakeRuntime()
+        courier = RpcEndpoint("me", "a:1", self.bench, self.bench)
         directory = Directory(Record(identity="me"), ["s:1"], courier, self.bench, random.Random(1))
-        crew = Crew("t")
+        crew = BackgroundTaskGroup("t")
         keeper = ViewReplica(courier, directory, self.bench, random.Random(1), crew, SECOND)
-        self.listener = Listener(courier, directory, self.bench, random.Random(1), crew, 30 * SECOND)
+        self.listener = RevisionListener(courier, directory, self.bench, random.Random(1), crew, 30 * SECOND)
         self.index = CopyIndex()
         self.nominator = JobScheduler(keeper, self.listener, self.index, self.bench, 8 * SECOND)
         names = ("w1", "w2", "w3")
--- a/tests/test_runtime_socketnet.py
+++ b/tests/test_runtime_socketnet.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, rest
-from pearhead.runtime.socketnet import FRESH_MICROS, LINK_OPTIONS, QUEUE_SIZE, SocketNet, split_address
+from pearhead.runtime.socketnet import FRESH_MICROS, MAXIMUM_QUEUE_BYTES, SOCKET_OPTIONS, SocketNet, split_address
 
 
 class OutLinkTest(unittest.IsolatedAsyncioTestCase):
@@ -71,7 +71,7 @@
             return len(connections) > 1
 
         self.assertTrue(await self.until(is_given_up))
-        self.assertLessEqual(sender.out_links[self.address].waiting_size, QUEUE_SIZE)
+        self.assertLessEqual(sender.outgoing_connections[self.address].queued_byte_count, MAXIMUM_QUEUE_BYTES)
         for connection in connections:
             connection.transport.abort()
 
@@ -80,8 +80,8 @@
         _, taken = await self.open_net(self.address)
         sender.send(self.address, b"a")
         self.assertTrue(await self.until(lambda: bool(taken)))
-        stream_writer = sender.out_links[self.address].stream_writer
+        stream_writer = sender.outgoing_connections[self.address].stream_writer
         assert stream_writer is not None
         own_socket = stream_writer.get_extra_info("socket")
-        for level, name, value in LINK_OPTIONS:
+        for level, name, value in SOCKET_OPTIONS:
             self.assertEqual(own_socket.getsockopt(level, name), value)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pearhead.rpc.wire_pb2 import Hello, Record
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.capacity.axes import Axis
 from pearhead.testbed.capacity.fit import Fitter, LinearFit, rounding_tolerance
 from pearhead.testbed.capacity.hollow_nodes import SharedDirectory
@@ -98,7 +98,7 @@
 class HollowTest(unittest.TestCase):
     def test_hollow_nodes_answer_hellos_as_nodes_do(self) -> None:
         records = [Record(identity=f"n{i}", address=f"a:{i}", role="router") for i in range(3)]
-        directory = SharedDirectory(records, ["seed:1"], Bench(), random.Random(1))
+        directory = SharedDirectory(records, ["seed:1"], FakeRuntime(), random.Random(1))
         directory.refresh()
         core = Record(identity="core", address="c:1", role="control_plane")
         self.assertIsNone(directory.make_result(Hello(self=core)))
@@ -113,7 +113,7 @@
         self.assertEqual([r.identity for r in directory.members("control_plane")], ["core"])
 
     def test_hollow_workers_tell_each_kept_block_once(self) -> None:
-        bench = Bench()
+        bench = FakeRuntime()
         worker = HollowWorker(bench, random.Random(1), HollowWorkersOrder(["a:1"], 20.0, 2, 1, 10))
         life, sequence = worker.load()["life"], worker.load()["sequence"]
         told: list[str] = []
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -25,8 +25,8 @@
 from pearhead.router.request_proxy import RequestProxy, hash_key
 from pearhead.router.upstream_pool import UpstreamPool
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock
+from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.emulator.wire import RawConnection, WireError
 from tests.test_right_answer_once import InTurn, reset
 
@@ -165,7 +165,7 @@
         self.workers = [ScriptedWorker(list(script)) for script in scripts]
         self.current = ChangingView(route)
         self.placer: Any = InTurn(self.workers, 4)  # type: ignore[arg-type]
-        self.bench = clock or Bench()
+        self.bench = clock or FakeRuntime()
         self.violations: list[str] = []
 
     async def __aenter__(self) -> StreamSite:
--- a/tests/test_term_links.py
+++ b/tests/test_term_links.py
@@ -14,11 +14,11 @@
 from pearhead.config.view import View, hash_sections
 from pearhead.discovery.directory import Directory
 from pearhead.router.view_replica import NO_DELTA, ViewReplica
-from pearhead.rpc.courier import Courier
-from pearhead.rpc.delta_packing import DeltaPacker
+from pearhead.rpc.delta_compression import DeltaCompressor
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Member, Members, Record, Section, TermAsk, TermResult, ViewDelta
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND, Timer, rest
-from pearhead.runtime.crew import Crew
 from pearhead.testbed.simulator.loop import VirtualLoop
 
 CORES = ("c1:1", "c2:1", "c3:1")
@@ -36,7 +36,7 @@
         return self.loop.call_later(max(delay_micros, 0) / SECOND, callback)
 
 
-class PlainPacker(DeltaPacker):
+class PlainPacker(DeltaCompressor):
     """As it was: the delta as it is."""
 
     def put(self, result: TermResult, delta: ViewDelta | None) -> None:
@@ -47,7 +47,7 @@
 class SlowLink:
     """The cores' answers come one after another over the node's own link; a silent core never answers a fetch."""
 
-    def __init__(self, clock: LoopClock, packer: DeltaPacker, silent: frozenset[str]) -> None:
+    def __init__(self, clock: LoopClock, packer: DeltaCompressor, silent: frozenset[str]) -> None:
         self.clock = clock
         self.packer = packer
         self.silent = silent
@@ -103,23 +103,23 @@
 
 
 class TermLinksTest(unittest.TestCase):
-    def play(self, packer: DeltaPacker, silent: frozenset[str] = frozenset()) -> tuple[int, SlowLink]:
+    def play(self, packer: DeltaCompressor, silent: frozenset[str] = frozenset()) -> tuple[int, SlowLink]:
         """When the change was in force, in whole microseconds, at most 12 s."""
         loop = VirtualLoop()
         clock = LoopClock(loop)
         link = SlowLink(clock, packer, silent)
 
         async def run() -> int:
-            crew = Crew("test")
+            crew = BackgroundTaskGroup("test")
             keeper = ViewReplica(
-                cast(Courier, link), cast(Directory, ThreeCores()), clock, random.Random(3), crew, 2 * SECOND
+                cast(RpcEndpoint, link), cast(Directory, ThreeCores()), clock, random.Random(3), crew, 2 * SECOND
             )
             crew.start(keeper.run())
             while keeper.view.index != 9 and clock.now() < 12 * SECOND:
                 await rest(clock, 10_000)
             at_micros = clock.now()
             crew.stop()
-            await asyncio.gather(*crew.own_tasks, return_exceptions=True)
+            await asyncio.gather(*crew.owned_tasks, return_exceptions=True)
             return at_micros
 
         try:
@@ -128,7 +128,7 @@
             loop.close()
 
     def test_a_large_change_is_in_force_in_time_over_a_busy_link(self) -> None:
-        at_micros, link = self.play(DeltaPacker())
+        at_micros, link = self.play(DeltaCompressor())
         self.assertLess(at_micros, 1_500_000)
         self.assertLess(link.sent, 100_000)
 
@@ -139,7 +139,7 @@
 
     def test_another_core_is_asked_when_one_is_silent(self) -> None:
         for silent in CORES:
-            at_micros, _ = self.play(DeltaPacker(), frozenset({silent}))
+            at_micros, _ = self.play(DeltaCompressor(), frozenset({silent}))
             self.assertLess(at_micros, 1_800_000)
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,8 +10,8 @@
 from tornado.httputil import HTTPHeaders
 
 from pearhead.router.upstream_pool import CallLimits, UpstreamPool
-from pearhead.runtime.bench import Bench
 from pearhead.runtime.clock import SECOND
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -57,7 +57,7 @@
     async def run_script(self, *answers: bytes, asks: int) -> tuple[list[tuple[int | None, bytes, bool]], Script]:
         script = Script(*answers)
         server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
-        pool = UpstreamPool(Bench())
+        pool = UpstreamPool(FakeRuntime())
         port = server.sockets[0].getsockname()[1]
         found = [await self.ask(pool, f"127.0.0.1:{port}") for _ in range(asks)]
         for address in list(pool.idle):
@@ -98,4 +98,4 @@
         listed = closing.replace(b"close", b"Keep-Alive, Close")
         found, script = await self.run_script(closing, listed, short, WHOLE, asks=4)
         self.assertEqual((found, script.connections), ([(200, b"ok", True)] * 4, 4))
-        self.assertTrue((await UpstreamPool(Bench()).call("127.0.0.1:1", CallLimits(SECOND))).is_err())
+        self.assertTrue((await UpstreamPool(FakeRuntime()).call("127.0.0.1:1", CallLimits(SECOND))).is_err())
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from pearhead.consensus.wal import KEPT_DIGESTS, MAGIC, Wal, WalCorruptError
+from pearhead.consensus.wal import KEPT_SNAPSHOTS, MAGIC, Wal, WalCorruptError
 from pearhead.rpc.wire_pb2 import DigestFile, Entry, LogRecord, Mark
 
 
@@ -92,7 +92,7 @@
             for index in range(1, 40):
                 await wal.append([LogRecord(mark=Mark(epoch=index, voted_for="x")), self.entry(index)])
                 if index % 10 == 0:
-                    await wal.keep_digest(DigestFile(index=index - 2, epoch=1, state=b"s"))
+                    await wal.save_snapshot(DigestFile(index=index - 2, epoch=1, state=b"s"))
             await wal.append([LogRecord(cut_from=36), self.entry(36, 2)])
 
         asyncio.run(write())
@@ -102,4 +102,4 @@
         self.assertEqual([e.index for e in recovered.entries], list(range(29, 37)))
         self.assertEqual(recovered.entries[-1].epoch, 2)
         self.assertEqual(sum(n.startswith("log-") for n in self.disk.names()), 2)
-        self.assertEqual(sum(n.startswith("digest-") for n in self.disk.names()), KEPT_DIGESTS)
+        self.assertEqual(sum(n.startswith("digest-") for n in self.disk.names()), KEPT_SNAPSHOTS)
--- a/tests/test_wal_power_loss.py
+++ b/tests/test_wal_power_loss.py
@@ -82,7 +82,7 @@
 
 def keep(index: int, term: int) -> Step:
     async def run(wal: Wal, files: PowerlessFiles) -> None:
-        await wal.keep_digest(snapshot(index, term))
+        await wal.save_snapshot(snapshot(index, term))
 
     def states(before: LogState) -> list[LogState]:
         kept = tuple(e for e in before.entries if e[0] > index)
@@ -93,7 +93,7 @@
 
 def take_over(index: int, term: int, *kept: LogRecord) -> Step:
     async def run(wal: Wal, files: PowerlessFiles) -> None:
-        await wal.reset_to(snapshot(index, term), [record.entry for record in kept])
+        await wal.reset_to_snapshot(snapshot(index, term), [record.entry for record in kept])
 
     def states(before: LogState) -> list[LogState]:
         entries = tuple((record.entry.index, record.entry.epoch) for record in kept)
--- a/tests/test_weights_clock.py
+++ b/tests/test_weights_clock.py
@@ -10,11 +10,11 @@
 from pearhead.discovery.directory import Directory
 from pearhead.router.view_replica import ViewReplica
 from pearhead.router.weights_grace_period import WeightsGracePeriod
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import Record, Section, TermResult, ViewDelta
-from pearhead.runtime.bench import Bench
+from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND
-from pearhead.runtime.crew import Crew
+from pearhead.runtime.fake_runtime import FakeRuntime
 
 LINE = "model"
 OLD_MICROS = 6 * SECOND
@@ -31,10 +31,10 @@
 
 class WeightsClockTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = Bench()
-        courier = Courier("me", "a:1", self.bench, self.bench)
+        self.bench = FakeRuntime()
+        courier = RpcEndpoint("me", "a:1", self.bench, self.bench)
         directory = Directory(Record(identity="me"), ["s:1"], courier, self.bench, random.Random(1))
-        self.keeper = ViewReplica(courier, directory, self.bench, random.Random(1), Crew("test"), SECOND)
+        self.keeper = ViewReplica(courier, directory, self.bench, random.Random(1), BackgroundTaskGroup("test"), SECOND)
         self.clock = WeightsGracePeriod(self.bench, self.keeper, OLD_MICROS)
 
     def take(self, index: int, version: int) -> None:
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -29,7 +29,7 @@
     WorkerReport,
 )
 from pearhead.router.worker_version_table import WorkerVersionTable
-from pearhead.rpc.courier import Courier
+from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
     Command,
@@ -347,7 +347,7 @@
         machine, address = self.machine, f"{name}:1"
         chance = random.Random(f"{fleet.world.seed} {name} {machine.life}")
         self.identity = chance.randbytes(12).hex()
-        self.courier = Courier(self.identity, address, SimNet(machine, address), machine)
+        self.courier = RpcEndpoint(self.identity, address, SimNet(machine, address), machine)
         record = Record(identity=self.identity, address=address, role="router")
         self.directory = Directory(record, [CORE], self.courier, machine, chance)
         self.keeper = NodeKeeper(fleet.core, machine)
@@ -414,7 +414,7 @@
             self.platform.add(f"w{number}")
         machine = world.machine("core")
         machine.boot()
-        courier = Courier("core", CORE, SimNet(machine, CORE), machine)
+        courier = RpcEndpoint("core", CORE, SimNet(machine, CORE), machine)
         seed = Directory(
             Record(identity="core", address=CORE, role="control_plane"), [], courier, machine, random.Random(1)
         )
