--- a/review/thaw.py
+++ b/review/thaw.py
@@ -31,7 +31,7 @@
     sent_after_ack_seconds: float
 
 
-async def play_thaw(site: ReviewSite, record: Record, key: str, other_key: str, upsert: dict[str, Any]) -> Thawed:
+async def play_thaw(site: ReviewSite, record: Record, key: str, other_key: str, upserted: dict[str, Any]) -> Thawed:
     """Sends a request with `key` to a node that was frozen while `upsert` was acknowledged, after `ApplyMs`.
 
     Before, the tenant of `other_key` and that of `key` are served once each, on prompts that begin with the same part.
@@ -60,7 +60,7 @@
     if has_trouble():
         record.note(f"freezes {front.name}")
         site.send_signal(front.name, signal.SIGSTOP)
-    patch = {"Revision": config["Revision"] + 1, "Upsert": upsert}
+    patch = {"Revision": config["Revision"] + 1, "Upsert": upserted}
     status = await asyncio.to_thread(site.patch, patch)
     acked_at = time.monotonic()
     record.note(f"PATCH, number {patch['Revision']}: {status}")
--- a/src/pearhead/config/checked.py
+++ b/src/pearhead/config/dataclass_parser.py
@@ -11,20 +11,20 @@
 from result import Err, Ok, Result
 
 AnyT = TypeVar("AnyT")
-STRICT = dacite.Config(strict=True)
+STRICT_DACITE_CONFIG = dacite.Config(strict=True)
 
 
-def read_checked(shape: type[AnyT], data: object) -> Result[AnyT, list[str]]:
+def parse_dataclass(dataclass_type: type[AnyT], data: object) -> Result[AnyT, list[str]]:
     """Builds a dataclass `shape` from `data`, or lists every fault, each with its path."""
     faults: list[str] = []
-    _find_faults(shape, data, "", faults)
+    _find_field_errors(dataclass_type, data, "", faults)
     if faults:
         return Err(faults)
-    return Ok(_build(shape, data))
+    return Ok(_build(dataclass_type, data))
 
 
 @dataclasses.dataclass(frozen=True)
-class _FieldPlan:
+class _FieldSpec:
     """What reading needs to know of a field, found once a shape: it is on the way of every job."""
 
     name: str
@@ -35,15 +35,15 @@
 
 
 @functools.lru_cache(maxsize=256)
-def _plan_of(shape: Any) -> tuple[dict[str, _FieldPlan], frozenset[str]]:
-    hints = typing.get_type_hints(shape)
+def _field_specs(dataclass_type: Any) -> tuple[dict[str, _FieldSpec], frozenset[str]]:
+    hints = typing.get_type_hints(dataclass_type)
     plans = {}
-    for field in dataclasses.fields(shape):
+    for field in dataclasses.fields(dataclass_type):
         hint = hints[field.name]
         inner_hints = typing.get_args(hint)
         is_items = typing.get_origin(hint) is list and dataclasses.is_dataclass(inner_hints[0])
         has_default = field.default is not dataclasses.MISSING or field.default_factory is not dataclasses.MISSING
-        plans[field.name] = _FieldPlan(
+        plans[field.name] = _FieldSpec(
             field.name,
             hint,
             has_default,
@@ -53,9 +53,9 @@
     return plans, frozenset(plans)
 
 
-def _build(shape: Any, data: Any) -> Any:
+def _build(dataclass_type: Any, data: Any) -> Any:
     """From data in which no fault was found."""
-    plans, _ = _plan_of(shape)
+    plans, _ = _field_specs(dataclass_type)
     values = {}
     for name, value in data.items():
         plan = plans[name]
@@ -64,15 +64,15 @@
         elif plan.item_shape is not None:
             value = [_build(plan.item_shape, item) for item in value]
         values[name] = value
-    return shape(**values)
+    return dataclass_type(**values)
 
 
-def _find_faults(shape: Any, data: object, path: str, faults: list[str]) -> None:
+def _find_field_errors(dataclass_type: Any, data: object, path: str, faults: list[str]) -> None:
     if not isinstance(data, dict):
         faults.append(f"{path or 'file'}: must be an object")
         return
     prefix = f"{path}." if path else ""
-    plans, known_names = _plan_of(shape)
+    plans, known_names = _field_specs(dataclass_type)
     if not data.keys() <= known_names:
         faults.extend(f"{prefix}{name}: unknown field" for name in sorted(map(str, set(data) - known_names)))
     for name, plan in plans.items():
@@ -85,19 +85,19 @@
             continue
         field_path = prefix + name
         if plan.inner_shape is not None:
-            _find_faults(plan.inner_shape, value, field_path, faults)
+            _find_field_errors(plan.inner_shape, value, field_path, faults)
         elif plan.item_shape is not None:
             if not isinstance(value, list):
                 faults.append(f"{field_path}: must be a list")
                 continue
             for position, item in enumerate(value):
-                _find_faults(plan.item_shape, item, f"{field_path}[{position}]", faults)
+                _find_field_errors(plan.item_shape, item, f"{field_path}[{position}]", faults)
         else:
             _check_leaf(plan.hint, value, field_path, faults)
 
 
 @functools.lru_cache(maxsize=256)
-def _leaf_shape(hint: Any) -> Any:
+def _leaf_dataclass(hint: Any) -> Any:
     """Making a dataclass costs a hundred times as much as reading into it."""
     return dataclasses.make_dataclass("Leaf", [("leaf", hint)])
 
@@ -107,7 +107,7 @@
         faults.append(f"{path}: must be a number")
         return
     try:
-        dacite.from_dict(_leaf_shape(hint), {"leaf": value}, STRICT)
+        dacite.from_dict(_leaf_dataclass(hint), {"leaf": value}, STRICT_DACITE_CONFIG)
     except dacite.DaciteError:
         wanted = getattr(hint, "__name__", str(hint))
         if typing.get_args(hint):
--- a/src/pearhead/config/description.py
+++ b/src/pearhead/config/description.py
@@ -9,17 +9,17 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.checked import read_checked
+from pearhead.config.dataclass_parser import parse_dataclass
 from pearhead.runtime.clock import SECOND
 
-MAXIMUM_DESCRIPTION = 8 * 1024 * 1024
-MAXIMUM_CHANGE = 15 * 1024 * 1024
-EVERY_TENANT = "*"
+MAX_DESCRIPTION_BYTES = 8 * 1024 * 1024
+MAX_CHANGE_BYTES = 15 * 1024 * 1024
+ANY_TENANT = "*"
 CHUNK_SIZE = 200
 
 
 @dataclass(frozen=True)
-class Line:
+class ModelLine:
     """A model line, and the weights it is served with at first."""
 
     name: str
@@ -124,7 +124,7 @@
 class Description:
     """Everything that operators configure of a deployment."""
 
-    lines: list[Line] = field(default_factory=list)
+    lines: list[ModelLine] = field(default_factory=list)
     services: list[Service] = field(default_factory=list)
     entries: list[CapabilityEntry] = field(default_factory=list)
     tenants: list[Tenant] = field(default_factory=list)
@@ -138,7 +138,7 @@
     entries: list[CapabilityEntry]
 
 
-def host_of(host: str) -> str:
+def normalize_host(host: str) -> str:
     """A host as it is compared: in lower case and without its port."""
     name, colon, port = host.strip().lower().rpartition(":")
     return name if colon and (port.isdigit() or not port) and not name.endswith(":") else host.strip().lower()
@@ -154,8 +154,8 @@
     parsed = _parse(description_bytes)
     if isinstance(parsed, Err):
         return parsed
-    checked = read_checked(Description, parsed.ok_value)
-    return _with_faults(checked)
+    checked = parse_dataclass(Description, parsed.ok_value)
+    return _with_consistency_errors(checked)
 
 
 async def read_description_in_chunks(
@@ -167,26 +167,26 @@
         return parsed
     data = parsed.ok_value
     if not isinstance(data, dict) or not isinstance(data.get("entries", []), list):
-        return _with_faults(read_checked(Description, data))
+        return _with_consistency_errors(parse_dataclass(Description, data))
     all_entries = data.get("entries", [])
     faults: list[str] = []
     for start in range(0, len(all_entries), CHUNK_SIZE):
-        chunk = read_checked(_EntryChunk, {"entries": all_entries[start : start + CHUNK_SIZE]})
+        chunk = parse_dataclass(_EntryChunk, {"entries": all_entries[start : start + CHUNK_SIZE]})
         if isinstance(chunk, Err):
-            faults.extend(_shift(fault, start) for fault in chunk.err_value)
+            faults.extend(_shift_entry_index(fault, start) for fault in chunk.err_value)
         await pause()
-    rest = read_checked(Description, {**data, "entries": []})
+    rest = parse_dataclass(Description, {**data, "entries": []})
     faults.extend(rest.err_value if isinstance(rest, Err) else [])
-    return Err(faults) if faults else _with_faults(Ok(build_checked(data)))
+    return Err(faults) if faults else _with_consistency_errors(Ok(description_from_checked_data(data)))
 
 
-def _shift(fault: str, start: int) -> str:
+def _shift_entry_index(fault: str, start: int) -> str:
     head, bracket, tail = fault.removeprefix("entries[").partition("]")
     is_item = bracket and head.isdigit()
     return f"entries[{int(head) + start}]{tail}" if is_item else fault
 
 
-def _with_faults(checked: Result[Description, list[str]]) -> Result[Description, list[str]]:
+def _with_consistency_errors(checked: Result[Description, list[str]]) -> Result[Description, list[str]]:
     if isinstance(checked, Err):
         return checked
     faults = find_faults(checked.ok_value)
@@ -194,7 +194,7 @@
 
 
 def _parse(description_bytes: bytes) -> Result[Any, list[str]]:
-    if len(description_bytes) > MAXIMUM_DESCRIPTION:
+    if len(description_bytes) > MAX_DESCRIPTION_BYTES:
         return Err([f"file: over {MAXIMUM_DESCRIPTION} bytes"])
     try:
         data: Any = json.loads(description_bytes)
@@ -205,10 +205,10 @@
     return Ok(data)
 
 
-def build_checked(data: dict[str, Any]) -> Description:
+def description_from_checked_data(data: dict[str, Any]) -> Description:
     """From data that was checked before it went into the log; thousands of entries cost little."""
     return Description(
-        [Line(**item) for item in data.get("lines", [])],
+        [ModelLine(**item) for item in data.get("lines", [])],
         [Service(**item) for item in data.get("services", [])],
         [CapabilityEntry(**item) for item in data.get("entries", [])],
         [Tenant(**item) for item in data.get("tenants", [])],
@@ -218,7 +218,7 @@
     )
 
 
-class RouteCheck:
+class RouteValidator:
     """What is wrong with routes, one after another (§5.4): each is looked at beside those before it."""
 
     def __init__(self, roles: Mapping[str, str]) -> None:
@@ -236,7 +236,7 @@
         self.names.add(route.name)
         if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
             faults.append(f"{path}.prefix: must begin and end with '/', not {route.prefix!r}")
-        other = self.prefixes.setdefault((host_of(route.host), route.prefix), route.name)
+        other = self.prefixes.setdefault((normalize_host(route.host), route.prefix), route.name)
         if other != route.name:
             faults.append(f"{path}.prefix: {route.host}{route.prefix} is matched by {other!r} too")
         if route.deadline_micros <= 0:
@@ -253,14 +253,14 @@
         return faults
 
 
-def find_faults(description: Description, any_names: bool = False) -> list[str]:
+def find_faults(description: Description, allow_any_name: bool = False) -> list[str]:
     """Every fault between items. `any_names`: operators of another manner name items as they like (§5.4)."""
     faults: list[str] = []
-    line_names = _check_names("lines", (x.name for x in description.lines), faults, any_names)
-    service_names = _check_names("services", (x.name for x in description.services), faults, any_names)
-    tenant_names = _check_names("tenants", (x.name for x in description.tenants), faults, any_names)
-    _check_names("entries", (x.name for x in description.entries), faults, any_names)
-    route_check = RouteCheck({s.name: s.role for s in description.services})
+    line_names = _check_names("lines", (x.name for x in description.lines), faults, allow_any_name)
+    service_names = _check_names("services", (x.name for x in description.services), faults, allow_any_name)
+    tenant_names = _check_names("tenants", (x.name for x in description.tenants), faults, allow_any_name)
+    _check_names("entries", (x.name for x in description.entries), faults, allow_any_name)
+    route_check = RouteValidator({s.name: s.role for s in description.services})
     for position, route in enumerate(description.routes):
         faults.extend(route_check.find(f"routes[{position}]", route))
     for position, line in enumerate(description.lines):
@@ -296,7 +296,7 @@
         if not entry.kinds:
             faults.append(f"{path}.kinds: must not be empty")
         for tenant_name in entry.tenants:
-            if tenant_name != EVERY_TENANT and tenant_name not in tenant_names:
+            if tenant_name != ANY_TENANT and tenant_name not in tenant_names:
                 faults.append(f"{path}.tenants: no tenant {tenant_name!r}")
         for number_name in ("deadlineMicros", "concurrency", "queueLimit"):
             if getattr(entry, number_name) <= 0:
@@ -313,12 +313,12 @@
     return faults
 
 
-def _check_names(path: str, names: Iterable[str], faults: list[str], any_names: bool) -> set[str]:
+def _check_names(path: str, names: Iterable[str], faults: list[str], allow_any_name: bool) -> set[str]:
     seen_names: set[str] = set()
     for position, name in enumerate(names):
-        if any_names and name:
+        if allow_any_name and name:
             pass
-        elif not name or len(name) > 200 or name == EVERY_TENANT or "/" in name:
+        elif not name or len(name) > 200 or name == ANY_TENANT or "/" in name:
             faults.append(f"{path}[{position}].name: must be 1 to 200 signs, no '/', and not '*'")
         if name in seen_names:
             faults.append(f"{path}[{position}].name: {name!r} is named twice")
--- a/src/pearhead/config/startup.py
+++ b/src/pearhead/config/startup.py
@@ -13,12 +13,12 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.checked import read_checked
+from pearhead.config.dataclass_parser import parse_dataclass
 from pearhead.runtime.clock import SECOND
 
 
 @dataclass(frozen=True)
-class Startup:
+class StartupConfig:
     """What every daemon needs; `control_plane` and `router` share one shape so that one page explains it."""
 
     address: str
@@ -45,10 +45,10 @@
     toleratedLosses: int = 0
 
 
-STARTUP_HINTS = get_type_hints(Startup)
+STARTUP_TYPE_HINTS = get_type_hints(StartupConfig)
 
 
-def check_startup(startup: Startup, needs_folder: bool) -> list[str]:
+def check_startup(startup: StartupConfig, requires_data_folder: bool) -> list[str]:
     """Lists every fault of values that have the right types."""
     faults = []
     address_fields = [("address", startup.address), ("httpAddress", startup.httpAddress)]
@@ -62,7 +62,7 @@
         faults.append("seeds: at least one address is needed, three are usual")
     if not startup.area:
         faults.append("area: must not be empty")
-    if needs_folder and not startup.dataFolder:
+    if requires_data_folder and not startup.dataFolder:
         faults.append("dataFolder: a core process needs one")
     if startup.eventSink and not startup.eventSink.startswith("http://"):
         faults.append("eventSink: must be an http:// address")
@@ -75,7 +75,7 @@
     return faults
 
 
-def read_startup(file_path: str, flags: dict[str, Any], needs_folder: bool) -> Result[Startup, list[str]]:
+def read_startup(file_path: str, flags: dict[str, Any], requires_data_folder: bool) -> Result[StartupConfig, list[str]]:
     """Reads a TOML or JSON file, if any, overrides it by `flags`, and checks the result."""
     data: dict[str, Any] = {}
     if file_path:
@@ -88,7 +88,7 @@
             return Err([f"{file_path}: must hold one object"])
     for name, value in flags.items():
         is_list = name in ("seeds", "founders") and isinstance(value, str)
-        is_text = STARTUP_HINTS.get(name) is str and isinstance(value, (int, float))
+        is_text = STARTUP_TYPE_HINTS.get(name) is str and isinstance(value, (int, float))
         data[name] = (
             value.split(",")
             if is_list
@@ -98,14 +98,14 @@
             if is_text
             else value
         )
-    checked = read_checked(Startup, data)
+    checked = parse_dataclass(StartupConfig, data)
     if isinstance(checked, Err):
         return checked
-    faults = check_startup(checked.ok_value, needs_folder)
+    faults = check_startup(checked.ok_value, requires_data_folder)
     return Err(faults) if faults else Ok(checked.ok_value)
 
 
-def is_operator(startup: Startup, authorization: str) -> bool:
+def has_operator_key(startup: StartupConfig, authorization: str) -> bool:
     """Whether a request's Authorization header carries the operator key, where one is set."""
     given_key = authorization.removeprefix("Bearer ")
     return not startup.operatorKey or hmac.compare_digest(startup.operatorKey.encode(), given_key.encode())
@@ -114,7 +114,7 @@
 def startup_help(program_name: str) -> str:
     """What `run --help` prints: every field, its kind and its default."""
     lines = [f"{program_name} run [--startup FILE] [--FIELD=VALUE ...]", "", "Startup fields:"]
-    for startup_field in dataclasses.fields(Startup):
+    for startup_field in dataclasses.fields(StartupConfig):
         is_needed = startup_field.default is dataclasses.MISSING and (
             startup_field.default_factory is dataclasses.MISSING
         )
@@ -125,7 +125,7 @@
     return "\n".join(lines)
 
 
-def exit_with_faults(program_name: str, faults: list[str]) -> None:
+def exit_with_errors(program_name: str, faults: list[str]) -> None:
     """One clear line a fault, a non-zero exit, no traceback."""
     for fault in faults:
         print(f"{program_name}: {fault}", file=sys.stderr)
--- a/src/pearhead/config/view.py
+++ b/src/pearhead/config/view.py
@@ -10,14 +10,14 @@
 from typing import Any
 
 from pearhead.config.description import (
-    EVERY_TENANT,
+    ANY_TENANT,
     CapabilityEntry,
     Description,
     Route,
     Service,
     Tenant,
-    build_checked,
-    host_of,
+    description_from_checked_data,
+    normalize_host,
 )
 from pearhead.rpc.wire_pb2 import Section, ViewDelta
 
@@ -28,20 +28,20 @@
 EMPTY_BODY = b"{}"
 
 
-def bucket_of(entry_name: str) -> int:
+def bucket_index(entry_name: str) -> int:
     """Entries and routes lie in buckets by their names, so that a small change sends a small part (§5.2)."""
     return hashlib.blake2b(entry_name.encode(), digest_size=2).digest()[0] % BUCKET_COUNT
 
 
-BodyDigests = dict[str, tuple[bytes, bytes]]
+SectionDigests = dict[str, tuple[bytes, bytes]]
 
 
-def hash_sections(sections: Mapping[str, tuple[int, bytes]], held: BodyDigests | None = None) -> str:
+def hash_sections(sections: Mapping[str, tuple[int, bytes]], held: SectionDigests | None = None) -> str:
     """One hash over all sections.
 
     `held` remembers each section's body and its digest, so that only what changed is read again.
     """
-    digests: BodyDigests = {} if held is None else held
+    digests: SectionDigests = {} if held is None else held
     view_hash = hashlib.blake2b(digest_size=16)
     for name, (index, body) in sorted(sections.items()):
         held_body, digest = digests.get(name, (None, b""))
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class WorkerFact:
+class WorkerRecord:
     """A worker as the platform lists it. `leaving`: it gets no new requests."""
 
     name: str
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class LoadFact:
+class LoadRecord:
     """Which weights a worker has loaded, as its holder confirmed under `fence`."""
 
     line: str
@@ -76,7 +76,7 @@
     weights: str = ""
 
     @classmethod
-    def read(cls, fact: dict[str, Any]) -> LoadFact:
+    def read(cls, fact: dict[str, Any]) -> LoadRecord:
         """From the replicated state, whose keys are older than these names."""
         known = dict(fact)
         return cls(weights_revision=known.pop("weightsRevision"), **known)
@@ -100,7 +100,7 @@
     )
 
     @cached_property
-    def _digests(self) -> BodyDigests:
+    def _digests(self) -> SectionDigests:
         return {}
 
     @cached_property
@@ -123,7 +123,7 @@
         entries = [
             item for name in ENTRY_SECTIONS if self.sections[name][1] != EMPTY_BODY for item in self._section(name)
         ]
-        return replace(build_checked({**head, "entries": entries}), routes=self._routes)
+        return replace(description_from_checked_data({**head, "entries": entries}), routes=self._routes)
 
     @cached_property
     def _read_routes(self) -> dict[str, tuple[bytes, list[Route]]]:
@@ -137,7 +137,7 @@
             _, body = self.sections.get(name, (0, EMPTY_BODY))
             held_body, routes = self._read_routes.get(name, (EMPTY_BODY, []))
             if held_body is not body and body != EMPTY_BODY:
-                routes = build_checked({"routes": json.loads(body)}).routes
+                routes = description_from_checked_data({"routes": json.loads(body)}).routes
                 self._read_routes[name] = (body, routes)
             found.extend(routes if body != EMPTY_BODY else [])
         return found
@@ -156,7 +156,7 @@
     def _routes_by_host(self) -> dict[str, dict[str, Route]]:
         found: dict[str, dict[str, Route]] = {}
         for route in self.description.routes:
-            found.setdefault(host_of(route.host), {})[route.prefix] = route
+            found.setdefault(normalize_host(route.host), {})[route.prefix] = route
         return found
 
     def route_of(self, host: str, path: str) -> Route | None:
@@ -164,7 +164,7 @@
 
         The host's case and port don't count. The cost grows with the slashes of the path, not with the routes (§5.4).
         """
-        by_prefix = self._routes_by_host.get(host_of(host))
+        by_prefix = self._routes_by_host.get(normalize_host(host))
         if by_prefix is None:
             return None
         end = path.rfind("/")
@@ -176,14 +176,14 @@
         return None
 
     @cached_property
-    def workers(self) -> dict[str, WorkerFact]:
+    def workers(self) -> dict[str, WorkerRecord]:
         """The workers by name."""
-        return {n: WorkerFact(n, **w) for n, w in self._section("workers").items()}
+        return {n: WorkerRecord(n, **w) for n, w in self._section("workers").items()}
 
     @cached_property
-    def loads(self) -> dict[str, LoadFact]:
+    def loads(self) -> dict[str, LoadRecord]:
         """The confirmed loads by worker."""
-        return {n: LoadFact.read(fact) for n, fact in self._section("loads").items()}
+        return {n: LoadRecord.read(fact) for n, fact in self._section("loads").items()}
 
     @cached_property
     def weights(self) -> dict[str, WeightsFact]:
@@ -213,7 +213,7 @@
     def match(self, line_name: str, tenant_name: str, kind: str) -> CapabilityEntry | None:
         """An entry that names the tenant goes before one for every tenant."""
         return self.entry_by_match.get((line_name, tenant_name, kind)) or self.entry_by_match.get(
-            (line_name, EVERY_TENANT, kind)
+            (line_name, ANY_TENANT, kind)
         )
 
     def with_delta(self, delta: ViewDelta) -> View | None:
--- a/src/pearhead/control_plane/core.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -14,12 +14,12 @@
 from result import Err, Result
 
 from pearhead.config.description import read_description_in_chunks
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.consensus.raft import RaftMember
 from pearhead.consensus.snapshot_store import SnapshotLimits
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.change import ChangeChecker, hash_change, to_json, to_route
-from pearhead.control_plane.fleet import Fleet, UnknownCommandError, to_body
+from pearhead.control_plane.description_change import ChangeChecker, decode_route, hash_change, to_json
+from pearhead.control_plane.fleet_state import Fleet, UnknownCommandError, encode_canonical_json
 from pearhead.control_plane.membership_controller import MembershipController
 from pearhead.control_plane.view_service import ViewService
 from pearhead.discovery.directory import Directory
@@ -47,8 +47,8 @@
 # Operators go on to another core after a second without an answer, later where bodies are large.
 RELAY_MICROS = SECOND
 RELAY_BYTES_PER_SECOND = 500_000
-READ_MICROS = 2 * SECOND
-FOLLOWED_MICROS = 50 * MILLI
+DESCRIPTION_READ_TIMEOUT_MICROS = 2 * SECOND
+LEADER_POLL_MICROS = 50 * MILLI
 PAUSED_MICROS = SECOND
 IDENTITY_FILE = "identity"
 FOUNDERS_FILE = "founders"
@@ -62,12 +62,12 @@
 }
 
 
-def make_unavailable(why: str) -> CommandResult:
+def unavailable_result(why: str) -> CommandResult:
     """The answer for a command that did not run."""
-    return CommandResult(status="unavailable", body=to_body({"why": why}))
+    return CommandResult(status="unavailable", body=encode_canonical_json({"why": why}))
 
 
-def relay_limit_micros(command_bytes: int) -> int:
+def relay_timeout_micros(command_bytes: int) -> int:
     """For how long a relayed command of this size waits for the leader's answer."""
     return RELAY_MICROS + command_bytes * SECOND // RELAY_BYTES_PER_SECOND
 
@@ -75,7 +75,7 @@
 class CoreProcess:
     def __init__(
         self,
-        startup: Startup,
+        startup: StartupConfig,
         clock: Clock,
         net: Net,
         disk: Disk,
@@ -94,7 +94,7 @@
         self.leader_since = 0
         self.identity = ""
         self.founders = startup.founders
-        self.tell_event: Callable[[str, int, dict[str, Any]], None] = lambda type_name, index, data: None
+        self.publish_event: Callable[[str, int, dict[str, Any]], None] = lambda type_name, index, data: None
         self.raft: RaftMember
         self.courier: RpcEndpoint
         self.directory: Directory
@@ -103,8 +103,8 @@
         self.serializer: RevisionSequencer
 
     async def start(self) -> None:
-        self.identity = await self._learn_identity()
-        self.founders = self._learn_founders()
+        self.identity = await self._load_or_create_identity()
+        self.founders = self._load_founders()
         self.courier = RpcEndpoint(self.identity, self.startup.address, self.net, self.clock)
         self_record = Record(
             identity=self.identity,
@@ -158,7 +158,7 @@
         self.courier.on_ask("command_ask", self._make_command_result)
         self.courier.on_ask("description_ask", self._make_description_result)
         self.courier.on_ask("term_ask", self.view_service.make_term_result)
-        self._join_volumes()
+        self._register_volumes()
         self.raft.start()
         self.crew.start(self.directory.run())
         self.crew.start(self.membership.run())
@@ -176,7 +176,7 @@
     def _tell(self, address: str, body_name: str, body: Message) -> None:
         self.courier.tell(address, body_name, body)
 
-    async def _learn_identity(self) -> str:
+    async def _load_or_create_identity(self) -> str:
         """A random id on its disk: an empty disk is a new member (§4.4)."""
         file_names = self.disk.names()
         if IDENTITY_FILE in file_names:
@@ -186,11 +186,11 @@
         identity = self.chance.randbytes(12).hex()
         # Founders are told once: a founder killed before it founded must know them in its next life (§4.9).
         if self.startup.founders or FOUNDERS_FILE not in file_names:
-            await self._keep_file(FOUNDERS_FILE, json.dumps(self.startup.founders))
-        await self._keep_file(IDENTITY_FILE, identity)
+            await self._write_file_with_retry(FOUNDERS_FILE, json.dumps(self.startup.founders))
+        await self._write_file_with_retry(IDENTITY_FILE, identity)
         return identity
 
-    async def _keep_file(self, file_name: str, text: str) -> None:
+    async def _write_file_with_retry(self, file_name: str, text: str) -> None:
         while True:
             try:
                 await self.disk.replace(file_name, text.encode())
@@ -201,7 +201,7 @@
                 LOGGER.error("control_plane: The disk is full.")
                 await rest(self.clock, FULL_RETRY_MICROS)
 
-    def _learn_founders(self) -> list[str]:
+    def _load_founders(self) -> list[str]:
         if self.startup.founders or FOUNDERS_FILE not in self.disk.names():
             return self.startup.founders
         kept: list[str] = json.loads(self.disk.read(FOUNDERS_FILE))
@@ -220,9 +220,9 @@
         if body_name == "hold" and outcome["status"] == "done":
             self.hold_seen[command.hold.worker] = (outcome["fence"], self.clock.now())
         elif body_name in ("apply", "change") and outcome["status"] == "done":
-            self._join_volumes()
+            self._register_volumes()
         if body_name in EVENT_TYPES and outcome["status"] == "done" and self.raft.is_leader():
-            self.tell_event(EVENT_TYPES[body_name], index, {"revision": index})
+            self.publish_event(EVENT_TYPES[body_name], index, {"revision": index})
         return outcome
 
     def take_digest(self) -> bytes:
@@ -233,7 +233,7 @@
         # How long a hold was seen is not known, so it counts from now (§7.2).
         self.hold_seen = {w: (h["fence"], self.clock.now()) for w, h in self.fleet.holds.items()}
 
-    def _join_volumes(self) -> None:
+    def _register_volumes(self) -> None:
         if hasattr(self, "serializer"):
             owners = {
                 f"group:{t['group']}" if t.get("group") else f"tenant:{t['name']}"
@@ -260,31 +260,31 @@
         return (body["revision"], body["index"]) if "index" in body else None
 
     def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
-        return self.fleet.revisions_of(f"{owner}/{line}")
+        return self.fleet.raised_part_revisions(f"{owner}/{line}")
 
     def position(self) -> tuple[int, int]:
         return self.raft.term, self.raft.applied_index
 
     # ---- commands --------------------------------------------------------------------------------
 
-    def is_founded(self) -> bool:
+    def is_bootstrap_complete(self) -> bool:
         """Nothing is acknowledged before as many vote as founded: one lost disk must not matter."""
-        return self.fleet.visible_index > 0 or self.membership.is_founded()
+        return self.fleet.visible_index > 0 or self.membership.is_bootstrap_complete()
 
     async def execute(self, command: Command, relayed: bool = False) -> CommandResult:
         """Runs a command here or at the leader. `unavailable` did not run; `unknown` may have."""
         arrived_micros = self.clock.now()
         if self.raft.is_leader():
-            if not self.is_founded():
-                return make_unavailable("founding is not over")
-            return await self._execute_here(command, arrived_micros)
+            if not self.is_bootstrap_complete():
+                return unavailable_result("founding is not over")
+            return await self._execute_as_leader(command, arrived_micros)
         if relayed or not self.raft.leader_address():
-            return make_unavailable("no leader is known")
+            return unavailable_result("no leader is known")
         command_bytes = command.SerializeToString()
         relay_ask = CommandAsk(command=command_bytes, relayed=True)
-        given_result = await self._ask_leader("command_ask", relay_ask, relay_limit_micros(len(command_bytes)))
+        given_result = await self._ask_leader("command_ask", relay_ask, relay_timeout_micros(len(command_bytes)))
         if isinstance(given_result, Err):
-            return CommandResult(status="unknown", body=to_body({"why": "the leader did not answer"}))
+            return CommandResult(status="unknown", body=encode_canonical_json({"why": "the leader did not answer"}))
         result: CommandResult = given_result.ok_value
         return result
 
@@ -294,7 +294,7 @@
         asked = asyncio.ensure_future(self.courier.ask(leader_address, body_name, body, limit_micros))
         try:
             while not asked.done() and self.raft.leader_address() == leader_address:
-                await self._wait_a_little(asked)
+                await self._wait_for_reply_or_pause(asked)
             if asked.done():
                 given_result: Result[Any, str] = asked.result()
                 return given_result
@@ -302,64 +302,66 @@
         finally:
             asked.cancel()
 
-    async def _wait_a_little(self, asked: asyncio.Future[Any]) -> None:
-        pause = asyncio.ensure_future(rest(self.clock, FOLLOWED_MICROS))
+    async def _wait_for_reply_or_pause(self, asked: asyncio.Future[Any]) -> None:
+        pause = asyncio.ensure_future(rest(self.clock, LEADER_POLL_MICROS))
         try:
             await asyncio.wait({asked, pause}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             pause.cancel()
 
-    async def _execute_here(self, command: Command, arrived_micros: int) -> CommandResult:
+    async def _execute_as_leader(self, command: Command, arrived_micros: int) -> CommandResult:
         if command.WhichOneof("body") == "hold":
-            self._judge_hold(command)
+            self._check_hold_expiry(command)
         elif command.WhichOneof("body") == "apply":
-            checked = await read_description_in_chunks(command.apply.description, self._breathe)
+            checked = await read_description_in_chunks(command.apply.description, self._yield_to_loop)
             if isinstance(checked, Err):
-                return CommandResult(status="refused", body=to_body({"faults": checked.err_value}))
+                return CommandResult(status="refused", body=encode_canonical_json({"faults": checked.err_value}))
         elif command.WhichOneof("body") == "change":
-            judged = await self._judge_change(command)
+            judged = await self._precheck_change(command)
             if judged is not None:
                 return judged
         if self.clock.now() - arrived_micros > COMMAND_MICROS:
             # Who asked has given up, and may have said something else since (§4.2).
-            return make_unavailable("the command waited too long")
+            return unavailable_result("the command waited too long")
         outcome = await self.raft.propose(command.SerializeToString())
         if isinstance(outcome, Err):
             is_run = outcome.err_value == "outcome unknown"
             return CommandResult(
-                status="unknown" if is_run else "unavailable", body=to_body({"why": outcome.err_value})
+                status="unknown" if is_run else "unavailable", body=encode_canonical_json({"why": outcome.err_value})
             )
         index, body = outcome.ok_value
-        return CommandResult(status=body["status"], index=index, body=to_body(body))
+        return CommandResult(status=body["status"], index=index, body=encode_canonical_json(body))
 
-    async def _judge_change(self, command: Command) -> CommandResult | None:
+    async def _precheck_change(self, command: Command) -> CommandResult | None:
         """A change that can't be taken is told so before it goes into the log (§5.4). None: let it go there."""
         change = command.change
         if not await self.raft.confirm():
-            return make_unavailable("no majority follows this core")
+            return unavailable_result("no majority follows this core")
         fleet = self.fleet
         change.content_hash = ""
         change.content_hash = hash_change(change)
-        if fleet.has_taken(change):
+        if fleet.has_applied_change(change):
             return None
-        if fleet.is_beyond_memory(change):
-            return CommandResult(status="unknown", body=to_body({"why": "too old to tell whether it was taken"}))
+        if fleet.is_beyond_retained_changes(change):
+            return CommandResult(
+                status="unknown", body=encode_canonical_json({"why": "too old to tell whether it was taken"})
+            )
         if change.base_number != fleet.description_number:
-            return CommandResult(status="conflict", body=to_body({"number": fleet.description_number}))
+            return CommandResult(status="conflict", body=encode_canonical_json({"number": fleet.description_number}))
         if change.number <= fleet.description_number:
             faults = [f"number: must be above {fleet.description_number}"]
-            return CommandResult(status="refused", body=to_body({"faults": faults}))
+            return CommandResult(status="refused", body=encode_canonical_json({"faults": faults}))
         change.checked_revision = fleet.description_revision
-        checked = await ChangeChecker(self._breathe).check(change, fleet.description, fleet.routes)
+        checked = await ChangeChecker(self._yield_to_loop).check(change, fleet.description, fleet.routes)
         if isinstance(checked, Err):
-            return CommandResult(status="refused", body=to_body({"faults": checked.err_value[:20]}))
+            return CommandResult(status="refused", body=encode_canonical_json({"faults": checked.err_value[:20]}))
         return None
 
-    async def _breathe(self) -> None:
+    async def _yield_to_loop(self) -> None:
         """Lets heartbeats through while a large description is checked."""
         await rest(self.clock, 0)
 
-    def _judge_hold(self, command: Command) -> None:
+    def _check_hold_expiry(self, command: Command) -> None:
         """The leader alone judges a term over, by the time since it saw that fence renewed (§7.2)."""
         worker = command.hold.worker
         held = self.fleet.holds.get(worker)
@@ -380,7 +382,7 @@
     async def _make_command_result(self, identity: str, address: str, ask: CommandAsk) -> CommandResult:
         if self.clock.now() - self.raft.ticked_micros > PAUSED_MICROS:
             # This process stood still, so it is not known for how long the command waited (§4.2).
-            return make_unavailable("this core stood still")
+            return unavailable_result("this core stood still")
         return await self.execute(Command.FromString(ask.command), relayed=ask.relayed)
 
     # ---- members ---------------------------------------------------------------------------------
@@ -390,7 +392,7 @@
 
     def _take_members(self, index: int, members: Members) -> None:
         voters = [m.address for m in members.member if m.voter]
-        self.tell_event("members.changed", index, {"voters": voters})
+        self.publish_event("members.changed", index, {"voters": voters})
 
     def _take_leadership(self, leads: bool) -> None:
         self.leader_since = self.clock.now()
@@ -427,7 +429,7 @@
             return None
         description = json.loads(result.document)
         if result.route:
-            description["routes"] = [to_route(item.shown, item.source) for item in result.route]
+            description["routes"] = [decode_route(item.shown, item.source) for item in result.route]
         return {"number": result.number, "description": description}
 
     async def fetch_description(self) -> DescriptionResult | None:
@@ -435,7 +437,7 @@
         result = await self._make_description_result("", "", DescriptionAsk())
         leader_address = self.raft.leader_address()
         if not result.held and leader_address and not self.raft.is_leader():
-            given_result = await self._ask_leader("description_ask", DescriptionAsk(), READ_MICROS)
+            given_result = await self._ask_leader("description_ask", DescriptionAsk(), DESCRIPTION_READ_TIMEOUT_MICROS)
             if isinstance(given_result, Err):
                 return None
             result = given_result.ok_value
--- a/src/pearhead/control_plane/folder.py
+++ b/src/pearhead/control_plane/data_folder_inspector.py
@@ -9,7 +9,7 @@
 
 from pearhead.consensus.log import KIND_COMMAND, KIND_MEMBERS
 from pearhead.consensus.wal import Wal, WalCorruptError
-from pearhead.control_plane.fleet import Fleet, UnknownCommandError
+from pearhead.control_plane.fleet_state import Fleet, UnknownCommandError
 from pearhead.rpc.wire_pb2 import Members
 
 
@@ -18,7 +18,7 @@
 
     def __init__(self, folder_path: Path) -> None:
         self.folder_path = folder_path
-        self.noted_cuts: list[str] = []
+        self.skipped_truncations: list[str] = []
 
     def names(self) -> list[str]:
         return sorted(p.name for p in self.folder_path.iterdir() if p.is_file() and p.name != "lock")
@@ -37,21 +37,21 @@
 
     async def truncate(self, file_name: str, kept_size: int) -> None:
         size = (self.folder_path / file_name).stat().st_size
-        self.noted_cuts.append(f"{file_name}: a torn tail of {size - kept_size} bytes would be cut")
+        self.skipped_truncations.append(f"{file_name}: a torn tail of {size - kept_size} bytes would be cut")
 
 
 @dataclass
-class FolderReport:
+class DataFolderReport:
     faults: list[str] = field(default_factory=list)
     facts: dict[str, Any] = field(default_factory=dict)
 
 
-class FolderReader:
+class DataFolderInspector:
     def __init__(self, folder_path: Path) -> None:
         self.folder_path = folder_path
 
-    async def read(self) -> FolderReport:
-        report = FolderReport()
+    async def read(self) -> DataFolderReport:
+        report = DataFolderReport()
         disk = ReadOnlyDisk(self.folder_path)
         file_names = disk.names()
         if "identity" not in file_names:
@@ -96,10 +96,10 @@
                 "workers": len(fleet.workers),
                 "transactions": len(fleet.transactions),
                 "partRevisions": sum(len(p) for p in fleet.parts.values()),
-                "notes": disk.noted_cuts,
+                "notes": disk.skipped_truncations,
             }
         )
         return report
 
-    def text(self, report: FolderReport) -> str:
+    def text(self, report: DataFolderReport) -> str:
         return json.dumps({"faults": report.faults, **report.facts}, indent=2)
--- a/src/pearhead/control_plane/change.py
+++ b/src/pearhead/control_plane/description_change.py
@@ -15,51 +15,51 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.checked import read_checked
+from pearhead.config.dataclass_parser import parse_dataclass
 from pearhead.config.description import (
     CHUNK_SIZE,
-    MAXIMUM_CHANGE,
+    MAX_CHANGE_BYTES,
     CapabilityEntry,
     Description,
     Limits,
-    Line,
+    ModelLine,
     Route,
-    RouteCheck,
+    RouteValidator,
     Service,
     Split,
     Tenant,
-    build_checked,
+    description_from_checked_data,
     find_faults,
 )
 from pearhead.rpc.wire_pb2 import ChangeDescription, Item
 
-NAMED_KINDS = ("services", "tenants")
-FIRST_WEIGHTS = "1"
+MERGED_ITEM_KINDS = ("services", "tenants")
+INITIAL_WEIGHTS = "1"
 
 Json = dict[str, Any]
-Routes = dict[str, tuple[bytes, bytes]]
-Breathe = Callable[[], Awaitable[None]]
+EncodedRoutes = dict[str, tuple[bytes, bytes]]
+YieldToLoop = Callable[[], Awaitable[None]]
 
 
 @dataclass(frozen=True)
-class _Put:
+class _UpsertedItems:
     services: list[Service] = field(default_factory=list)
     entries: list[CapabilityEntry] = field(default_factory=list)
     tenants: list[Tenant] = field(default_factory=list)
-    lines: list[Line] = field(default_factory=list)
+    lines: list[ModelLine] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class _Removed:
+class _RemovedNames:
     routes: list[str] = field(default_factory=list)
     services: list[str] = field(default_factory=list)
     tenants: list[str] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class _ByName:
-    put: _Put = field(default_factory=_Put)
-    remove: _Removed = field(default_factory=_Removed)
+class _PartialChange:
+    put: _UpsertedItems = field(default_factory=_UpsertedItems)
+    remove: _RemovedNames = field(default_factory=_RemovedNames)
     put_limits: Limits = field(default_factory=Limits)
     source: str = ""
 
@@ -68,13 +68,13 @@
     return json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode("utf-8", "surrogatepass")
 
 
-def to_item(item: Json) -> Item:
+def encode_route(item: Json) -> Item:
     """Raises KeyError, TypeError or ValueError where it has no name or a source that is no text."""
     shown = {name: value for name, value in item.items() if name != "source"}
     return Item(name=item["name"], shown=to_json(shown), source=item.get("source", "").encode("utf-8", "surrogatepass"))
 
 
-def to_route(shown: bytes, source: bytes) -> Json:
+def decode_route(shown: bytes, source: bytes) -> Json:
     route: Json = json.loads(shown)
     if source:
         route["source"] = source.decode("utf-8", "surrogatepass")
@@ -93,25 +93,25 @@
     return change_hash.hexdigest()
 
 
-def without_source(value: Any) -> Any:
+def strip_sources(value: Any) -> Any:
     if isinstance(value, list):
-        return [without_source(item) for item in value]
+        return [strip_sources(item) for item in value]
     if isinstance(value, dict) and "source" in value:
         return {name: inner for name, inner in value.items() if name != "source"}
     return value
 
 
-def move_routes(change: ChangeDescription, document: Json) -> None:
+def extract_routes(change: ChangeDescription, document: Json) -> None:
     """Routes that came inside the document go apart from it; a second call finds none left."""
     holder = document.get("put", {}) if change.by_name else document
     routes = holder.pop("routes", None)
     if routes:
-        change.route.extend(to_item(item) for item in routes)
+        change.route.extend(encode_route(item) for item in routes)
     if routes is not None:
         change.document = to_json(document)
 
 
-def merge_routes(held: Routes, change: ChangeDescription, document: Json) -> Routes:
+def merge_routes(held: EncodedRoutes, change: ChangeDescription, document: Json) -> EncodedRoutes:
     """The routes that come of a change: what is put replaces the route of its name in its place, or is added at the
     end; what is removed goes first."""
     merged = dict(held) if change.by_name else {}
@@ -126,9 +126,9 @@
 def merge_document(present: Json, document: Json, by_name: bool) -> Json:
     """All else than the routes of the description that comes of a change, likewise."""
     if not by_name:
-        return {**document, "lines": _with_named_lines(document.get("lines", []), document.get("services", []))}
+        return {**document, "lines": _with_service_lines(document.get("lines", []), document.get("services", []))}
     merged = dict(present)
-    for kind in NAMED_KINDS:
+    for kind in MERGED_ITEM_KINDS:
         put = {item["name"]: item for item in document.get("put", {}).get(kind, [])}
         removed = set(document.get("remove", {}).get(kind, []))
         if not put and not removed:
@@ -144,50 +144,50 @@
     before = {name for service in present.get("services", []) for name in service.get("lines", [])}
     after = {name for service in merged.get("services", []) for name in service.get("lines", [])}
     kept = [line for line in present.get("lines", []) if line["name"] in after or line["name"] not in before]
-    merged["lines"] = _with_named_lines(kept, merged.get("services", []))
+    merged["lines"] = _with_service_lines(kept, merged.get("services", []))
     return merged
 
 
-def _with_named_lines(lines: list[Json], services: list[Json]) -> list[Json]:
+def _with_service_lines(lines: list[Json], services: list[Json]) -> list[Json]:
     """A line that a service names needs no word of its own: it begins with the first weights."""
     found = {line["name"]: line for line in lines}
     for service in services:
         for name in service.get("lines", []):
-            found.setdefault(name, {"name": name, "weights": FIRST_WEIGHTS})
+            found.setdefault(name, {"name": name, "weights": INITIAL_WEIGHTS})
     return list(found.values())
 
 
 class ChangeChecker:
     """Looks at a change in pieces, as the leader does before it goes into the log."""
 
-    def __init__(self, breathe: Breathe) -> None:
+    def __init__(self, breathe: YieldToLoop) -> None:
         self.breathe = breathe
 
-    async def check(self, change: ChangeDescription, present: Json, held: Routes) -> Result[None, list[str]]:
+    async def check(self, change: ChangeDescription, present: Json, held: EncodedRoutes) -> Result[None, list[str]]:
         """Every fault of the description that would come of the change, each with its path. Routes inside the
         document are moved out of it."""
-        if change.ByteSize() > MAXIMUM_CHANGE:
+        if change.ByteSize() > MAX_CHANGE_BYTES:
             return Err([f"document: over {MAXIMUM_CHANGE} bytes"])
         try:
             document: Any = json.loads(change.document)
         except (ValueError, RecursionError) as fault:
             return Err([f"document: can't be read: {type(fault).__name__}"])
         await self.breathe()
-        faults = self._find_shape_faults(document, change.by_name)
+        faults = self._find_schema_errors(document, change.by_name)
         if faults:
             return Err(faults)
         try:
-            move_routes(change, document)
+            extract_routes(change, document)
         except (KeyError, TypeError, ValueError, AttributeError):
             return Err(["routes: each must be an object with a name, and a text as its source"])
         await self.breathe()
         merged = merge_document(present, document, change.by_name)
-        faults = find_faults(build_checked(merged), any_names=True)
+        faults = find_faults(description_from_checked_data(merged), allow_any_name=True)
         await self.breathe()
-        faults.extend(await self._find_route_faults(change, merge_routes(held, change, document), merged))
+        faults.extend(await self._find_route_errors(change, merge_routes(held, change, document), merged))
         return Err(faults) if faults else Ok(None)
 
-    def _find_shape_faults(self, document: Any, by_name: bool) -> list[str]:
+    def _find_schema_errors(self, document: Any, by_name: bool) -> list[str]:
         if not isinstance(document, dict):
             return ["document: must be an object"]
         holder = document.get("put", {}) if by_name else document
@@ -196,20 +196,20 @@
         if not isinstance(holder.get("routes", []), list):
             return ["routes: must be a list"]
         rest = {kind: items for kind, items in holder.items() if kind != "routes"}
-        shape: type[Any] = _ByName if by_name else Description
-        checked = read_checked(shape, {**document, "put": rest} if by_name else rest)
+        dataclass_type: type[Any] = _PartialChange if by_name else Description
+        checked = parse_dataclass(dataclass_type, {**document, "put": rest} if by_name else rest)
         if isinstance(checked, Err):
             return checked.err_value
         faults: list[str] = []
-        for kind in NAMED_KINDS if by_name else ():
+        for kind in MERGED_ITEM_KINDS if by_name else ():
             names = [item["name"] for item in rest.get(kind, [])]
             faults.extend(f"put.{kind}: {name!r} is named twice" for name in _find_doubles(names))
         return faults
 
-    async def _find_route_faults(self, change: ChangeDescription, routes: Routes, merged: Json) -> list[str]:
+    async def _find_route_errors(self, change: ChangeDescription, routes: EncodedRoutes, merged: Json) -> list[str]:
         faults = [f"routes: {name!r} is named twice" for name in _find_doubles([item.name for item in change.route])]
         put = {item.name for item in change.route}
-        route_check = RouteCheck({s["name"]: s["role"] for s in merged.get("services", [])})
+        route_check = RouteValidator({s["name"]: s["role"] for s in merged.get("services", [])})
         for position, (name, (shown, _)) in enumerate(routes.items()):
             path = f"routes[{position}]"
             if position % CHUNK_SIZE == CHUNK_SIZE - 1:
@@ -220,9 +220,9 @@
                 faults.append(f"{path}: can't be read")
                 continue
             if name in put:
-                shape_faults = read_checked(Route, data)
-                if isinstance(shape_faults, Err):
-                    faults.extend(f"{path}.{fault}" for fault in shape_faults.err_value)
+                schema_errors = parse_dataclass(Route, data)
+                if isinstance(schema_errors, Err):
+                    faults.extend(f"{path}.{fault}" for fault in schema_errors.err_value)
                     continue
                 if data["name"] != name:
                     faults.append(f"{path}.name: is {name!r} beside it")
--- a/src/pearhead/control_plane/events.py
+++ b/src/pearhead/control_plane/event_publisher.py
@@ -14,7 +14,7 @@
 
 LOGGER = logging.getLogger("pearhead")
 QUEUE_LIMIT = 256
-POST_SECONDS = 2.0
+EVENT_POST_TIMEOUT_SECONDS = 2.0
 SOURCE = "pearhead/core"
 
 Post = Callable[[dict[str, str], bytes], Coroutine[Any, Any, bool]]
@@ -23,7 +23,12 @@
 def http_post(sink_url: str) -> Post:
     async def post(headers: dict[str, str], body: bytes) -> bool:
         request = HTTPRequest(
-            sink_url, method="POST", headers=headers, body=body, request_timeout=POST_SECONDS, follow_redirects=False
+            sink_url,
+            method="POST",
+            headers=headers,
+            body=body,
+            request_timeout=EVENT_POST_TIMEOUT_SECONDS,
+            follow_redirects=False,
         )
         try:
             await AsyncHTTPClient().fetch(request)
@@ -34,7 +39,7 @@
     return post
 
 
-class EventTeller:
+class EventPublisher:
     """The oldest events go first when the sink is slow; each is tried once."""
 
     def __init__(self, post: Post) -> None:
--- a/src/pearhead/control_plane/fleet.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -14,20 +14,20 @@
     ENTRY_SECTIONS,
     ROUTE_SECTIONS,
     SECTION_NAMES,
-    BodyDigests,
-    bucket_of,
+    SectionDigests,
+    bucket_index,
     hash_sections,
 )
-from pearhead.control_plane.change import (
+from pearhead.control_plane.description_change import (
+    EncodedRoutes,
     Json,
-    Routes,
+    decode_route,
+    encode_route,
+    extract_routes,
     hash_change,
     merge_document,
     merge_routes,
-    move_routes,
-    to_item,
-    to_route,
-    without_source,
+    strip_sources,
 )
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
@@ -46,9 +46,9 @@
 HISTORY_LIMIT = 256
 TAKEN_LIMIT = 4_096
 SESSION_LIMIT = 16_384
-DIGEST_MARK = b"\xa7PHF"
+SNAPSHOT_MAGIC = b"\xa7PHF"
 # The key in a digest and in what operators read, and the attribute that it stands for.
-DIGESTED = {
+SNAPSHOT_FIELDS = {
     "index": "index",
     "description": "description",
     "descriptionRevision": "description_revision",
@@ -61,12 +61,12 @@
     "volumeIndexes": "volume_indexes",
     "visibleIndex": "visible_index",
 }
-UNSEEN_BODIES = ("bump", "hold")
+COMMANDS_OUTSIDE_VIEW = ("bump", "hold")
 
 Outcome = dict[str, Any]
 
 
-def to_body(value: Any) -> bytes:
+def encode_canonical_json(value: Any) -> bytes:
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
@@ -80,9 +80,9 @@
         self.description: Outcome = {}
         self.description_revision = 0
         self.description_number = 0
-        self.routes: Routes = {}
+        self.routes: EncodedRoutes = {}
         self.taken: OrderedDict[str, Outcome] = OrderedDict()
-        self._digests: BodyDigests = {}
+        self._digests: SectionDigests = {}
         self.history: list[Outcome] = []
         self.workers: dict[str, Outcome] = {}
         self.weights: dict[str, Outcome] = {}
@@ -105,7 +105,7 @@
             # Going on without it would make this core's state another than the others' (§4.7).
             raise UnknownCommandError(f"entry {index} is of a later release than {PEARHEAD_RELEASE}")
         self.index = index
-        if body_name not in UNSEEN_BODIES:
+        if body_name not in COMMANDS_OUTSIDE_VIEW:
             # Refused ones count as well, so that nodes come level with the last index of the log (§5.2).
             self.visible_index = index
         transaction = command.transaction.hex()
@@ -119,14 +119,14 @@
             if command.number < last_number:
                 return {"status": "refused", "faults": ["session: a later command of it was taken"]}
         outcome: Outcome = getattr(self, f"_apply_{body_name}")(index, getattr(command, body_name))
-        self._note_session(command, outcome)
+        self._remember_session_outcome(command, outcome)
         if transaction:
             self.transactions[transaction] = outcome
             if len(self.transactions) > TRANSACTION_LIMIT:
                 self.transactions.popitem(last=False)
         return outcome
 
-    def _note_session(self, command: Command, outcome: Outcome) -> None:
+    def _remember_session_outcome(self, command: Command, outcome: Outcome) -> None:
         if not command.session:
             return
         self.sessions[command.session] = (command.number, outcome)
@@ -141,9 +141,9 @@
             name: [index, "" if name in ROUTE_SECTIONS else base64.b64encode(body).decode()]
             for name, (index, body) in self.sections.items()
         }
-        head = to_body(
+        head = encode_canonical_json(
             {
-                **{key: getattr(self, name) for key, name in DIGESTED.items()},
+                **{key: getattr(self, name) for key, name in SNAPSHOT_FIELDS.items()},
                 "parts": {v: sorted(p.items()) for v, p in self.parts.items()},
                 "transactions": list(self.transactions.items()),
                 "taken": list(self.taken.items()),
@@ -153,15 +153,15 @@
             }
         )
         route_bytes = [piece for pieces in self.routes.values() for piece in pieces]
-        return b"".join([DIGEST_MARK, len(head).to_bytes(8, "big"), head, *route_bytes])
+        return b"".join([SNAPSHOT_MAGIC, len(head).to_bytes(8, "big"), head, *route_bytes])
 
     def load_digest(self, digest_bytes: bytes) -> None:
-        start = len(DIGEST_MARK) + 8
-        is_marked = digest_bytes.startswith(DIGEST_MARK)
-        end = start + int.from_bytes(digest_bytes[len(DIGEST_MARK) : start], "big")
+        start = len(SNAPSHOT_MAGIC) + 8
+        is_marked = digest_bytes.startswith(SNAPSHOT_MAGIC)
+        end = start + int.from_bytes(digest_bytes[len(SNAPSHOT_MAGIC) : start], "big")
         # A release before this one wrote the head alone, and kept neither numbers nor routes.
         data = json.loads(digest_bytes[start:end] if is_marked else digest_bytes)
-        for key, name in DIGESTED.items():
+        for key, name in SNAPSHOT_FIELDS.items():
             setattr(self, name, data.get(key, 0))
         self.parts = {v: {p: r for p, r in pairs} for v, pairs in data["parts"].items()}
         self.transactions = OrderedDict((t, o) for t, o in data["transactions"])
@@ -193,22 +193,22 @@
 
     def read(self) -> Json:
         """The state as operators read it, with every source."""
-        state = {key: getattr(self, name) for key, name in DIGESTED.items()}
-        return {**state, "description": self.whole_description()}
+        state = {key: getattr(self, name) for key, name in SNAPSHOT_FIELDS.items()}
+        return {**state, "description": self.full_description()}
 
-    def whole_description(self) -> Json:
+    def full_description(self) -> Json:
         if not self.routes:
             return self.description
-        return {**self.description, "routes": [to_route(*pieces) for pieces in self.routes.values()]}
+        return {**self.description, "routes": [decode_route(*pieces) for pieces in self.routes.values()]}
 
-    def revisions_of(self, volume: str) -> list[tuple[int, int]]:
+    def raised_part_revisions(self, volume: str) -> list[tuple[int, int]]:
         """The table's pairs; revision one is the default and left out (§6.4)."""
         return sorted((p, r) for p, r in self.parts.get(volume, {}).items() if r > 1)
 
     @staticmethod
-    def touches_view(command_bytes: bytes) -> bool:
+    def changes_view(command_bytes: bytes) -> bool:
         """Whether nodes can see what a command changes: part revisions and holds travel otherwise."""
-        return Command.FromString(command_bytes).WhichOneof("body") not in UNSEEN_BODIES
+        return Command.FromString(command_bytes).WhichOneof("body") not in COMMANDS_OUTSIDE_VIEW
 
     # ---- commands --------------------------------------------------------------------------------
 
@@ -217,7 +217,7 @@
             return {"status": "conflict", "revision": self.description_revision}
         # The leader checked it before it went into the log (§4.2).
         self.description = json.loads(command.description)
-        items = [to_item(route) for route in self.description.pop("routes", [])]
+        items = [encode_route(route) for route in self.description.pop("routes", [])]
         self.routes = {item.name: (item.shown, item.source) for item in items}
         self.description_revision = index
         description_hash = hashlib.blake2b(command.description, digest_size=16).hexdigest()
@@ -226,7 +226,7 @@
         for line in self.description.get("lines", []):
             # The file names the weights that a line begins with; later ones are named apart (§7.1).
             self.weights.setdefault(line["name"], {"weights": line["weights"], "revision": index})
-        self._show_description(index)
+        self._set_description_sections(index)
         self._show("weights", index, self.weights)
         return {"status": "done", "revision": index}
 
@@ -234,9 +234,9 @@
         """Under operators' own numbers (§5.4). The leader checked the whole that comes of it."""
         number = str(command.number)
         change_hash = hash_change(command)
-        if self.has_taken(command):
+        if self.has_applied_change(command):
             return {"status": "done", "revision": self.taken[number]["revision"], "number": command.number}
-        if self.is_beyond_memory(command):
+        if self.is_beyond_retained_changes(command):
             return {"status": "unknown", "why": "too old to tell whether it was taken"}
         is_base = command.base_number == self.description_number
         if not is_base or command.checked_revision != self.description_revision:
@@ -244,7 +244,7 @@
         if command.number <= self.description_number:
             return {"status": "refused", "faults": [f"number: must be above {self.description_number}"]}
         document = json.loads(command.document)
-        move_routes(command, document)
+        extract_routes(command, document)
         self.routes = merge_routes(self.routes, command, document)
         self.description = merge_document(self.description, document, command.by_name)
         self.description_number, self.description_revision = command.number, index
@@ -255,16 +255,16 @@
         del self.history[:-HISTORY_LIMIT]
         for line in self.description.get("lines", []):
             self.weights.setdefault(line["name"], {"weights": line["weights"], "revision": index})
-        self._show_description(index)
+        self._set_description_sections(index)
         self._show("weights", index, self.weights)
         return {"status": "done", "revision": index, "number": command.number}
 
-    def has_taken(self, command: ChangeDescription) -> bool:
+    def has_applied_change(self, command: ChangeDescription) -> bool:
         """Whether this very change was taken, as far back as the last 4,096 of them."""
         held = self.taken.get(str(command.number))
         return held is not None and bool(held["hash"] == hash_change(command))
 
-    def is_beyond_memory(self, command: ChangeDescription) -> bool:
+    def is_beyond_retained_changes(self, command: ChangeDescription) -> bool:
         """Whether a change is so old that nobody can tell whether it was taken: then it is not refused either."""
         return len(self.taken) >= TAKEN_LIMIT and command.number < int(next(iter(self.taken)))
 
@@ -306,7 +306,7 @@
         if command.base_revision and command.base_revision != revision:
             return {"status": "conflict", "revision": revision}
         present = self.weights[command.line]["weights"]
-        if command.rising and _is_no_higher(command.weights, present):
+        if command.rising and _is_not_newer_version(command.weights, present):
             return {"status": "done", "revision": revision}
         self.weights[command.line] = {"weights": command.weights, "revision": index}
         self._show("weights", index, self.weights)
@@ -349,10 +349,10 @@
         self._show("loads", index, self.loads)
         return {"status": "done", "revision": index}
 
-    def _show_description(self, index: int) -> None:
+    def _set_description_sections(self, index: int) -> None:
         # Sources are the operators' own text: nodes do without (§5.4).
         head = {
-            name: without_source(value) for name, value in self.description.items() if name not in ("entries", "source")
+            name: strip_sources(value) for name, value in self.description.items() if name not in ("entries", "source")
         }
         shown = {"revision": index, "description": head}
         if self.description_number:
@@ -360,30 +360,30 @@
         self._show("description", index, shown)
         buckets: list[list[Any]] = [[] for _ in ENTRY_SECTIONS]
         for entry in self.description.get("entries", []):
-            buckets[bucket_of(entry["name"])].append(entry)
+            buckets[bucket_index(entry["name"])].append(entry)
         for name, entries in zip(ENTRY_SECTIONS, buckets, strict=True):
             if entries or self.sections[name][1] != EMPTY_BODY:
                 self._show(name, index, entries)
         for name, body in self._route_bodies().items():
             if body is not None or self.sections[name][1] != EMPTY_BODY:
-                self._show_body(name, index, body or b"[]")
+                self._set_section_body(name, index, body or b"[]")
 
     def _route_bodies(self) -> dict[str, bytes | None]:
         buckets: list[list[bytes]] = [[] for _ in ROUTE_SECTIONS]
         for name, (shown, _) in self.routes.items():
-            buckets[bucket_of(name)].append(shown)
+            buckets[bucket_index(name)].append(shown)
         return {
             name: b"[" + b",".join(pieces) + b"]" if pieces else None
             for name, pieces in zip(ROUTE_SECTIONS, buckets, strict=True)
         }
 
     def _show(self, name: str, index: int, value: Any) -> None:
-        self._show_body(name, index, to_body(value))
+        self._set_section_body(name, index, encode_canonical_json(value))
 
-    def _show_body(self, name: str, index: int, body: bytes) -> None:
+    def _set_section_body(self, name: str, index: int, body: bytes) -> None:
         if self.sections[name][1] != body:
             self.sections[name] = (index, body)
 
 
-def _is_no_higher(weights: str, present: str) -> bool:
+def _is_not_newer_version(weights: str, present: str) -> bool:
     return weights.isdecimal() and present.isdecimal() and int(weights) <= int(present)
--- a/src/pearhead/control_plane/main.py
+++ b/src/pearhead/control_plane/main.py
@@ -11,15 +11,15 @@
 
 from result import Err
 
-from pearhead.config.description import MAXIMUM_DESCRIPTION
-from pearhead.config.startup import Startup, exit_with_faults, read_startup, startup_help
+from pearhead.config.description import MAX_DESCRIPTION_BYTES
+from pearhead.config.startup import StartupConfig, exit_with_errors, read_startup, startup_help
 from pearhead.consensus.wal import WalCorruptError
-from pearhead.control_plane.core import CoreProcess
-from pearhead.control_plane.events import EventTeller, http_post
-from pearhead.control_plane.folder import FolderReader
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.data_folder_inspector import DataFolderInspector
+from pearhead.control_plane.event_publisher import EventPublisher, http_post
 from pearhead.control_plane.metrics import build_core_registry
-from pearhead.control_plane.operatorapi import build_operator_api
-from pearhead.control_plane.rescue import Rescue
+from pearhead.control_plane.operator_api import build_operator_api
+from pearhead.control_plane.quorum_loss_recovery import QuorumLossRecovery
 from pearhead.runtime.clock import BootClock
 from pearhead.runtime.command_line import run_command
 from pearhead.runtime.daemon import configure_logging, serve_until_stopped
@@ -30,7 +30,7 @@
 LOGGER = logging.getLogger("pearhead")
 
 
-async def _serve(startup: Startup) -> int:
+async def _serve(startup: StartupConfig) -> int:
     try:
         disk = FolderDisk(Path(startup.dataFolder))
     except (FolderBusyError, OSError) as fault:
@@ -47,7 +47,7 @@
     core = CoreProcess(startup, clock, net, disk, random.SystemRandom(), fail)
     server = DrainingServer(
         build_operator_api(core, startup, build_core_registry(core, net)),
-        max_body_size=2 * MAXIMUM_DESCRIPTION,
+        max_body_size=2 * MAX_DESCRIPTION_BYTES,
         max_header_size=startup.headerLimitBytes,
     )
     host_name, port_number = split_address(startup.httpAddress)
@@ -62,8 +62,8 @@
         print(f"control_plane: can't start: {fault}", file=sys.stderr)
         return 2
     if startup.eventSink:
-        teller = EventTeller(http_post(startup.eventSink))
-        core.tell_event = teller.tell
+        teller = EventPublisher(http_post(startup.eventSink))
+        core.publish_event = teller.tell
         core.crew.start(teller.run())
 
     async def drain() -> None:
@@ -75,7 +75,7 @@
     return status
 
 
-class AnvilCommand:
+class ControlPlaneCommand:
     """A core process of pearhead."""
 
     def run(self, startup: str = "", **flags: Any) -> None:
@@ -83,9 +83,9 @@
         if "help" in flags:
             print(startup_help("control_plane"))
             return None
-        checked = read_startup(startup, flags, needs_folder=True)
+        checked = read_startup(startup, flags, requires_data_folder=True)
         if isinstance(checked, Err):
-            return exit_with_faults("control_plane", checked.err_value)
+            return exit_with_errors("control_plane", checked.err_value)
         configure_logging(checked.ok_value.logLevel)
         raise SystemExit(asyncio.run(_serve(checked.ok_value)))
 
@@ -93,8 +93,8 @@
         """Looks at a data folder, read-only: log, digests, epochs, members. Non-zero if it is damaged."""
         folder_path = Path(folder)
         if not folder_path.is_dir():
-            return exit_with_faults("control_plane", [f"{folder}: no such folder"])
-        reader = FolderReader(folder_path)
+            return exit_with_errors("control_plane", [f"{folder}: no such folder"])
+        reader = DataFolderInspector(folder_path)
         report = asyncio.run(reader.read())
         print(reader.text(report))
         if report.faults:
@@ -105,10 +105,10 @@
         try:
             disk = FolderDisk(Path(folder))
         except (FolderBusyError, OSError) as fault:
-            return exit_with_faults("control_plane", [str(fault)])
-        outcome = asyncio.run(Rescue(disk).run(str(identity), address, consent))
+            return exit_with_errors("control_plane", [str(fault)])
+        outcome = asyncio.run(QuorumLossRecovery(disk).run(str(identity), address, consent))
         if isinstance(outcome, Err):
-            return exit_with_faults("control_plane", [outcome.err_value])
+            return exit_with_errors("control_plane", [outcome.err_value])
         print(f"control_plane: core {identity} is the only voter from entry {outcome.ok_value} on")
 
     def check(self, startup: str = "", **flags: Any) -> None:
@@ -116,14 +116,14 @@
         if "help" in flags:
             print(startup_help("control_plane"))
             return None
-        checked = read_startup(startup, flags, needs_folder=True)
+        checked = read_startup(startup, flags, requires_data_folder=True)
         if isinstance(checked, Err):
-            return exit_with_faults("control_plane", checked.err_value)
+            return exit_with_errors("control_plane", checked.err_value)
         print("control_plane: the startup is sound")
 
 
 def main() -> None:
-    run_command(AnvilCommand, "control_plane")
+    run_command(ControlPlaneCommand, "control_plane")
 
 
 if __name__ == "__main__":
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -11,7 +11,7 @@
 
 from result import Err
 
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.consensus.raft import RaftMember
 from pearhead.discovery.directory import Directory
 from pearhead.rpc.rpc_endpoint import RpcEndpoint
@@ -28,23 +28,23 @@
 from pearhead.runtime.clock import MILLI, SECOND, Clock, rest
 
 LOGGER = logging.getLogger("pearhead")
-CARE_MICROS = 100 * MILLI
-JOIN_MICROS = 300 * MILLI
-JOIN_ASK_MICROS = 600 * MILLI
+RECONCILE_INTERVAL_MICROS = 100 * MILLI
+JOIN_RETRY_MICROS = 300 * MILLI
+JOIN_REQUEST_TIMEOUT_MICROS = 600 * MILLI
 ALONE_MICROS = 2 * SECOND
 ANSWER_MICROS = 400 * MILLI
-GATHER_MICROS = (1_500 * MILLI, 8 * SECOND)
+FOUNDING_GRACE_MICROS = (1_500 * MILLI, 8 * SECOND)
 # A silent voter is exchanged for a level learner after this; the other way round it costs nothing but two entries.
 EXCHANGE_MICROS = 1_500 * MILLI
 LEAVE_MICROS = 1_500 * MILLI
 LEAVING_MICROS = 10 * SECOND
-FORGET_FACTOR = 3
-LEAST_VOTERS = 3
-NEVER_LEVEL = 2**62
+MEMBER_REMOVAL_FACTOR = 3
+MIN_VOTERS = 3
+NEVER_CAUGHT_UP_INDEX = 2**62
 
 
 @dataclass(frozen=True)
-class Exchange:
+class VoterReplacement:
     """A voter that becomes a learner, and the learner that takes its vote."""
 
     outgoing: str
@@ -57,7 +57,7 @@
     def __init__(
         self,
         identity: str,
-        startup: Startup,
+        startup: StartupConfig,
         founders: list[str],
         raft: RaftMember,
         courier: RpcEndpoint,
@@ -74,7 +74,7 @@
         self.clock = clock
         self.fail = fail
         self.leader_since = 0
-        self.level_index = NEVER_LEVEL
+        self.caught_up_index = NEVER_CAUGHT_UP_INDEX
         self.is_leaving = False
         self.leaving_until: dict[str, int] = {}
 
@@ -83,22 +83,22 @@
     async def run(self) -> None:
         """An empty member founds if it is first and all founders are empty; else it asks to join."""
         while True:
-            if not self.is_leaving and not self._is_led():
-                if self.raft.is_empty() and await self._may_found():
+            if not self.is_leaving and not self._has_current_leader():
+                if self.raft.is_empty() and await self._may_bootstrap():
                     LOGGER.info("control_plane: Founds the core.")
-                    await self._found()
+                    await self._bootstrap_cluster()
                 else:
-                    await self._ask_to_join()
-            await rest(self.clock, JOIN_MICROS)
+                    await self._request_join()
+            await rest(self.clock, JOIN_RETRY_MICROS)
 
-    def _is_led(self) -> bool:
+    def _has_current_leader(self) -> bool:
         """A member by its own log may have been let go since: then nobody leads it any more."""
         if self.raft.is_leader():
             return True
         was_heard = self.clock.now() - self.raft.heard_leader_micros <= ALONE_MICROS
         return was_heard and self.identity in self.raft.membership().addresses
 
-    async def _found(self) -> None:
+    async def _bootstrap_cluster(self) -> None:
         try:
             await self.raft.bootstrap(self.startup.address, len(self.founders), self.startup.area)
         except OSError as disk_error:
@@ -106,27 +106,27 @@
                 self.fail(f"the disk failed: {disk_error}")
             LOGGER.error("control_plane: The disk is full, so nothing is founded yet.")
 
-    async def _may_found(self) -> bool:
+    async def _may_bootstrap(self) -> bool:
         founders = self.founders
         if not founders or founders[0] != self.startup.address:
             return False
         given_results = await asyncio.gather(
-            *(self.courier.ask(a, "found_ask", FoundAsk(), JOIN_ASK_MICROS) for a in founders[1:])
+            *(self.courier.ask(a, "found_ask", FoundAsk(), JOIN_REQUEST_TIMEOUT_MICROS) for a in founders[1:])
         )
         return all(not isinstance(a, Err) and a.ok_value.empty for a in given_results)
 
-    async def _ask_to_join(self) -> None:
+    async def _request_join(self) -> None:
         """All that may know the leader are asked at once, so that one in the dark holds nothing up."""
         known = [r.address for r in self.directory.members("control_plane")]
         known += self.raft.voters().values()
         addresses = {*known, *self.startup.seeds} - {self.startup.address}
         join_ask = JoinAsk(address=self.startup.address, zone=self.startup.area)
         given_results = await asyncio.gather(
-            *(self.courier.ask(a, "join_ask", join_ask, JOIN_ASK_MICROS) for a in sorted(addresses))
+            *(self.courier.ask(a, "join_ask", join_ask, JOIN_REQUEST_TIMEOUT_MICROS) for a in sorted(addresses))
         )
         leaders = {r.ok_value.leader_address for r in given_results if not isinstance(r, Err)}
         for leader in sorted(leaders - addresses - {"", self.startup.address}):
-            await self.courier.ask(leader, "join_ask", join_ask, JOIN_ASK_MICROS)
+            await self.courier.ask(leader, "join_ask", join_ask, JOIN_REQUEST_TIMEOUT_MICROS)
 
     async def make_found_result(self, identity: str, address: str, ask: FoundAsk) -> FoundResult:
         """Whether this core knows of nothing founded yet."""
@@ -134,7 +134,7 @@
 
     async def make_join_result(self, identity: str, address: str, ask: JoinAsk) -> JoinResult:
         """Takes a machine in as a learner, if this core leads; else it names the leader that it knows."""
-        end_micros = self.clock.now() + JOIN_ASK_MICROS
+        end_micros = self.clock.now() + JOIN_REQUEST_TIMEOUT_MICROS
         while self.raft.is_leader() and self.clock.now() < end_micros:
             members = self.raft.members()
             if any(m.identity == identity for m in members.member):
@@ -145,36 +145,40 @@
             if await self._change([*staying, learner]):
                 LOGGER.info("control_plane: Takes in a core as a learner. core=%s", identity[:8])
                 return JoinResult(taken=True)
-            await rest(self.clock, CARE_MICROS)
+            await rest(self.clock, RECONCILE_INTERVAL_MICROS)
         return JoinResult(leader_address=self.raft.leader_address())
 
     # ---- how many vote, and whether enough do --------------------------------------------------------
 
-    def target_voters(self) -> int:
+    def target_voter_count(self) -> int:
         """2 f + 1 for the losses f that the deployment promises to bear; as founded where it does not say."""
         if self.startup.toleratedLosses:
             return 2 * self.startup.toleratedLosses + 1
         members = self.raft.members()
-        return members.wanted or max(sum(m.voter for m in members.member), len(self.founders) or LEAST_VOTERS)
+        return members.wanted or max(sum(m.voter for m in members.member), len(self.founders) or MIN_VOTERS)
 
-    def is_founded(self) -> bool:
+    def is_bootstrap_complete(self) -> bool:
         """Nothing is acknowledged before so many vote that a loss does not matter, nor while more come in."""
-        return len(self.raft.voters()) >= min(self.target_voters(), LEAST_VOTERS) and not self._is_gathering()
+        return (
+            len(self.raft.voters()) >= min(self.target_voter_count(), MIN_VOTERS) and not self._is_awaiting_founders()
+        )
 
-    def _is_gathering(self) -> bool:
+    def _is_awaiting_founders(self) -> bool:
         """Other empty cores may be on their way in: what is acknowledged must be theirs as well."""
         if len(self.founders) == 1:
             return False
-        led_micros = self.clock.now() - self.leader_since
+        leading_micros = self.clock.now() - self.leader_since
         voters = self.raft.voters()
         is_known = any(r.identity not in voters for r in self.directory.members("control_plane"))
-        is_awaited = is_known and len(voters) < self.target_voters()
-        return led_micros < GATHER_MICROS[0] or (is_awaited and led_micros < GATHER_MICROS[1])
+        is_awaiting_members = is_known and len(voters) < self.target_voter_count()
+        return leading_micros < FOUNDING_GRACE_MICROS[0] or (
+            is_awaiting_members and leading_micros < FOUNDING_GRACE_MICROS[1]
+        )
 
     def take_leadership(self, leads: bool) -> None:
         """What a former leader knew of others counts no more."""
         self.leader_since = self.clock.now()
-        self.level_index = NEVER_LEVEL
+        self.caught_up_index = NEVER_CAUGHT_UP_INDEX
 
     # ---- leaving ---------------------------------------------------------------------------------------
 
@@ -182,9 +186,11 @@
         """Before a planned end: gives the vote to a member that stands by, then leadership to another."""
         self.is_leaving = True
         if self.raft.is_leader():
-            await self._let_leave(self.identity)
+            await self._release_vote(self.identity)
         elif self.raft.leader_address():
-            await self.courier.ask(self.raft.leader_address(), "leave_ask", LeaveAsk(), LEAVE_MICROS + JOIN_ASK_MICROS)
+            await self.courier.ask(
+                self.raft.leader_address(), "leave_ask", LeaveAsk(), LEAVE_MICROS + JOIN_REQUEST_TIMEOUT_MICROS
+            )
         if self.raft.transfer_leadership():
             end_micros = self.clock.now() + 2 * SECOND
             while self.raft.is_leader() and self.clock.now() < end_micros:
@@ -192,21 +198,21 @@
 
     async def make_leave_result(self, identity: str, address: str, ask: LeaveAsk) -> LeaveResult:
         """Whether the asker votes no more. A mere restart, with nobody standing by, keeps its vote."""
-        return LeaveResult(left=await self._let_leave(identity))
+        return LeaveResult(left=await self._release_vote(identity))
 
-    async def _let_leave(self, identity: str) -> bool:
+    async def _release_vote(self, identity: str) -> bool:
         end_micros = self.clock.now() + LEAVE_MICROS
         self.leaving_until[identity] = self.clock.now() + LEAVING_MICROS
         while self.raft.is_leader() and self.clock.now() < end_micros:
             if identity not in self.raft.voters():
                 return True
-            learners = [m for m in self.raft.members().member if not m.voter and self._answers(m.identity)]
+            learners = [m for m in self.raft.members().member if not m.voter and self._is_responsive(m.identity)]
             if not any(self._may_vote(m) for m in learners):
                 return False
-            standby = self._choose_standby(identity)
-            if standby is not None and await self._exchange(Exchange(identity, standby)):
+            replacement_voter = self._choose_replacement_voter(identity)
+            if replacement_voter is not None and await self._exchange(VoterReplacement(identity, replacement_voter)):
                 return True
-            await rest(self.clock, CARE_MICROS)
+            await rest(self.clock, RECONCILE_INTERVAL_MICROS)
         return False
 
     # ---- looking after the members -----------------------------------------------------------------------
@@ -214,38 +220,40 @@
     async def care(self) -> None:
         """As long as this core leads: one agreed change after the other until nothing is left to do."""
         while True:
-            await rest(self.clock, CARE_MICROS)
+            await rest(self.clock, RECONCILE_INTERVAL_MICROS)
             if self.raft.settled():
-                level_index = self.raft.commit_index
-                while self.raft.settled() and await self._care_once():
+                caught_up_index = self.raft.commit_index
+                while self.raft.settled() and await self._reconcile_once():
                     pass
-                self.level_index = level_index
+                self.caught_up_index = caught_up_index
 
-    async def _care_once(self) -> bool:
+    async def _reconcile_once(self) -> bool:
         members = self.raft.members()
         if members.joint:
             return False
         voters = [m for m in members.member if m.voter]
-        target = self.target_voters()
-        lost = [m.identity for m in voters if self._silence(m.identity) > EXCHANGE_MICROS]
+        target = self.target_voter_count()
+        lost = [m.identity for m in voters if self._micros_since_heard(m.identity) > EXCHANGE_MICROS]
         if len(voters) > target:
-            surplus = lost[0] if lost else self._least_needed(voters)
-            return await self._set_votes({surplus: False})
-        standby = self._choose_standby(lost[0] if lost else "")
-        if standby is not None and len(voters) < target:
-            return await self._set_votes({standby: True})
-        if standby is not None and lost:
-            return await self._exchange(Exchange(lost[0], standby))
-        if standby is not None and (crowded := self._crowding_voter(voters, standby)):
-            return await self._exchange(Exchange(crowded, standby))
-        return await self._forget_one(voters)
-
-    async def _forget_one(self, voters: list[Member]) -> bool:
+            excess_voter = lost[0] if lost else self._most_dispensable_voter(voters)
+            return await self._set_votes({excess_voter: False})
+        replacement_voter = self._choose_replacement_voter(lost[0] if lost else "")
+        if replacement_voter is not None and len(voters) < target:
+            return await self._set_votes({replacement_voter: True})
+        if replacement_voter is not None and lost:
+            return await self._exchange(VoterReplacement(lost[0], replacement_voter))
+        if replacement_voter is not None and (
+            overrepresented := self._overrepresented_voter(voters, replacement_voter)
+        ):
+            return await self._exchange(VoterReplacement(overrepresented, replacement_voter))
+        return await self._remove_unresponsive_member(voters)
+
+    async def _remove_unresponsive_member(self, voters: list[Member]) -> bool:
         """A learner that was silent for long goes; so does a voter, while more than three vote."""
-        limit_micros = FORGET_FACTOR * self.startup.lostAfterMicros
+        limit_micros = MEMBER_REMOVAL_FACTOR * self.startup.lostAfterMicros
         for member in self.raft.members().member:
-            may_go = not member.voter or len(voters) > LEAST_VOTERS
-            if may_go and self._silence(member.identity) > limit_micros:
+            may_go = not member.voter or len(voters) > MIN_VOTERS
+            if may_go and self._micros_since_heard(member.identity) > limit_micros:
                 LOGGER.info("control_plane: Lets go of a core. core=%s", member.identity[:8])
                 return await self._change([m for m in self.raft.members().member if m != member])
         return False
@@ -260,46 +268,48 @@
             ]
         )
 
-    async def _exchange(self, exchange: Exchange) -> bool:
+    async def _exchange(self, exchange: VoterReplacement) -> bool:
         """One joint change: at no moment are more members needed than before it (§4.1)."""
         return await self._set_votes({exchange.outgoing: False, exchange.incoming: True})
 
     async def _change(self, changed: Iterable[Member]) -> bool:
-        outcome = await self.raft.change_members(Members(member=changed, wanted=self.target_voters()))
+        outcome = await self.raft.change_members(Members(member=changed, wanted=self.target_voter_count()))
         return not isinstance(outcome, Err)
 
-    def _choose_standby(self, outgoing: str) -> str | None:
+    def _choose_replacement_voter(self, outgoing: str) -> str | None:
         """A level learner, from the zone where the fewest of the other voters are."""
         members = self.raft.members().member
-        voters_in = Counter(m.zone for m in members if m.voter and m.identity != outgoing)
-        standing_by = [m for m in members if not m.voter and self._may_vote(m) and self._is_level(m.identity)]
-        chosen = min(standing_by, key=lambda m: (voters_in[m.zone], m.address), default=None)
+        voters_by_zone = Counter(m.zone for m in members if m.voter and m.identity != outgoing)
+        replacement_candidates = [
+            m for m in members if not m.voter and self._may_vote(m) and self._is_caught_up(m.identity)
+        ]
+        chosen = min(replacement_candidates, key=lambda m: (voters_by_zone[m.zone], m.address), default=None)
         return chosen.identity if chosen is not None else None
 
     def _may_vote(self, member: Member) -> bool:
         return self.leaving_until.get(member.identity, 0) <= self.clock.now()
 
-    def _crowding_voter(self, voters: list[Member], standby: str) -> str:
+    def _overrepresented_voter(self, voters: list[Member], replacement_voter: str) -> str:
         """A voter whose zone has at least two more than that of the member that stands by; empty if there is none."""
-        voters_in = Counter(m.zone for m in voters)
-        standby_zone = next(m.zone for m in self.raft.members().member if m.identity == standby)
-        crowded = [m for m in voters if voters_in[m.zone] >= voters_in[standby_zone] + 2]
-        return self._least_needed(crowded) if crowded else ""
+        voters_by_zone = Counter(m.zone for m in voters)
+        replacement_zone = next(m.zone for m in self.raft.members().member if m.identity == replacement_voter)
+        overrepresented = [m for m in voters if voters_by_zone[m.zone] >= voters_by_zone[replacement_zone] + 2]
+        return self._most_dispensable_voter(overrepresented) if overrepresented else ""
 
-    def _least_needed(self, voters: list[Member]) -> str:
-        voters_in = Counter(m.zone for m in voters)
-        return max(voters, key=lambda m: (m.identity != self.identity, voters_in[m.zone], m.address)).identity
+    def _most_dispensable_voter(self, voters: list[Member]) -> str:
+        voters_by_zone = Counter(m.zone for m in voters)
+        return max(voters, key=lambda m: (m.identity != self.identity, voters_by_zone[m.zone], m.address)).identity
 
-    def _silence(self, identity: str) -> int:
+    def _micros_since_heard(self, identity: str) -> int:
         """How long nothing was heard of a member, in microseconds; at most since this core leads."""
         follower = self.raft.followers.get(identity)
         return self.clock.now() - follower.heard_micros if follower is not None else 0
 
-    def _is_level(self, identity: str) -> bool:
+    def _is_caught_up(self, identity: str) -> bool:
         """Has all that was committed when members were last looked after, and answers."""
-        return self._answers(identity) and self.raft.followers[identity].match_index >= self.level_index
+        return self._is_responsive(identity) and self.raft.followers[identity].match_index >= self.caught_up_index
 
-    def _answers(self, identity: str) -> bool:
+    def _is_responsive(self, identity: str) -> bool:
         if identity == self.identity:
             return True
         follower = self.raft.followers.get(identity)
--- a/src/pearhead/control_plane/metrics.py
+++ b/src/pearhead/control_plane/metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.registry import Collector
 
 from pearhead.consensus.state import Role
-from pearhead.control_plane.core import CoreProcess
+from pearhead.control_plane.core_process import CoreProcess
 from pearhead.rpc.metrics import MessageCollector
 from pearhead.runtime.clock import SECOND
 from pearhead.runtime.collectors import LinkCollector
--- a/src/pearhead/control_plane/operatorapi.py
+++ b/src/pearhead/control_plane/operator_api.py
@@ -8,9 +8,9 @@
 from prometheus_client import CollectorRegistry
 from tornado.web import Application, RequestHandler
 
-from pearhead.config.startup import Startup, is_operator
-from pearhead.control_plane.change import to_json
-from pearhead.control_plane.core import CoreProcess
+from pearhead.config.startup import StartupConfig, has_operator_key
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.description_change import to_json
 from pearhead.rpc.wire_pb2 import Command, CommandResult, Worker
 from pearhead.runtime.metrics import metrics_routes
 
@@ -18,12 +18,12 @@
 
 
 class OperatorHandler(RequestHandler):
-    def initialize(self, core: CoreProcess, startup: Startup) -> None:
+    def initialize(self, core: CoreProcess, startup: StartupConfig) -> None:
         self.core = core
         self.startup = startup
 
     def prepare(self) -> None:
-        if not is_operator(self.startup, self.request.headers.get("Authorization", "")):
+        if not has_operator_key(self.startup, self.request.headers.get("Authorization", "")):
             self.set_status(401)
             self.finish({"status": "refused", "faults": ["a wrong operator key"]})
 
@@ -132,11 +132,11 @@
         state = await self.core.read_fleet()
         if state is None:
             self.set_status(503)
-            self.finish({"status": "unavailable", "leader": self._leader_http()})
+            self.finish({"status": "unavailable", "leader": self._leader_http_address()})
             return
         self.finish(state)
 
-    def _leader_http(self) -> str:
+    def _leader_http_address(self) -> str:
         leader_address = self.core.raft.leader_address()
         records = self.core.directory.members("control_plane")
         return next((r.httpAddress for r in records if r.address == leader_address), "")
@@ -163,14 +163,16 @@
 class SoundnessHandler(RequestHandler):
     """Open to the platform, which asks whether a core lives."""
 
-    def initialize(self, core: CoreProcess, startup: Startup) -> None:
+    def initialize(self, core: CoreProcess, startup: StartupConfig) -> None:
         self.core = core
 
     def get(self) -> None:
         self.finish(self.core.soundness())
 
 
-def build_operator_api(core: CoreProcess, startup: Startup, registry: CollectorRegistry | None = None) -> Application:
+def build_operator_api(
+    core: CoreProcess, startup: StartupConfig, registry: CollectorRegistry | None = None
+) -> Application:
     parts = {"core": core, "startup": startup}
     return Application(
         [
--- a/src/pearhead/control_plane/rescue.py
+++ b/src/pearhead/control_plane/quorum_loss_recovery.py
@@ -9,17 +9,17 @@
 from pearhead.rpc.wire_pb2 import Entry, LogRecord, Mark, Member, Members
 from pearhead.runtime.disk import Disk
 
-CONSENT = "acknowledged work may be lost"
+REQUIRED_CONSENT = "acknowledged work may be lost"
 
 
-class Rescue:
+class QuorumLossRecovery:
     """Makes the one core that is left the only voter; empty machines then join it as usual."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
 
     async def run(self, identity: str, address: str, consent: str) -> Result[int, str]:
-        if consent != CONSENT:
+        if consent != REQUIRED_CONSENT:
             return Err(f"say --consent '{CONSENT}', and mean it")
         if "identity" not in self.disk.names():
             return Err("no core ever ran in this folder")
@@ -36,7 +36,7 @@
         wanted = held[-1].wanted if held else 0
         # Two epochs up, so that nothing of the old membership can match it.
         epoch = recovered.mark.epoch + 2
-        alone = Members(member=[Member(identity=identity, address=address, voter=True)], wanted=wanted)
-        entry = Entry(index=last_index + 1, epoch=epoch, kind=KIND_MEMBERS, payload=alone.SerializeToString())
+        sole_voter = Members(member=[Member(identity=identity, address=address, voter=True)], wanted=wanted)
+        entry = Entry(index=last_index + 1, epoch=epoch, kind=KIND_MEMBERS, payload=sole_voter.SerializeToString())
         await wal.append([LogRecord(mark=Mark(epoch=epoch, voted_for=identity)), LogRecord(entry=entry)])
         return Ok(entry.index)
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -4,7 +4,7 @@
 
 from pearhead.consensus.log import KIND_COMMAND
 from pearhead.consensus.raft import RaftMember
-from pearhead.control_plane.fleet import Fleet
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.rpc.delta_compression import DeltaCompressor
 from pearhead.rpc.wire_pb2 import Entry, TermAsk, TermResult
 
@@ -17,7 +17,7 @@
         self.raft = raft
         self.fleet = fleet
         self.packer = DeltaCompressor()
-        self.touching_places: dict[tuple[int, int], bool] = {}
+        self.view_changes_by_position: dict[tuple[int, int], bool] = {}
 
     def take_leadership(self, leads: bool) -> None:
         """What was packed for an earlier leader's nodes goes."""
@@ -34,10 +34,12 @@
     def _touches_view(self, entry: Entry) -> bool:
         """Each node asks three times a second, and a command may be large: it is read once."""
         place = (entry.epoch, entry.index)
-        if place not in self.touching_places:
-            self.touching_places = {p: t for p, t in self.touching_places.items() if p[1] > self.raft.applied_index}
-            self.touching_places[place] = Fleet.touches_view(entry.payload)
-        return self.touching_places[place]
+        if place not in self.view_changes_by_position:
+            self.view_changes_by_position = {
+                p: t for p, t in self.view_changes_by_position.items() if p[1] > self.raft.applied_index
+            }
+            self.view_changes_by_position[place] = Fleet.changes_view(entry.payload)
+        return self.view_changes_by_position[place]
 
     async def make_term_result(self, identity: str, address: str, ask: TermAsk) -> TermResult:
         """The members, the last visible index, and what the node lacks, where it asks for that."""
--- a/src/pearhead/pearheadctl/main.py
+++ b/src/pearhead/pearheadctl/main.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from pearhead.pearheadctl.operator import OperatorCommand, OperatorError
-from pearhead.pearheadctl.shell import QueryCommand
+from pearhead.pearheadctl.operator_command import OperatorCommand, OperatorError
+from pearhead.pearheadctl.query_command import QueryCommand
 from pearhead.runtime.command_line import run_command
 
 
--- a/src/pearhead/pearheadctl/operator.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -16,8 +16,8 @@
 
 from pearhead.config.description import read_description
 
-PARTIAL_NAMES = ("lines", "services", "entries", "tenants")
-PARTIAL_TRIES = 5
+MERGED_LIST_NAMES = ("lines", "services", "entries", "tenants")
+PARTIAL_APPLY_ATTEMPTS = 5
 
 
 class OperatorError(Exception):
@@ -43,7 +43,7 @@
     """Named items go over those of the same name; all else stays."""
     merged = json.loads(json.dumps(present))
     for name, value in partial.items():
-        if name in PARTIAL_NAMES and isinstance(value, list):
+        if name in MERGED_LIST_NAMES and isinstance(value, list):
             by_name = {item.get("name"): item for item in merged.get(name, [])}
             by_name.update({item.get("name"): item for item in value})
             merged[name] = list(by_name.values())
@@ -70,13 +70,13 @@
     def apply(self, file: str, base: int = -1, partial: bool = False, apply_id: str = "", by: str = "") -> None:
         """Applies a whole file, or by --partial its named items. --base refuses if another came first."""
         given = read_file(file)
-        for _ in range(PARTIAL_TRIES):
-            present = self._fleet()
-            used_base = base if base >= 0 else present["descriptionRevision"]
+        for _ in range(PARTIAL_APPLY_ATTEMPTS):
+            present = self._fetch_fleet()
+            effective_base = base if base >= 0 else present["descriptionRevision"]
             description = merge_partial(present["description"], given) if partial else given
             body = {
                 "applyId": apply_id or secrets.token_hex(12),
-                "base": used_base,
+                "base": effective_base,
                 "description": description,
                 "by": by or os.environ.get("USER", ""),
             }
@@ -87,18 +87,18 @@
 
     def diff(self, file: str) -> None:
         """Shows what applying a whole file would change."""
-        present_text = json.dumps(self._fleet()["description"], indent=2, sort_keys=True).splitlines()
+        present_text = json.dumps(self._fetch_fleet()["description"], indent=2, sort_keys=True).splitlines()
         given_text = json.dumps(read_file(file), indent=2, sort_keys=True).splitlines()
         print("\n".join(difflib.unified_diff(present_text, given_text, "in force", file, lineterm="")))
 
     def show(self) -> None:
         """Prints the description in force and its revision."""
-        state = self._fleet()
+        state = self._fetch_fleet()
         print(json.dumps({k: state[k] for k in ("descriptionRevision", "description")}, indent=2))
 
     def history(self) -> None:
         """Prints the applied revisions, the latest last."""
-        for item in self._fleet()["history"]:
+        for item in self._fetch_fleet()["history"]:
             print(f"{item['revision']:>8} {item['hash']} {item['by']}")
 
     def outcome(self, apply_id: str) -> None:
@@ -108,7 +108,7 @@
 
     def weights(self, line: str, name: str, base: int = -1, apply_id: str = "") -> None:
         """Names new weights for a model line; refused if other ones were named since --base, or since now."""
-        present = self._fleet()["weights"].get(line, {}).get("revision", 0)
+        present = self._fetch_fleet()["weights"].get(line, {}).get("revision", 0)
         body = {
             "line": line,
             "weights": name,
@@ -126,7 +126,7 @@
         A file keeps the marks of the machines that it lists; --base refuses if the list changed since.
         """
         if not (file or leaving or staying or removed):
-            print(json.dumps(self._fleet()["workers"], indent=2, sort_keys=True))
+            print(json.dumps(self._fetch_fleet()["workers"], indent=2, sort_keys=True))
             return
         body: dict[str, Any] = {"base": base, "applyId": apply_id or secrets.token_hex(12)}
         if file:
@@ -151,7 +151,7 @@
             except OSError as fault:
                 print(f"{address} did not answer: {fault}")
 
-    def _fleet(self) -> dict[str, Any]:
+    def _fetch_fleet(self) -> dict[str, Any]:
         status, given_result = self._call("/fleet", None)
         if status != 200:
             raise OperatorError("no core leads now; try again")
@@ -159,19 +159,19 @@
 
     def _call(self, path: str, body: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
         """Goes on to the next core only where the last one surely did nothing."""
-        last_fault = "no core address was given: use --core or PEARHEAD_CORE"
+        last_error = "no core address was given: use --core or PEARHEAD_CORE"
         for address in [a for a in self._cores if a]:
             try:
                 status, given_result = self._call_one(address, path, body)
             except OSError as fault:
-                last_fault = f"{address}: {fault}"
+                last_error = f"{address}: {fault}"
                 if body is not None and not isinstance(getattr(fault, "reason", fault), ConnectionRefusedError):
                     raise OperatorError(f"{last_fault}; the outcome is not known") from fault
                 continue
             if given_result.get("status") != "unavailable":
                 return status, given_result
-            last_fault = f"{address}: unavailable"
-        raise OperatorError(last_fault)
+            last_error = f"{address}: unavailable"
+        raise OperatorError(last_error)
 
     def _call_one(self, address: str, path: str, body: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
         headers = {"Content-Type": "application/json"}
--- a/src/pearhead/pearheadctl/shell.py
+++ b/src/pearhead/pearheadctl/query_command.py
@@ -12,11 +12,11 @@
 import urllib.request
 from typing import Any
 
-RESULT_SECONDS = 2.0
+QUERY_TIMEOUT_SECONDS = 2.0
 Row = dict[str, Any]
 
 
-class FleetReader:
+class FleetQueryClient:
     """Finds every process through any core's or node's directory, and asks all at once."""
 
     def __init__(self, start_addresses: list[str], key: str) -> None:
@@ -54,7 +54,7 @@
         headers = {"Authorization": f"Bearer {self.key}"} if self.key else {}
         request = urllib.request.Request(f"http://{address}{path}", headers=headers)
         try:
-            with urllib.request.urlopen(request, timeout=RESULT_SECONDS) as response:
+            with urllib.request.urlopen(request, timeout=QUERY_TIMEOUT_SECONDS) as response:
                 return dict(json.load(response))
         except urllib.error.HTTPError as fault:
             return f"status {fault.code}"
@@ -66,9 +66,9 @@
     """Questions to the fleet. --at is one or more HTTP addresses of any processes, or PEARHEAD_CORE."""
 
     def __init__(self, at: str = "", key: str = "", json: bool = False) -> None:
-        at_text = at or os.environ.get("PEARHEAD_CORE", "")
-        addresses = at_text.split(",") if isinstance(at_text, str) else list(at_text)
-        self._reader = FleetReader([a for a in addresses if a], key or os.environ.get("PEARHEAD_OPERATOR_KEY", ""))
+        addresses_text = at or os.environ.get("PEARHEAD_CORE", "")
+        addresses = addresses_text.split(",") if isinstance(addresses_text, str) else list(addresses_text)
+        self._reader = FleetQueryClient([a for a in addresses if a], key or os.environ.get("PEARHEAD_OPERATOR_KEY", ""))
         self._is_json = json
 
     def members(self) -> None:
--- a/src/pearhead/router/copy_index.py
+++ b/src/pearhead/router/copy_index.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from pearhead.config.view import LoadFact
+from pearhead.config.view import LoadRecord
 
 KEYS_PER_WORKER = 50_000
 KEY_TABLE_LIMIT = 200_000
@@ -60,7 +60,7 @@
         while len(self.part_by_key) > KEY_TABLE_LIMIT:
             self.part_by_key.popitem(last=False)
 
-    def longest_cached_prefix(self, worker: str, load: LoadFact | None, keys: list[str]) -> int:
+    def longest_cached_prefix(self, worker: str, load: LoadRecord | None, keys: list[str]) -> int:
         """How many leading keys the worker keeps, counting only copies tied to its load (§6.5)."""
         held = self.copies.get(worker)
         if held is None or load is None or held.life != load.life:
@@ -80,7 +80,7 @@
             0,
         )
 
-    def record_verified_keys(self, load: LoadFact | None, life: str, from_sequence: int, kept: Iterable[str]) -> None:
+    def record_verified_keys(self, load: LoadRecord | None, life: str, from_sequence: int, kept: Iterable[str]) -> None:
         """A store's list names no weights: its copy counts only if a tied worker made that key (§6.5)."""
         if load is None or load.life != life or from_sequence < load.sequence:
             return
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.config.view import View
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_listener import RevisionListener
@@ -77,7 +77,7 @@
 class GatewayProcess:
     def __init__(
         self,
-        startup: Startup,
+        startup: StartupConfig,
         settings: GatewaySettings,
         clock: Clock,
         net: Net,
--- a/src/pearhead/router/job.py
+++ b/src/pearhead/router/job.py
@@ -9,9 +9,9 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.checked import read_checked
+from pearhead.config.dataclass_parser import parse_dataclass
 from pearhead.config.description import CapabilityEntry, Tenant
-from pearhead.config.view import View, WorkerFact
+from pearhead.config.view import View, WorkerRecord
 from pearhead.router.errors import ErrorKind, Refusal
 
 JOB_ID_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,64}\Z")
@@ -36,14 +36,14 @@
 
 @dataclass
 class Placement:
-    worker: WorkerFact
+    worker: WorkerRecord
     weights_name: str = ""
     weights_revision: int = 0
     salt: str = ""
     keys: list[str] = field(default_factory=list)
     reused_parts: int = 0
     missed_tokens: int = 0
-    fetch_from: WorkerFact | None = None
+    fetch_from: WorkerRecord | None = None
     fetch_parts: int = 0
     fetch_limit_micros: int = 0
     why: str = ""
@@ -74,7 +74,7 @@
         return Err(Refusal(ErrorKind.MALFORMED, NESTING_LIMIT_TEXT))
     except ValueError as fault:
         return Err(Refusal(ErrorKind.MALFORMED, str(fault)))
-    checked = read_checked(JobRequest, data)
+    checked = parse_dataclass(JobRequest, data)
     if isinstance(checked, Err):
         is_unknown = all(f.endswith("unknown field") for f in checked.err_value)
         kind = ErrorKind.UNKNOWN_FIELD if is_unknown else ErrorKind.MALFORMED
--- a/src/pearhead/router/job_api.py
+++ b/src/pearhead/router/job_api.py
@@ -11,7 +11,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import Application, RequestHandler, stream_request_body
 
-from pearhead.config.startup import Startup, is_operator
+from pearhead.config.startup import StartupConfig, has_operator_key
 from pearhead.router.errors import ERROR_TABLE, NOT_RUN, ErrorKind, Refusal
 from pearhead.router.job import parse_job
 from pearhead.router.job_transport import ClientDisconnectedError
@@ -21,7 +21,7 @@
 
 @stream_request_body
 class JobHandler(RequestHandler):
-    def initialize(self, node: NodeProcess, startup: Startup) -> None:
+    def initialize(self, node: NodeProcess, startup: StartupConfig) -> None:
         self.node = node
         self.startup = startup
         self.line_count = 0
@@ -122,12 +122,12 @@
 class InspectHandler(RequestHandler):
     """What `pearheadctl query` asks; for operators only where an operator key is set."""
 
-    def initialize(self, node: NodeProcess, startup: Startup) -> None:
+    def initialize(self, node: NodeProcess, startup: StartupConfig) -> None:
         self.node = node
         self.startup = startup
 
     def get(self) -> None:
-        if not is_operator(self.startup, self.request.headers.get("Authorization", "")):
+        if not has_operator_key(self.startup, self.request.headers.get("Authorization", "")):
             self.set_status(401)
             self.finish({})
             return
@@ -140,7 +140,7 @@
         self.finish({"error": ErrorKind.MALFORMED.value, "ran": NOT_RUN, "detail": "no such path"})
 
 
-def build_job_api(node: NodeProcess, startup: Startup, registry: CollectorRegistry | None = None) -> Application:
+def build_job_api(node: NodeProcess, startup: StartupConfig, registry: CollectorRegistry | None = None) -> Application:
     return Application(
         [
             ("/v1/jobs", JobHandler, {"node": node, "startup": startup}),
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from pearhead.config.description import CapabilityEntry, owner_of
-from pearhead.config.view import View, WorkerFact
+from pearhead.config.view import View, WorkerRecord
 from pearhead.invalidation.cache_keys import cache_salt, chain_keys
 from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.copy_index import CopyIndex
@@ -141,7 +141,7 @@
     def record_success(self, worker: str) -> None:
         self.unhealthy_until.pop(worker, None)
 
-    def _candidates(self, view: View, job: Job, is_model: bool) -> list[WorkerFact]:
+    def _candidates(self, view: View, job: Job, is_model: bool) -> list[WorkerRecord]:
         assert job.entry is not None
         now_micros = self.clock.now()
         found = [
@@ -179,7 +179,7 @@
         since_micros = self.keeper.superseded_since(line, load.weights_revision)
         return since_micros is not None and self.clock.now() - since_micros < self.old_weights_micros
 
-    def _place_on_model(self, view: View, job: Job, candidates: list[WorkerFact]) -> Placement:
+    def _place_on_model(self, view: View, job: Job, candidates: list[WorkerRecord]) -> Placement:
         assert job.entry is not None and job.tenant is not None
         entry = job.entry
         line, owner = entry.line, owner_of(job.tenant)
@@ -217,7 +217,7 @@
         tokens = [p.tokens for p in job.request.prefix]
         rank_text = current_keys[0] if current_keys and self.uses_index else job.job_id
 
-        def rank(worker: WorkerFact) -> tuple[int, int, bytes]:
+        def rank(worker: WorkerRecord) -> tuple[int, int, bytes]:
             name_hash = hashlib.blake2b(f"{rank_text}/{worker.name}".encode(), digest_size=8).digest()
             if current_keys and self.uses_index:
                 missed_tokens = sum(tokens[cached_part_counts[worker.name] :])
@@ -249,8 +249,8 @@
         return placement
 
     def _candidates_in_roll_out(
-        self, view: View, job: Job, candidates: list[WorkerFact], on_current_weights: list[WorkerFact]
-    ) -> list[WorkerFact]:
+        self, view: View, job: Job, candidates: list[WorkerRecord], on_current_weights: list[WorkerRecord]
+    ) -> list[WorkerRecord]:
         assert job.entry is not None
         line = job.entry.line
         present = view.weights[line]
@@ -273,7 +273,7 @@
             else on_current_weights + waiting or candidates
         )
 
-    def _plan_fetch(self, view: View, job: Job, placement: Placement, workers: list[WorkerFact]) -> None:
+    def _plan_fetch(self, view: View, job: Job, placement: Placement, workers: list[WorkerRecord]) -> None:
         """Fetches only what is current, tied, of the same owner, and quicker than prefill (§8.6)."""
         assert job.entry is not None
         best_source, best_count = None, placement.reused_parts
--- a/src/pearhead/router/main.py
+++ b/src/pearhead/router/main.py
@@ -10,7 +10,7 @@
 from result import Err
 from tornado.netutil import bind_sockets
 
-from pearhead.config.startup import Startup, exit_with_faults, read_startup, startup_help
+from pearhead.config.startup import StartupConfig, exit_with_errors, read_startup, startup_help
 from pearhead.router.job_api import build_job_api
 from pearhead.router.metrics import build_node_registry
 from pearhead.router.node_process import NodeProcess
@@ -24,7 +24,7 @@
 FINAL_RESPONSE_MICROS = SECOND
 
 
-async def _serve(startup: Startup) -> int:
+async def _serve(startup: StartupConfig) -> int:
     clock = BootClock()
     net = SocketNet(startup.address)
     node = NodeProcess(startup, clock, net, TornadoJobTransport(), TornadoWorkerClient(), random.SystemRandom())
@@ -71,9 +71,9 @@
         if "help" in flags:
             print(startup_help("router"))
             return None
-        checked = read_startup(startup, flags, needs_folder=False)
+        checked = read_startup(startup, flags, requires_data_folder=False)
         if isinstance(checked, Err):
-            return exit_with_faults("router", checked.err_value)
+            return exit_with_errors("router", checked.err_value)
         configure_logging(checked.ok_value.logLevel)
         raise SystemExit(asyncio.run(_serve(checked.ok_value)))
 
@@ -82,9 +82,9 @@
         if "help" in flags:
             print(startup_help("router"))
             return None
-        checked = read_startup(startup, flags, needs_folder=False)
+        checked = read_startup(startup, flags, requires_data_folder=False)
         if isinstance(checked, Err):
-            return exit_with_faults("router", checked.err_value)
+            return exit_with_errors("router", checked.err_value)
         print("router: the startup is sound")
 
 
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -13,7 +13,7 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.admission import AdmissionController, AdmissionResult
@@ -49,7 +49,7 @@
 class NodeProcess:
     def __init__(
         self,
-        startup: Startup,
+        startup: StartupConfig,
         clock: Clock,
         net: Net,
         carrier: JobTransport,
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -12,7 +12,7 @@
 
 from result import Err, Result
 
-from pearhead.config.view import View, WorkerFact
+from pearhead.config.view import View, WorkerRecord
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.command_session import CommandSession
@@ -153,7 +153,7 @@
             identities, key=lambda i: hashlib.blake2b(f"{i}/{name}".encode(), digest_size=8).digest()
         )
 
-    def _service_role(self, view: View, worker: WorkerFact) -> str:
+    def _service_role(self, view: View, worker: WorkerRecord) -> str:
         return view.role_by_service.get(worker.service, "application")
 
     async def _request_lease(self, name: str, current_fence: int) -> None:
@@ -200,7 +200,7 @@
 
     # ---- what a holder does ----------------------------------------------------------------------
 
-    def _act_on_lease(self, view: View, worker: WorkerFact, hold: _WorkerLease) -> None:
+    def _act_on_lease(self, view: View, worker: WorkerRecord, hold: _WorkerLease) -> None:
         report = self.reports.setdefault(worker.name, _PollState())
         if not report.is_busy:
             report.is_busy = True
@@ -234,7 +234,7 @@
         hold = self.holds.get(name)
         return hold is not None and hold.fence == fence and self.clock.now() < hold.valid_until
 
-    async def _claim(self, worker: WorkerFact, fence: int) -> None:
+    async def _claim(self, worker: WorkerRecord, fence: int) -> None:
         """Before all else a new holder shows its fence, so that no late command of an older one counts (§7.2)."""
         claimed = await self.link.claim(worker.address, fence, lambda: self._is_within_term(worker.name, fence))
         if isinstance(claimed, Err):
@@ -245,7 +245,7 @@
             if hold.fence == fence and not isinstance(claimed, Err):
                 hold.claimed_life = claimed.ok_value["life"]
 
-    def _may_begin(self, view: View, worker: WorkerFact, line: str, revision: int, report: _PollState) -> bool:
+    def _may_begin(self, view: View, worker: WorkerRecord, line: str, revision: int, report: _PollState) -> bool:
         """Two waves: the first half at once, the rest when that half serves or is late (§7.3).
 
         Nodes leave a worker alone from then on, and its last jobs are waited for: not all drain by themselves.
@@ -270,7 +270,7 @@
         """By a poll that was asked after every node left the worker alone."""
         return report.load[0] == 0 and report.asked_micros >= from_micros + VIEW_PROPAGATION_MICROS
 
-    async def _load(self, worker: WorkerFact, fence: int, line: str, weights: str, revision: int) -> None:
+    async def _load(self, worker: WorkerRecord, fence: int, line: str, weights: str, revision: int) -> None:
         try:
             LOGGER.info("router: Loads weights. worker=%s weights=%s fence=%d", worker.name, weights, fence)
             loaded = await self.link.load(
@@ -301,7 +301,7 @@
             if worker.name in self.holds:
                 self.holds[worker.name].is_busy = False
 
-    async def _gather(self, worker: WorkerFact, report: _PollState) -> None:
+    async def _gather(self, worker: WorkerRecord, report: _PollState) -> None:
         try:
             asked_micros = self.clock.now()
             given_result = await self.link.events(worker.address, report.life, report.sequence)
@@ -356,7 +356,7 @@
         if revision is None or self.listener.last_revision_of(owner, line, part) == revision:
             await self.listener.bump(owner, line, part)
 
-    def _spread(self, worker: WorkerFact, body: dict[str, Any], from_sequence: int) -> None:
+    def _spread(self, worker: WorkerRecord, body: dict[str, Any], from_sequence: int) -> None:
         """Tells all nodes on the channel of a volume; those not told lose only speed (§6.5)."""
         kept, dropped = list(body["kept"]), list(body["dropped"])
         note = CopyNote(
--- a/src/pearhead/testbed/capacity/change_costs.py
+++ b/src/pearhead/testbed/capacity/change_costs.py
@@ -21,7 +21,7 @@
 
 from pearhead.consensus.raft import TICK_MICROS, RaftMember
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.fleet import Fleet
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.rpc.wire_pb2 import Command, ElectNow, Item, Member, Members
 from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import Timer
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -18,8 +18,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-from pearhead.config.view import LoadFact, View
-from pearhead.control_plane.fleet import Fleet
+from pearhead.config.view import LoadRecord, View
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.channel import CHANNEL_COUNT
 from pearhead.invalidation.revision_listener import RevisionListener
@@ -142,7 +142,7 @@
     before, chunks, taken = _resident(), [], 0
     worker_count = -(-blocks // KEYS_PER_WORKER)
     for number in range(worker_count):
-        name, load = f"worker-{number}", LoadFact("line", "life", 1, 1, 0, "w1")
+        name, load = f"worker-{number}", LoadRecord("line", "life", 1, 1, 0, "w1")
         wanted, sequence, spent = min(KEYS_PER_WORKER, blocks - taken), 0, 0.0
         while sequence < wanted:
             keys = [chance.randbytes(16).hex() for _ in range(min(KEYS_PER_NOTE, wanted - sequence))]
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -14,11 +14,11 @@
 from pearhead.consensus.elections import Elections
 from pearhead.consensus.membership import Membership
 from pearhead.consensus.replication import LeaderReplication
-from pearhead.control_plane import fleet as fleet_module
+from pearhead.control_plane import fleet_state as fleet_module
 from pearhead.control_plane import membership_controller
-from pearhead.control_plane.core import CoreProcess
-from pearhead.control_plane.fleet import Fleet
-from pearhead.control_plane.membership_controller import FORGET_FACTOR, MembershipController
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.membership_controller import MEMBER_REMOVAL_FACTOR, MembershipController
 from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import ChangeDescription, Members, TermResult, VoteAsk, VoteResult
 from pearhead.runtime.clock import SECOND
@@ -53,7 +53,7 @@
     real_change = Fleet._apply_change
 
     def apply(self: Fleet, index: int, command: ChangeDescription) -> dict[str, Any]:
-        if not self.has_taken(command):
+        if not self.has_applied_change(command):
             self.description_number = command.base_number = command.number - 1
             command.checked_revision = self.description_revision
         return real_change(self, index, command)
@@ -63,7 +63,7 @@
 
 @mutation("operators-contend", "orders")
 def repeats_refused(fleet: SimFleet) -> None:
-    Fleet.has_taken = lambda self, command: False  # type: ignore[method-assign]
+    Fleet.has_applied_change = lambda self, command: False  # type: ignore[method-assign]
 
 
 @mutation("operators-contend", "orders")
@@ -150,34 +150,34 @@
 
 @mutation("losses-as-soon-as-settled", "not led in time")
 def successors_never_vote(fleet: SimFleet) -> None:
-    real_choose = MembershipController._choose_standby
+    real_choose = MembershipController._choose_replacement_voter
 
     def choose(self: MembershipController, outgoing: str) -> str | None:
         return None if outgoing else real_choose(self, outgoing)
 
-    MembershipController._choose_standby = choose  # type: ignore[method-assign]
+    MembershipController._choose_replacement_voter = choose  # type: ignore[method-assign]
 
 
 @mutation("losses-after-a-planned-replacement", "not led in time")
 def leavers_counted_on(fleet: SimFleet) -> None:
     """A planned replacement adds a voter, and raises for good how many are wanted; who left is one for long."""
-    real_care = MembershipController._care_once
+    real_care = MembershipController._reconcile_once
 
     async def leave(self: MembershipController) -> None:
         self.raft.transfer_leadership()
 
     def target(self: MembershipController) -> int:
         members = self.raft.members()
-        is_whole = all(self._answers(m.identity) for m in members.member)
+        is_whole = all(self._is_responsive(m.identity) for m in members.member)
         return max(members.wanted, len(members.member) if is_whole else 0)
 
     async def care(self: MembershipController) -> bool:
-        vars(membership_controller)["EXCHANGE_MICROS"] = self.startup.lostAfterMicros * FORGET_FACTOR
+        vars(membership_controller)["EXCHANGE_MICROS"] = self.startup.lostAfterMicros * MEMBER_REMOVAL_FACTOR
         return await real_care(self)
 
     MembershipController.leave = leave  # type: ignore[method-assign]
-    MembershipController.target_voters = target  # type: ignore[method-assign]
-    MembershipController._care_once = care  # type: ignore[method-assign]
+    MembershipController.target_voter_count = target  # type: ignore[method-assign]
+    MembershipController._reconcile_once = care  # type: ignore[method-assign]
 
 
 @mutation("follower-cut-off", "late answer")
@@ -191,7 +191,7 @@
 @mutation("repeats-after-hundreds-of-changes", "orders")
 def few_changes_remembered(fleet: SimFleet) -> None:
     vars(fleet_module)["TAKEN_LIMIT"] = 256
-    Fleet.is_beyond_memory = lambda self, command: False  # type: ignore[method-assign]
+    Fleet.is_beyond_retained_changes = lambda self, command: False  # type: ignore[method-assign]
 
 
 @mutation("survivors-of-unlike-logs", "not led in time")
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -10,10 +10,10 @@
 
 from result import Err, Ok
 
-from pearhead.config.description import build_checked
-from pearhead.config.startup import Startup
+from pearhead.config.description import description_from_checked_data
+from pearhead.config.startup import StartupConfig
 from pearhead.consensus.wal import WalCorruptError
-from pearhead.control_plane.core import CoreProcess
+from pearhead.control_plane.core_process import CoreProcess
 from pearhead.router.errors import ERROR_TABLE, NOT_RUN, Refusal
 from pearhead.router.job import parse_job
 from pearhead.router.node_process import NodeProcess
@@ -62,7 +62,7 @@
         self.nodes: dict[str, NodeProcess] = {}
         self.back_ends: BackEnds = {}
         self.paces: dict[str, Pace] = {}
-        self.startups: dict[str, Startup] = {}
+        self.startups: dict[str, StartupConfig] = {}
         self.known_dead: set[str] = set()
         self.job_number = 0
         self.apply_number = 0
@@ -91,8 +91,8 @@
         _, _, number_text = name.partition("-")
         return self.deployment.areas[(int(number_text) - 1) % 3 if number_text else 2]
 
-    def _startup(self, name: str, founders: list[str]) -> Startup:
-        return Startup(
+    def _startup(self, name: str, founders: list[str]) -> StartupConfig:
+        return StartupConfig(
             address=f"{name}:1",
             httpAddress=f"{name}:2",
             area=self.area_of(name),
@@ -327,7 +327,7 @@
     def add_core(self, name: str, like: str = "") -> None:
         """An empty machine at a new address, in the area of another if that is named; seeds are the cores that live."""
         live_addresses = [self.startups[n].address for n in self.live_cores()]
-        self.startups[name] = Startup(
+        self.startups[name] = StartupConfig(
             address=f"{name}:1",
             httpAddress=f"{name}:2",
             area=self.area_of(like or name),
@@ -490,7 +490,7 @@
         if result.status == "done":
             revision = json.loads(result.body)["revision"]
             self.description_revision = max(self.description_revision, revision)
-            self.ledger.descriptions[revision] = build_checked(description)
+            self.ledger.descriptions[revision] = description_from_checked_data(description)
             self.ledger.applies.append((revision, self.world.now()))
             self.ledger.apply_spans.append((start_micros, self.world.now(), revision))
         else:
--- a/src/pearhead/testbed/simulator/ledger.py
+++ b/src/pearhead/testbed/simulator/ledger.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pearhead.config.description import Description
-from pearhead.control_plane.fleet import HISTORY_LIMIT
+from pearhead.control_plane.fleet_state import HISTORY_LIMIT
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.caller import find_stream_faults
 from pearhead.testbed.deployment import Deployment
--- a/src/pearhead/testbed/simulator/measure.py
+++ b/src/pearhead/testbed/simulator/measure.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pearhead.control_plane.core import CoreProcess
+from pearhead.control_plane.core_process import CoreProcess
 from pearhead.router.node_process import NodeProcess
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import DEPLOYMENTS
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -9,9 +9,9 @@
 
 from result import Ok
 
-from pearhead.config.view import View, WorkerFact
-from pearhead.control_plane.core import CoreProcess
-from pearhead.control_plane.fleet import Fleet
+from pearhead.config.view import View, WorkerRecord
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.invalidation.cache_keys import cache_salt, chain_keys
 from pearhead.router import job_scheduler
 from pearhead.router.job import Job
@@ -127,7 +127,7 @@
         is_loser = command.base_revision != self.description_revision
         if is_loser:
             held, self.description = self.description, json.loads(command.description)
-            self._show_description(index)
+            self._set_description_sections(index)
             self.description = held
         return real_apply(self, index, command)
 
@@ -148,7 +148,7 @@
     def change(node: NodeProcess) -> None:
         real_candidates = node.nominator._candidates
 
-        def candidates(view: View, job: Job, is_model: bool) -> list[WorkerFact]:
+        def candidates(view: View, job: Job, is_model: bool) -> list[WorkerRecord]:
             for worker in view.workers.values():
                 object.__setattr__(worker, "leaving", False)
             return real_candidates(view, job, is_model)
--- a/src/pearhead/testbed/simulator/scale.py
+++ b/src/pearhead/testbed/simulator/scale.py
@@ -6,9 +6,9 @@
 import time
 from typing import Any
 
-from pearhead.config.description import build_checked
+from pearhead.config.description import description_from_checked_data
 from pearhead.config.view import View
-from pearhead.control_plane.core import CoreProcess
+from pearhead.control_plane.core_process import CoreProcess
 from pearhead.invalidation.channel import object_channel
 from pearhead.router.node_process import NodeProcess
 from pearhead.runtime.clock import MILLI, SECOND
@@ -133,7 +133,7 @@
             await change
             await pause(world, 2 * SECOND)
             sizes.append(_totals(fleet)["term_result"][1] - before)
-        data = build_checked(description)
+        data = description_from_checked_data(description)
         view = View()
         view.__dict__["description"] = data
         view.match(ACADEMY.line, "trial", "kind-0")
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -9,7 +9,7 @@
 
 from result import Err
 
-from pearhead.control_plane.rescue import CONSENT, Rescue
+from pearhead.control_plane.quorum_loss_recovery import REQUIRED_CONSENT, QuorumLossRecovery
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import DEPLOYMENTS
 from pearhead.testbed.simulator.control_scenarios import CONTROL_SCENARIOS, NODE_COUNT, WORKER_COUNT
@@ -846,11 +846,11 @@
     identity = fleet.cores[left].identity
     machine = fleet.world.machine(left)
     machine.boot()
-    rescue = Rescue(machine.disk)
-    for wrong_words in ((identity, "yes"), ("another", CONSENT)):
+    rescue = QuorumLossRecovery(machine.disk)
+    for wrong_words in ((identity, "yes"), ("another", REQUIRED_CONSENT)):
         if not isinstance(await rescue.run(wrong_words[0], f"{left}:1", wrong_words[1]), Err):
             fleet.ledger.breaches.append("a rescue ran by accident")
-    (await rescue.run(identity, f"{left}:1", CONSENT)).unwrap()
+    (await rescue.run(identity, f"{left}:1", REQUIRED_CONSENT)).unwrap()
     fleet.start(left)
     fleet.add_core("core-4")
     fleet.add_core("core-5")
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -12,16 +12,16 @@
 from tornado.testing import AsyncHTTPTestCase
 from tornado.web import Application
 
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.config.view import ROUTE_SECTIONS, View
 from pearhead.consensus.raft import RaftMember
 from pearhead.consensus.snapshot_store import SnapshotLimits
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.change import ChangeChecker, to_item, to_json
-from pearhead.control_plane.core import CoreProcess
-from pearhead.control_plane.fleet import TAKEN_LIMIT, Fleet
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.description_change import ChangeChecker, encode_route, to_json
+from pearhead.control_plane.fleet_state import TAKEN_LIMIT, Fleet
 from pearhead.control_plane.membership_controller import MembershipController
-from pearhead.control_plane.operatorapi import build_operator_api
+from pearhead.control_plane.operator_api import build_operator_api
 from pearhead.rpc.wire_pb2 import ApplyDescription, Command, CommandResult, Entry, Member, Members, NameWeights
 from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import BootClock
@@ -80,7 +80,7 @@
 
 
 def build_core() -> CoreProcess:
-    startup = Startup(
+    startup = StartupConfig(
         address="127.0.0.1:1", httpAddress="127.0.0.1:2", area="z", seeds=["127.0.0.1:1"], founders=["127.0.0.1:1"]
     )
     disk: Any = None
@@ -184,7 +184,7 @@
     async def test_a_description_applied_in_between_makes_it_a_conflict(self) -> None:
         await self.run_change(0, 3, whole())
         command = change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True)
-        self.assertIsNone(await self.core._judge_change(command))
+        self.assertIsNone(await self.core._precheck_change(command))
         base = self.core.fleet.description_revision
         await self.core.execute(Command(apply=ApplyDescription(base_revision=base, description=b"{}")))
         self.assertEqual((await self.core.raft.propose(command.SerializeToString())).unwrap()[1]["status"], "conflict")
@@ -287,7 +287,7 @@
         data = {"routes": [route("r1", "/a/", source="one")], "services": whole()["services"]}
         await self.core.execute(Command(apply=ApplyDescription(description=json.dumps(data).encode())))
         fleet = self.core.fleet
-        self.assertEqual(fleet.whole_description(), {"services": data["services"], "routes": data["routes"]})
+        self.assertEqual(fleet.full_description(), {"services": data["services"], "routes": data["routes"]})
         old = {name: value for name, value in fleet.read().items() if name != "description_number"}
         old.update(parts={}, transactions=[], sections={}, description={})
         copy = Fleet()
@@ -297,7 +297,7 @@
     async def test_a_large_description_is_checked_in_pieces(self) -> None:
         command = change(0, 1, {"services": whole()["services"]})
         for number in range(1_000):
-            command.change.route.append(to_item(route(f"r{number}", f"/{number}/")))
+            command.change.route.append(encode_route(route(f"r{number}", f"/{number}/")))
         breaths = 0
 
         async def breathe() -> None:
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -8,8 +8,8 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.view import WorkerFact
-from pearhead.control_plane.fleet import Fleet
+from pearhead.config.view import WorkerRecord
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.invalidation.revision_sequencer import RevisionSequencer
@@ -48,7 +48,7 @@
         return outcome["revision"], outcome["index"]
 
     def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
-        return self.fleet.revisions_of(f"{owner}/{line}")
+        return self.fleet.raised_part_revisions(f"{owner}/{line}")
 
     def position(self) -> tuple[int, int]:
         return 1, self.index
@@ -110,7 +110,7 @@
         return self.listener.revision_of(OWNER, LINE, PART)
 
     def gather(self) -> None:
-        worker = cast(WorkerFact, _NamedWorker())
+        worker = cast(WorkerRecord, _NamedWorker())
         self.machine.crew.start(self.holder._gather(worker, _PollState(life="1")))
 
 
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -15,7 +15,7 @@
 from tornado.netutil import bind_sockets
 
 from pearhead.config.description import Limits
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.config.view import View
 from pearhead.router.client_http_server import (
     OVERSIZED_HEAD_MARGIN_BYTES,
@@ -315,7 +315,7 @@
         return View(index, {**View().sections, "description": (index, body)})
 
     async def test_a_gateway_tells_those_of_the_description_last_known(self) -> None:
-        startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"])
+        startup = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"])
         unused: Any = None
         gateway = GatewayProcess(
             startup, GatewaySettings(), FakeRuntime(), FakeRuntime(), unused, unused, random.Random(1)
--- a/tests/test_config_checked.py
+++ b/tests/test_config_checked.py
@@ -5,7 +5,7 @@
 import dataclasses
 import unittest
 
-from pearhead.config.checked import read_checked
+from pearhead.config.dataclass_parser import parse_dataclass
 
 
 @dataclasses.dataclass
@@ -24,7 +24,7 @@
     def test_every_fault_is_listed_with_its_path(self) -> None:
         data = {"inners": [{"number": 1}, {"number": "2", "x": 0}, 5], "tags": ["a", 3], "more": 1}
         self.assertEqual(
-            read_checked(_Outer, data).unwrap_err(),
+            parse_dataclass(_Outer, data).unwrap_err(),
             [
                 "more: unknown field",
                 "name: missing",
@@ -34,4 +34,4 @@
                 "tags: must be list[str], not list",
             ],
         )
-        self.assertEqual(read_checked(_Outer, {"name": "n", "inners": []}).unwrap(), _Outer("n", []))
+        self.assertEqual(parse_dataclass(_Outer, {"name": "n", "inners": []}).unwrap(), _Outer("n", []))
--- a/tests/test_config_description.py
+++ b/tests/test_config_description.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from pearhead.config.description import MAXIMUM_DESCRIPTION, read_description, read_description_in_chunks
+from pearhead.config.description import MAX_DESCRIPTION_BYTES, read_description, read_description_in_chunks
 
 
 async def _do_nothing() -> None:
@@ -46,4 +46,4 @@
         many = {**data, "entries": [{}] * 450 + [{"name": 5}]}
         shifted = asyncio.run(read_description_in_chunks(json.dumps(many).encode(), _do_nothing)).unwrap_err()
         self.assertIn("entries[450].name: must be str, not int", shifted)
-        self.assertIn("over", read_description(b" " * (MAXIMUM_DESCRIPTION + 1)).unwrap_err()[0])
+        self.assertIn("over", read_description(b" " * (MAX_DESCRIPTION_BYTES + 1)).unwrap_err()[0])
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -14,7 +14,7 @@
 from pearhead.consensus.membership import Membership, end_joint, make_joint
 from pearhead.consensus.raft import RaftMember
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.fleet import TAKEN_LIMIT, Fleet
+from pearhead.control_plane.fleet_state import TAKEN_LIMIT, Fleet
 from pearhead.router.command_session import CommandSession
 from pearhead.rpc.rpc_endpoint import RpcEndpoint, reply_name
 from pearhead.rpc.wire_pb2 import (
@@ -194,9 +194,9 @@
         core: Any = build_core()
         hold = Command()
         hold.hold.worker = "w"
-        late = await core._execute_here(hold, core.clock.now() - 6 * SECOND)
+        late = await core._execute_as_leader(hold, core.clock.now() - 6 * SECOND)
         self.assertEqual((late.status, core.raft.index), ("unavailable", 0))
-        await core._execute_here(hold, core.clock.now())
+        await core._execute_as_leader(hold, core.clock.now())
         self.assertEqual(core.raft.index, 1)
 
 
--- a/tests/test_control_plane_events.py
+++ b/tests/test_control_plane_events.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from pearhead.control_plane.events import QUEUE_LIMIT, EventTeller
+from pearhead.control_plane.event_publisher import QUEUE_LIMIT, EventPublisher
 
 
 class EventTellerTest(unittest.TestCase):
@@ -16,8 +16,8 @@
             posted.append(body)
             return len(posted) != 1
 
-        async def tell() -> EventTeller:
-            teller = EventTeller(post)
+        async def tell() -> EventPublisher:
+            teller = EventPublisher(post)
             for index in range(QUEUE_LIMIT + 5):
                 teller.tell("weights.named", index, {"line": "l"})
             run_task = asyncio.ensure_future(teller.run())
--- a/tests/test_control_plane_fleet.py
+++ b/tests/test_control_plane_fleet.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from pearhead.control_plane.fleet import Fleet, Outcome, UnknownCommandError
+from pearhead.control_plane.fleet_state import Fleet, Outcome, UnknownCommandError
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
     BumpPart,
@@ -92,4 +92,4 @@
         copy = Fleet()
         copy.load_digest(fleet.take_digest())
         self.assertEqual(copy.take_digest(), fleet.take_digest())
-        self.assertEqual(copy.revisions_of("tenant:t/l"), [(7, 3)])
+        self.assertEqual(copy.raised_part_revisions("tenant:t/l"), [(7, 3)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from pearhead.control_plane.folder import FolderReader
-from pearhead.pearheadctl.shell import FleetReader
+from pearhead.control_plane.data_folder_inspector import DataFolderInspector
+from pearhead.pearheadctl.query_command import FleetQueryClient
 from pearhead.testbed.caller import Caller, CallerReport
 from pearhead.testbed.deployment import ACADEMY, build_description
 from pearhead.testbed.launcher import Launcher
@@ -241,13 +241,13 @@
     def test_tools_tell_what_is_there_and_what_is_not(self) -> None:
         """Named to run after the kills: the fleet is whole again."""
         core_addresses = self.launcher.addresses_of("control_plane")
-        given_results, silent = FleetReader([*core_addresses, "127.0.0.1:1"], "").read("/inspect")
+        given_results, silent = FleetQueryClient([*core_addresses, "127.0.0.1:1"], "").read("/inspect")
         self.assertEqual(list(silent), ["127.0.0.1:1"])
         kinds = Counter(given_result["kind"] for given_result in given_results.values())
         self.assertEqual(kinds, {"core": 3, "node": 3}, "nodes are found by the cores' directories")
         self.launcher.stop("core-3")
         data_path = self.launcher.folder_path / "core-3.data"
-        report = asyncio.run(FolderReader(data_path).read())
+        report = asyncio.run(DataFolderInspector(data_path).read())
         self.assertEqual(report.faults, [])
         # Who was replaced stays known as a learner for a while.
         self.assertEqual(sum(member["voter"] for member in report.facts["members"]), 3)
@@ -257,7 +257,7 @@
         damaged = bytearray(log_path.read_bytes())
         damaged[60] ^= 1
         log_path.write_bytes(damaged)
-        self.assertIn("is damaged", asyncio.run(FolderReader(copy_path).read()).faults[0])
+        self.assertIn("is damaged", asyncio.run(DataFolderInspector(copy_path).read()).faults[0])
         self.launcher.start("core-3")
 
     def test_wrong_startup_is_one_clear_line(self) -> None:
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -12,7 +12,7 @@
 from tornado.httputil import HTTPHeaders
 
 from pearhead.config.description import Description, Route, Split, Tenant
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.config.view import View
 from pearhead.router.errors import ErrorKind
 from pearhead.router.fleet_retry_budget import FleetRetryBudget
@@ -32,7 +32,7 @@
 
 
 def make_gateway(bench: FakeRuntime, key_trust_micros: int = 0) -> GatewayProcess:
-    startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], oldWeightsMicros=OLD_MICROS)
+    startup = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], oldWeightsMicros=OLD_MICROS)
     unused: Any = None
     settings = GatewaySettings(max_view_age_micros=SERVE_ON_MICROS, key_trust_micros=key_trust_micros)
     return GatewayProcess(startup, settings, bench, bench, unused, unused, random.Random(1))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -15,7 +15,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.config.view import ENTRY_SECTIONS, View
 from pearhead.router.job_api import HandlerLineWriter, build_job_api
 from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
@@ -95,7 +95,7 @@
 class FrontTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.carrier = ScriptedCarrier()
-        startup = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], bodyLimitBytes=10_000)
+        startup = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], bodyLimitBytes=10_000)
         self.node = NodeProcess(startup, BootClock(), FakeRuntime(), self.carrier, NoLink(), random.Random(1))
         self.node.keeper.view = make_view()
         self.node.keeper.is_current = lambda: True  # type: ignore[method-assign]
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -12,11 +12,11 @@
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
-from pearhead.config.startup import Startup
+from pearhead.config.startup import StartupConfig
 from pearhead.config.view import View, hash_sections
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.core import CoreProcess
-from pearhead.control_plane.fleet import Fleet
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_sequencer import RevisionSequencer
 from pearhead.router.job import JobRequest
@@ -45,7 +45,7 @@
 from pearhead.testbed.simulator.explore import Exploration, Explorer, StepClock, Story
 from tests.test_front import NoLink, ScriptedCarrier, make_view
 
-STARTUP = Startup(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], holdMicros=3 * SECOND)
+STARTUP = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], holdMicros=3 * SECOND)
 
 
 class YieldingDisk:
@@ -252,7 +252,7 @@
         asked_micros = clock.now()
         command = Command()
         command.hold.worker, command.hold.holder, command.hold.renew_fence = "w", holder, renew_fence
-        result = await core._execute_here(command, core.clock.now())
+        result = await core._execute_as_leader(command, core.clock.now())
         if result.status != "done":
             return 0
         ends[holder] = asked_micros + STARTUP.holdMicros - 300 * MILLI
@@ -374,7 +374,7 @@
         self.check(bump_against_retransmission_and_leader_change, self.swap(Fleet, "apply", apply), 20)
 
     def test_holder_takeover(self) -> None:
-        real_judge = CoreProcess._judge_hold
+        real_judge = CoreProcess._check_hold_expiry
 
         def judge(self: CoreProcess, command: Command) -> None:
             seen = dict(self.hold_seen)
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -23,8 +23,8 @@
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from front import PlatformDialect  # noqa: E402
-from workers import PlatformWorkers  # noqa: E402
+from platform_worker_client import PlatformWorkerClient  # noqa: E402
+from request_dialect import PlatformDialect  # noqa: E402
 
 SEAL = "X-Answer-Seal"
 SENT = {"X-Request-Id": "r1", "Authorization": "Token k", "X-Deadline": "800"}
@@ -158,7 +158,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
-        control = PlatformWorkers(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+        control = PlatformWorkerClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         self.addCleanup(control.close)
         for status in statuses:
             self.assertEqual(await control.list_workers(2 * SECOND), Err(f"status {status}"))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pearhead.control_plane.core import FOUNDERS_FILE
+from pearhead.control_plane.core_process import FOUNDERS_FILE
 from pearhead.rpc.wire_pb2 import Command
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import KLIPPVIK
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -23,9 +23,9 @@
 from tornado.httpclient import AsyncHTTPClient  # noqa: E402
 from tornado.httpserver import HTTPServer  # noqa: E402
 
-from pearhead.config.startup import Startup  # noqa: E402
+from pearhead.config.startup import StartupConfig  # noqa: E402
 from pearhead.consensus.state import Role  # noqa: E402
-from pearhead.control_plane.core import CoreProcess  # noqa: E402
+from pearhead.control_plane.core_process import CoreProcess  # noqa: E402
 from pearhead.control_plane.metrics import CoreCollector  # noqa: E402
 from pearhead.router.client_http_server import ClientConnectionManager  # noqa: E402
 from pearhead.router.drain import DrainCoordinator, DrainSchedule, DrainState
@@ -106,7 +106,7 @@
 
 
 def build_gateway(clock: Any, net: Any) -> GatewayProcess:
-    startup = Startup(address="127.0.0.1:1", httpAddress="a:2", area="a", seeds=["s:1"], drainMicros=100 * MILLI)
+    startup = StartupConfig(address="127.0.0.1:1", httpAddress="a:2", area="a", seeds=["s:1"], drainMicros=100 * MILLI)
     unused: Any = None
     return GatewayProcess(startup, GatewaySettings(), clock, net, unused, unused, random.Random(1))
 
@@ -248,7 +248,7 @@
 
     async def test_the_products_own_front_serves_them_beside_its_jobs(self) -> None:
         clock, net = BootClock(), SocketNet(free_address())
-        startup = Startup(address=net.own_address, httpAddress="a:2", area="a", seeds=["s:1"])
+        startup = StartupConfig(address=net.own_address, httpAddress="a:2", area="a", seeds=["s:1"])
         unused: Any = None
         node = NodeProcess(startup, clock, net, unused, unused, random.Random(1))
         server = HTTPServer(build_job_api(node, startup, build_node_registry(node, net)))
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -28,8 +28,8 @@
 from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from front import PlatformDialect  # noqa: E402
-from translation import _Item, _read_tenant  # noqa: E402
+from config_translation import _ItemReader, _read_tenant  # noqa: E402
+from request_dialect import PlatformDialect  # noqa: E402
 
 SENT = {"X-Request-Id": "r1", "X-Model": "m", "X-Token-Count": "30,5", "X-Prompt-Prefix": "a1:20,b2:10"}
 DIRECTIONS = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
@@ -97,7 +97,7 @@
     def salts(self, *isolated: bool) -> list[str]:
         tenants = []
         for number, is_isolated in enumerate(isolated):
-            item = _read_tenant(_Item({"Name": f"t{number}", "Keys": [], "Isolated": is_isolated}, "Tenants"))
+            item = _read_tenant(_ItemReader({"Name": f"t{number}", "Keys": [], "Isolated": is_isolated}, "Tenants"))
             tenants.append(Tenant(item["name"], [], group=item["group"]))
         view = View()
         view.__dict__["description"] = Description(tenants=tenants)
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -20,9 +20,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 
-from control import BODY_LIMIT, build_control  # noqa: E402
-from settings import SettingsError, make_startup, parse_settings, read_settings  # noqa: E402
-from translation import JsonReader, UnreadableError, hash_key, read_json  # noqa: E402
+from config_api import MAX_CONFIG_BODY_BYTES, build_config_api  # noqa: E402
+from config_translation import ConfigFormatError, YieldingJsonReader, hash_key, read_json  # noqa: E402
+from settings import SettingsError, build_startup_config, parse_settings, read_settings  # noqa: E402
 
 Json = dict[str, Any]
 ROUTE: Json = {
@@ -116,7 +116,7 @@
 class ControlTest(AsyncHTTPTestCase):
     def get_app(self) -> Application:
         self.core = build_core()
-        return build_control(self.core)
+        return build_config_api(self.core)
 
     def call(self, method: str, body: object, base: object = None, path: str = "/v1/config") -> tuple[int, Json]:
         headers = {} if base is None else {"If-Match": str(base)}
@@ -224,7 +224,7 @@
         for base in (None, "x", "", "-1", '"', 2**70):
             self.assertEqual(self.call("PUT", {**CONFIG, "Revision": 8}, base)[0], 400, base)
         self.assertEqual(self.read(), (200, CONFIG))
-        self.assertEqual(self.call("PUT", b" " * (BODY_LIMIT + 1), 7)[0], 413)
+        self.assertEqual(self.call("PUT", b" " * (MAX_CONFIG_BODY_BYTES + 1), 7)[0], 413)
         self.assertEqual(self.call("PUT", {**CONFIG, "Revision": 8}, '"7"')[0], 200)
 
     def test_items_become_the_products_own(self) -> None:
@@ -291,7 +291,7 @@
             '{"a":1,"a":2}',
         ]
         for text in texts:
-            found = asyncio.run(JsonReader(text.encode()).read_gently(breathe))
+            found = asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(breathe))
             self.assertEqual(found, json.loads(text.lstrip("\ufeff")))
         self.assertGreater(breaths, 5)
         for text in (
@@ -311,16 +311,16 @@
             '{"a":1 "b":2}',
             '{"a":{"b":1}',
         ):
-            with self.assertRaises(UnreadableError, msg=text):
-                asyncio.run(JsonReader(text.encode()).read_gently(breathe))
-            with self.assertRaises(UnreadableError, msg=text):
+            with self.assertRaises(ConfigFormatError, msg=text):
+                asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(breathe))
+            with self.assertRaises(ConfigFormatError, msg=text):
                 read_json(text.encode())
 
 
 class SettingsTest(unittest.TestCase):
     def test_the_startup_is_made_of_the_settings(self) -> None:
         settings = parse_settings(SETTINGS)
-        startup = make_startup(settings)
+        startup = build_startup_config(settings)
         seeds = ["10.1.0.39:7640", "10.2.0.24:7640"]
         self.assertEqual(
             (startup.address, startup.httpAddress, startup.area, startup.seeds, startup.founders, startup.dataFolder),
@@ -332,9 +332,9 @@
         )
         self.assertEqual((settings.bounds.fenced, settings.cloud.rate_per_s, settings.limits.cores), (True, 47.0, 3.0))
         later = parse_settings({**SETTINGS, "FirstStart": False})
-        self.assertEqual(make_startup(later).founders, [])
+        self.assertEqual(build_startup_config(later).founders, [])
         front = {**SETTINGS, "Serves": ["front"], "DataDir": None, "BindAddresses": {"Front": "10.1.0.36:8167"}}
-        front_startup = make_startup(parse_settings(front))
+        front_startup = build_startup_config(parse_settings(front))
         self.assertEqual((front_startup.founders, front_startup.dataFolder), ([], ""))
 
     def test_a_wrong_or_missing_field_is_named(self) -> None:
--- a/tests/test_platform_workers.py
+++ b/tests/test_platform_workers.py
@@ -23,7 +23,7 @@
 from pearhead.runtime.clock import SECOND
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from workers import PlatformWorkers  # noqa: E402
+from platform_worker_client import PlatformWorkerClient  # noqa: E402
 
 LIMIT = 2 * SECOND
 ENTRY = {
@@ -72,7 +72,7 @@
         server = await asyncio.start_server(self.take, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         self.addCleanup(server.close)
-        self.control = PlatformWorkers(self.address)
+        self.control = PlatformWorkerClient(self.address)
         self.addCleanup(self.control.close)
 
     async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -156,7 +156,7 @@
         self.say(EVENTS, extra="Connection: close\r\n")
         self.closes = False
         self.assertIsInstance(await self.control.kept_events(self.address, 118, 800_000, LIMIT), Ok)
-        self.assertEqual(self.control.kept_streams, {})
+        self.assertEqual(self.control.idle_connections, {})
 
     async def test_a_store_that_started_again_counts_anew_and_is_heard(self) -> None:
         self.say(EVENTS)
@@ -166,7 +166,7 @@
     async def test_an_answer_to_an_earlier_call_drops_its_connection(self) -> None:
         self.say(EVENTS)
         self.assertIsInstance(await self.control.kept_events(self.address, 120, 800_000, LIMIT), Err)
-        self.assertEqual(self.control.kept_streams, {})
+        self.assertEqual(self.control.idle_connections, {})
 
     async def test_reports_and_lists(self) -> None:
         self.say(REPORT)
@@ -285,7 +285,7 @@
         self.assertIsInstance(await self.control.report(self.address, SECOND // 5), Err)
         self.assertIsInstance(await self.control.kept_events(self.address, 0, 0, SECOND // 5), Err)
         self.assertLess(asyncio.get_running_loop().time() - began, 5)
-        self.assertEqual(self.control.kept_streams, {})
+        self.assertEqual(self.control.idle_connections, {})
         self.assertIsInstance(await self.control.report("127.0.0.1:1", LIMIT), Err)
         self.assertIsInstance(await self.control.report("nowhere", LIMIT), Err)
 
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -33,8 +33,8 @@
 from pearhead.runtime.fake_runtime import FakeRuntime
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from front import PlatformDialect  # noqa: E402
-from workers import PlatformWorkers  # noqa: E402
+from platform_worker_client import PlatformWorkerClient  # noqa: E402
+from request_dialect import PlatformDialect  # noqa: E402
 
 PATIENCE_SECONDS = 5
 LARGE_BODY = b"x" * (8 * 1024 * 1024)
@@ -481,7 +481,7 @@
             Step(status=503, is_not_run=True),
         ):
             async with Site(Worker([step])) as site:
-                control = PlatformWorkers(site.workers[0].address)
+                control = PlatformWorkerClient(site.workers[0].address)
                 self.addCleanup(control.close)
                 order = LoadOrder("w0", "line", 2, "n", 7)
                 given = await control.order_load(site.workers[0].address, order, lambda: True, 200 * MILLI)
@@ -491,7 +491,7 @@
     async def test_an_order_that_is_given_up_is_not_sent_on_by_the_kernel(self) -> None:
         """What a reset ends is never delivered later; an end in order would be, once a cut link heals."""
         async with Site(Worker([Step(is_silent=True)])) as site:
-            control = PlatformWorkers(site.workers[0].address)
+            control = PlatformWorkerClient(site.workers[0].address)
             self.addCleanup(control.close)
             order = LoadOrder("w0", "line", 2, "n", 7)
             given = await control.order_load(site.workers[0].address, order, lambda: True, 100 * MILLI)
@@ -501,7 +501,7 @@
 
     async def test_an_order_never_uses_a_connection_that_may_hold_another_answer(self) -> None:
         async with Site(Worker([Step(status=202, after=answer("", 421))] * 2)) as site:
-            control = PlatformWorkers(site.workers[0].address)
+            control = PlatformWorkerClient(site.workers[0].address)
             self.addCleanup(control.close)
             order = LoadOrder("w0", "line", 2, "n", 7)
             for _ in range(2):
@@ -525,9 +525,9 @@
         for times in (1, 2):
             writers: list[asyncio.StreamWriter] = []
             server = await asyncio.start_server(partial(serve, times), "127.0.0.1", 0)
-            control = PlatformWorkers(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+            control = PlatformWorkerClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
             self.assertEqual(await control.list_workers(SECOND), Ok([]))
-            for kept in control.kept_streams.values():
+            for kept in control.idle_connections.values():
                 writers[0].write(whole)
                 async with asyncio.timeout(PATIENCE_SECONDS):
                     while is_quiet(kept):
--- a/tests/test_router_index.py
+++ b/tests/test_router_index.py
@@ -4,14 +4,14 @@
 
 import unittest
 
-from pearhead.config.view import LoadFact
+from pearhead.config.view import LoadRecord
 from pearhead.router.copy_index import CopyIndex
 
 
 class CopyIndexTest(unittest.TestCase):
     def test_only_reports_after_the_load_in_the_same_life_count(self) -> None:
         index = CopyIndex()
-        load = LoadFact(line="l", life="A", fence=1, weights_revision=1, sequence=10)
+        load = LoadRecord(line="l", life="A", fence=1, weights_revision=1, sequence=10)
         index.apply_cache_report("w", "A", 5, 9, ["k1"], [], False)
         self.assertEqual(index.longest_cached_prefix("w", load, ["k1"]), 0, "kept before the load")
         index.apply_cache_report("w", "A", 9, 12, ["k2"], [], False)
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -5,8 +5,8 @@
 import random
 import unittest
 
-from pearhead.config.description import CapabilityEntry, Description, Limits, Line, Service, Tenant
-from pearhead.config.view import LoadFact, View, WeightsFact, WorkerFact
+from pearhead.config.description import CapabilityEntry, Description, Limits, ModelLine, Service, Tenant
+from pearhead.config.view import LoadRecord, View, WeightsFact, WorkerRecord
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.cache_keys import chain_keys
 from pearhead.invalidation.revision_listener import RevisionListener
@@ -39,10 +39,10 @@
         self.entry = CapabilityEntry("e", "l", ["*"], ["k"], "models")
         services = [Service("models", "model"), Service("kept", "store")]
         self.view.__dict__.update(
-            description=Description([Line("l", "x")], services, [self.entry], [], Limits()),
-            workers={n: WorkerFact(n, n, "z", "models", False) for n in names}
-            | {"store": WorkerFact("store", "store", "z", "kept", False)},
-            loads={n: LoadFact("l", f"life-{n}", 1, 5, 10, "x") for n in names},
+            description=Description([ModelLine("l", "x")], services, [self.entry], [], Limits()),
+            workers={n: WorkerRecord(n, n, "z", "models", False) for n in names}
+            | {"store": WorkerRecord("store", "store", "z", "kept", False)},
+            loads={n: LoadRecord("l", f"life-{n}", 1, 5, 10, "x") for n in names},
             weights={"l": WeightsFact("x", 5)},
         )
         keeper.view = self.view
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -137,5 +137,5 @@
             text = (examples / f"{name}.json").read_text()
             self.assertEqual(text, description_text(deployment))
             read_description(text.encode()).unwrap()
-        read_startup(str(examples / "core.toml"), {}, needs_folder=True).unwrap()
-        read_startup(str(examples / "node.toml"), {}, needs_folder=False).unwrap()
+        read_startup(str(examples / "core.toml"), {}, requires_data_folder=True).unwrap()
+        read_startup(str(examples / "node.toml"), {}, requires_data_folder=False).unwrap()
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -31,7 +31,7 @@
 from tests.test_right_answer_once import InTurn, reset
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from front import PlatformDialect  # noqa: E402
+from request_dialect import PlatformDialect  # noqa: E402
 
 PATIENCE_SECONDS = 5.0
 ROUTE = Route("r", "h", "/a/", [Split("s", 1)], 5 * SECOND, tries=2, public=True, stream=True)
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -13,8 +13,8 @@
 from result import Err, Ok, Result
 
 from pearhead.config.view import View
-from pearhead.control_plane.core import CoreProcess
-from pearhead.control_plane.fleet import Fleet
+from pearhead.control_plane.core_process import CoreProcess
+from pearhead.control_plane.fleet_state import Fleet
 from pearhead.discovery.directory import Directory
 from pearhead.router.prefix_cache_poller import PrefixCachePoller
 from pearhead.router.roster_publisher import RosterPublisher
@@ -259,7 +259,7 @@
         name = command.WhichOneof("body") or ""
         self.commands.append((self.world.now(), name))
         if name == "hold":
-            CoreProcess._judge_hold(cast(CoreProcess, self), command)
+            CoreProcess._check_hold_expiry(cast(CoreProcess, self), command)
         self.index += 1
         outcome = self.fleet.apply(self.index, command.SerializeToString())
         if name == "hold" and outcome["status"] == "done":
