--- a/src/pearhead/testbed/caller.py
+++ b/src/pearhead/testbed/caller.py
@@ -11,7 +11,7 @@
 
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
-from pearhead.testbed.deployment import Deployment, draw_job, tenant_key
+from pearhead.testbed.deployment import Deployment, generate_job, tenant_key
 from pearhead.testbed.workermodel import expected_lines, expected_text
 
 CUT = "not reached or cut"
@@ -72,7 +72,7 @@
         return self.report
 
     async def _call(self, number: int) -> None:
-        tenant_name, job = draw_job(self.deployment, self.chance, number)
+        tenant_name, job = generate_job(self.deployment, self.chance, number)
         chunks: list[bytes] = []
         node_address = self.chance.choice(self.node_addresses)
         answer = CallerAnswer(job, tenant_name, node_address, CUT)
@@ -90,7 +90,7 @@
             await AsyncHTTPClient().fetch(request)
         except HTTPClientError as fault:
             body_bytes = b"".join(chunks)
-            self._take_failure(answer, fault.code, body_bytes)
+            self._record_failed_job(answer, fault.code, body_bytes)
             return
         except ConnectionRefusedError:
             self.report.outcomes["unreached"] += 1
@@ -98,7 +98,7 @@
             answer.outcome, answer.is_refused = "unreached", True
             return
         except (OSError, ValueError):
-            self._take_cut(job)
+            self._record_cut_stream(job)
             return
         lines = [json.loads(x) for x in b"".join(chunks).splitlines()]
         self.report.faults.extend(find_stream_faults(job, lines))
@@ -109,18 +109,18 @@
         self.report.prefix_tokens += usage.get("prompt_tokens", 0)
         self.report.reused_tokens += usage.get("prompt_tokens_details", {}).get("cached_tokens", 0)
 
-    def _take_cut(self, job: dict[str, Any]) -> None:
+    def _record_cut_stream(self, job: dict[str, Any]) -> None:
         self.report.outcomes[CUT] += 1
         self.report.cut_jobs.add(job["jobId"])
 
-    def _take_failure(self, answer: CallerAnswer, status: int, body_bytes: bytes) -> None:
+    def _record_failed_job(self, answer: CallerAnswer, status: int, body_bytes: bytes) -> None:
         job = answer.job
         try:
             given_result = json.loads(body_bytes)
         except ValueError:
             given_result = {}
         if status == 599 or "error" not in given_result:
-            self._take_cut(job)
+            self._record_cut_stream(job)
             return
         self.report.outcomes[given_result["error"]] += 1
         answer.outcome, answer.is_refused = given_result["error"], given_result["ran"] == "not_run"
--- a/src/pearhead/testbed/capacity/axes.py
+++ b/src/pearhead/testbed/capacity/axes.py
@@ -15,7 +15,7 @@
     measure_volumes,
     run_in_own_process,
 )
-from pearhead.testbed.simulator.measure import run_measure
+from pearhead.testbed.simulator.measurements import run_measure
 
 Row = dict[str, float]
 REAL_NODES = 2
--- a/src/pearhead/testbed/deployment.py
+++ b/src/pearhead/testbed/deployment.py
@@ -105,7 +105,7 @@
     }
 
 
-def draw_job(deployment: Deployment, chance: random.Random, number: int) -> tuple[str, dict[str, Any]]:
+def generate_job(deployment: Deployment, chance: random.Random, number: int) -> tuple[str, dict[str, Any]]:
     """A tenant and a job: a few large tenants, mostly short checks, some long ones on shared prefixes."""
     weights = [8, 6, 4] + [1] * (len(deployment.tenant_names) - 3)
     tenant_name = chance.choices(deployment.tenant_names, weights)[0]
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -104,7 +104,7 @@
                 m.name: {"program": m.program, "httpAddress": f"{m.ip}:{PORTS[m.program]}"} for m in machines
             },
         }
-        self._keep_plan()
+        self._save_plan()
 
     # ---- addresses ---------------------------------------------------------------------------------
 
@@ -130,7 +130,7 @@
         settings_path = self.folder_path / f"{name}.json"
         settings_path.write_text(json.dumps(self.settings_of(name), indent=2))
         self.plan["ids"][name] = self._spawn(name, settings_path)
-        self._keep_plan()
+        self._save_plan()
         self._note(name, "started")
 
     def settings_of(self, name: str) -> dict[str, Any]:
@@ -170,7 +170,7 @@
         self.claim_block()
         super().up()
         self.plan["is_begun"] = True
-        self._keep_plan()
+        self._save_plan()
 
     def send_signal(self, name: str, signal_number: int) -> bool:
         is_sent = super().send_signal(name, signal_number)
@@ -246,7 +246,7 @@
     def _keep_site(self, site: SitePlan) -> None:
         self.plan["site"] = site.fields()
         self.plan["listed"].append([self.clock.now(), site.addresses("control_plane", CONTROL_PORT)])
-        self._keep_plan()
+        self._save_plan()
 
     # ---- the operator ------------------------------------------------------------------------------
 
@@ -328,7 +328,7 @@
     def _hold(self, config: dict[str, Any], status: int) -> None:
         if status == 200:
             self.plan["config"] = config
-            self._keep_plan()
+            self._save_plan()
 
     # ---- waiting and calling -----------------------------------------------------------------------
 
--- a/src/pearhead/testbed/launcher.py
+++ b/src/pearhead/testbed/launcher.py
@@ -21,10 +21,10 @@
 READY_SECONDS = 60.0
 STOP_SECONDS = 10.0
 POLL_SECONDS = 0.05
-OWN_MARKS = (b"pearhead.", b"platform/run_")
+OWN_COMMAND_MARKERS = (b"pearhead.", b"platform/run_")
 
 
-class FreePorts:
+class FreePortAllocator:
     """Loopback ports free for both TCP and UDP; all are held until each has been drawn."""
 
     def draw(self, port_count: int) -> list[int]:
@@ -35,10 +35,10 @@
             stream_socket.bind(("127.0.0.1", 0))
             held_sockets.append(stream_socket)
             port_number = stream_socket.getsockname()[1]
-            cast_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            held_sockets.append(cast_socket)
+            datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            held_sockets.append(datagram_socket)
             try:
-                cast_socket.bind(("127.0.0.1", port_number))
+                datagram_socket.bind(("127.0.0.1", port_number))
             except OSError:
                 continue
             port_numbers.append(port_number)
@@ -59,7 +59,7 @@
 
     def make_plan(self, deployment: Deployment, node_count: int, worker_count: int, core_count: int) -> None:
         self.folder_path.mkdir(parents=True, exist_ok=True)
-        port_numbers = iter(FreePorts().draw(2 * (core_count + node_count) + worker_count + 2))
+        port_numbers = iter(FreePortAllocator().draw(2 * (core_count + node_count) + worker_count + 2))
 
         def address() -> str:
             return f"127.0.0.1:{next(port_numbers)}"
@@ -97,7 +97,7 @@
             }
         self.plan = {"deployment": deployment.name, "processes": processes, "ids": {}}
         (self.folder_path / "description.json").write_text(description_text(deployment))
-        self._keep_plan()
+        self._save_plan()
 
     def worker_list(self) -> list[dict[str, Any]]:
         services = {"worker": "models", "store": "kept-parts", "application": "desk"}
@@ -116,7 +116,7 @@
     def addresses_of(self, program: str) -> list[str]:
         return [p["httpAddress"] for p in self.plan["processes"].values() if p["program"] == program]
 
-    def _keep_plan(self) -> None:
+    def _save_plan(self) -> None:
         self.plan_path.write_text(json.dumps(self.plan, indent=2))
 
     # ---- processes ---------------------------------------------------------------------------------
@@ -149,7 +149,7 @@
         )
         log_file.close()
         self.plan["ids"][name] = started.pid
-        self._keep_plan()
+        self._save_plan()
 
     def send_signal(self, name: str, signal_number: int) -> bool:
         process_id = self.plan["ids"].get(name)
@@ -173,7 +173,7 @@
         except (OSError, IndexError):
             return False
         # An id may have been given to another program since: only our own is ours to end.
-        return any(mark in command_bytes for mark in OWN_MARKS) and state_text != "Z"
+        return any(mark in command_bytes for mark in OWN_COMMAND_MARKERS) and state_text != "Z"
 
     def stop(self, name: str) -> None:
         if not self.send_signal(name, signal.SIGTERM):
@@ -198,13 +198,15 @@
 
     # ---- waiting on what processes say -------------------------------------------------------------
 
-    def lose_core(self, name: str) -> None:
+    def destroy_core(self, name: str) -> None:
         """A core machine is gone with its disk; an empty one comes at a new address, with whoever lives as seeds."""
         self.send_signal(name, signal.SIGKILL)
         self.wait_until(lambda: not self.is_alive(name), f"{name} is gone")
         core = self.plan["processes"][name]
         shutil.rmtree(core["dataFolder"])
-        core["address"], core["httpAddress"] = (f"127.0.0.1:{port_number}" for port_number in FreePorts().draw(2))
+        core["address"], core["httpAddress"] = (
+            f"127.0.0.1:{port_number}" for port_number in FreePortAllocator().draw(2)
+        )
         core["seeds"] = [
             p["address"] for n, p in self.plan["processes"].items() if p["program"] == "control_plane" and n != name
         ]
@@ -281,7 +283,7 @@
         self.wait_until(is_ready, "every node current and every worker loaded")
 
 
-def deployment_named(name: str) -> Deployment:
+def find_deployment(name: str) -> Deployment:
     if name not in DEPLOYMENTS:
         raise SystemExit(f"testbed: no deployment {name!r}; there are {', '.join(DEPLOYMENTS)}")
     return DEPLOYMENTS[name]
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -25,13 +25,13 @@
 )
 from pearhead.testbed.emulator.plan import SiteSize
 from pearhead.testbed.emulator.strikes import SiteStrikes
-from pearhead.testbed.launcher import Launcher, deployment_named
-from pearhead.testbed.simulator.measure import MEASURES, run_measure, spread
-from pearhead.testbed.simulator.recording import compare, plan, read_recording, replay
-from pearhead.testbed.simulator.runner import RunOrder, run_apart, run_order, run_orders
-from pearhead.testbed.simulator.scale import run_entries, run_nodes, table
+from pearhead.testbed.launcher import Launcher, find_deployment
+from pearhead.testbed.simulator.measurements import MEASURES, run_measure, spread
+from pearhead.testbed.simulator.recording import compare_replay, plan, read_recording, replay
+from pearhead.testbed.simulator.runner import RunSpec, run_isolated, run_spec, run_specs
+from pearhead.testbed.simulator.scaling_costs import measure_entry_scaling, run_nodes, table
 from pearhead.testbed.simulator.scenarios import SCENARIOS
-from pearhead.testbed.simulator.sweep import Sweep, run_as_they_end
+from pearhead.testbed.simulator.sweep import Sweep, run_as_completed
 from pearhead.testbed.soak.run import soak
 from pearhead.testbed.soak.schedule import SHORT_PROFILE, SoakProfile
 from pearhead.testbed.standin import build_stand_in
@@ -55,7 +55,7 @@
 
         --interface platform starts the programs behind platform/, inside an emulation of the users' platform.
         """
-        chosen_deployment = deployment_named(deployment)
+        chosen_deployment = find_deployment(deployment)
         if interface == "platform" or is_site(folder):
             size = SiteSize(chosen_deployment.core_count, nodes, workers or chosen_deployment.worker_count)
             print("\n".join(start_site(folder, chosen_deployment, size, seed)))
@@ -111,7 +111,7 @@
             return
         launcher = Launcher(folder)
         caller = Caller(
-            deployment_named(launcher.plan["deployment"]), launcher.addresses_of("router"), random.Random(seed)
+            find_deployment(launcher.plan["deployment"]), launcher.addresses_of("router"), random.Random(seed)
         )
         report = asyncio.run(caller.run(jobs, at_once, first))
         for outcome, count in sorted(report.outcomes.items()):
@@ -178,17 +178,17 @@
 
         --without leaves out strikes of overlapping-faults by their numbers.
         """
-        left_out = frozenset(int(n) for n in str(without).strip("()").replace(" ", "").split(",") if n)
-        deployment_names = list(DEPLOYMENTS) if deployment == "all" else [deployment_named(deployment).name]
+        excluded_faults = frozenset(int(n) for n in str(without).strip("()").replace(" ", "").split(",") if n)
+        deployment_names = list(DEPLOYMENTS) if deployment == "all" else [find_deployment(deployment).name]
         if scenario != "all" and scenario not in SCENARIOS:
             raise SystemExit(f"testbed: no scenario {scenario!r}; there are {', '.join(SCENARIOS)}")
         orders = [
-            RunOrder(name, deployment_name, seed + extra, record_path=record, left_out=left_out)
+            RunSpec(name, deployment_name, seed + extra, record_path=record, excluded_faults=excluded_faults)
             for name in (SCENARIOS if scenario == "all" else [scenario])
             for deployment_name in deployment_names
             for extra in range(seeds)
         ]
-        results = run_orders(orders) if len(orders) > 1 else [run_order(orders[0])]
+        results = run_specs(orders) if len(orders) > 1 else [run_spec(orders[0])]
         for result in results:
             print(result.line())
         if len(results) == 1 and not results[0].breaches:
@@ -208,12 +208,12 @@
         journal: str = "",
     ) -> None:
         """Runs many seeds in parallel; goes on from --journal; one line a failing run, and a shortened one."""
-        deployment_names = list(DEPLOYMENTS) if deployment == "all" else [deployment_named(deployment).name]
+        deployment_names = list(DEPLOYMENTS) if deployment == "all" else [find_deployment(deployment).name]
         names = list(SCENARIOS) if scenario == "all" else [scenario]
         if set(names) - set(SCENARIOS):
             raise SystemExit(f"testbed: no scenario {scenario!r}; there are {', '.join(SCENARIOS)}")
-        orders = [RunOrder(n, d, first + extra) for extra in range(seeds) for n in names for d in deployment_names]
-        failed_count = Sweep(Path(journal) if journal else None, run_as_they_end, print).run(orders)
+        orders = [RunSpec(n, d, first + extra) for extra in range(seeds) for n in names for d in deployment_names]
+        failed_count = Sweep(Path(journal) if journal else None, run_as_completed, print).run(orders)
         print(f"{len(orders)} runs, {failed_count} broke a rule")
         if failed_count:
             raise SystemExit(1)
@@ -222,7 +222,7 @@
         """Plays a recording again, on another description or this build, and shows the difference."""
         held = read_recording(recording)
         given = json.loads(Path(description).read_text()) if description else None
-        print("\n".join(compare(held, replay(held, given, faults))))
+        print("\n".join(compare_replay(held, replay(held, given, faults))))
 
     def plan(self, recording: str, description: str) -> None:
         """Tells what a description would do with a recorded load, before it is applied."""
@@ -231,9 +231,9 @@
     def measure(self, name: str = "all", deployment: str = "all", seeds: int = 5, nodes: int = 0) -> None:
         """Prints a table of a measurement: mean, least and most over seeds."""
         for measure_name in MEASURES if name == "all" else [name]:
-            for deployment_name in DEPLOYMENTS if deployment == "all" else [deployment_named(deployment).name]:
+            for deployment_name in DEPLOYMENTS if deployment == "all" else [find_deployment(deployment).name]:
                 orders = [(measure_name, deployment_name, seed + 1, nodes) for seed in range(seeds)]
-                rows = run_apart(run_measure, orders)
+                rows = run_isolated(run_measure, orders)
                 print(f"| {measure_name}, {deployment_name}, {seeds} seeds | mean | least | most |")
                 print("| --- | --- | --- | --- |")
                 print("\n".join(spread(rows)))
@@ -241,9 +241,9 @@
 
     def scale(self, nodes: str = "12,50,100,200", entries: str = "10,100,1000,10000") -> None:
         """Prints what a fleet costs by its size, and a description by its entries."""
-        for run_row, sizes_text in ((run_nodes, nodes), (run_entries, entries)):
+        for run_row, sizes_text in ((run_nodes, nodes), (measure_entry_scaling, entries)):
             sizes = [int(x) for x in (sizes_text.split(",") if isinstance(sizes_text, str) else sizes_text)]
-            print("\n".join(table(run_apart(run_row, sizes))))
+            print("\n".join(table(run_isolated(run_row, sizes))))
             print()
 
     def scale_run(self, axis: str, sizes: str = "", kept: str = "", plot: str = "") -> None:
@@ -271,7 +271,7 @@
 
     def description(self, deployment: str) -> None:
         """Prints the description file of an example deployment."""
-        print(description_text(deployment_named(deployment)), end="")
+        print(description_text(find_deployment(deployment)), end="")
 
     def stand_in(self, role: str, address: str, store: str = "") -> None:
         """Serves as a worker, a store or an application service."""
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -24,14 +24,14 @@
 from pearhead.runtime.clock import SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
 
-Prepare = Callable[[SimFleet], None]
-FOR_EVER_MICROS = 10**9 * SECOND
-SELDOM_MICROS = 30 * SECOND
+MutationPatch = Callable[[SimFleet], None]
+UNBOUNDED_MICROS = 10**9 * SECOND
+RARE_SEND_INTERVAL_MICROS = 30 * SECOND
 
 
 @dataclass(frozen=True)
 class Mutation:
-    prepare: Prepare
+    prepare: MutationPatch
     scenario: str
     wanted: str
 
@@ -39,8 +39,8 @@
 CONTROL_MUTATIONS: dict[str, Mutation] = {}
 
 
-def mutation(scenario: str, wanted: str) -> Callable[[Prepare], Prepare]:
-    def keep(prepare: Prepare) -> Prepare:
+def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
+    def keep(prepare: MutationPatch) -> MutationPatch:
         CONTROL_MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
         return prepare
 
@@ -94,14 +94,14 @@
 
         core.start = start  # type: ignore[method-assign]
 
-    vars(replication)["UNHEARD_MICROS"] = FOR_EVER_MICROS
+    vars(replication)["UNHEARD_MICROS"] = UNBOUNDED_MICROS
     fleet.build_core = change
 
 
 @mutation("leader-cut-off", "late answer")
 def silence_unnoticed(fleet: SimFleet) -> None:
     """A leader whom nobody answers leads on, and its orders wait."""
-    vars(replication)["UNHEARD_MICROS"] = FOR_EVER_MICROS
+    vars(replication)["UNHEARD_MICROS"] = UNBOUNDED_MICROS
 
 
 @mutation("follower-cut-off", "old configuration")
@@ -120,7 +120,7 @@
 
         node.keeper._take_members = take  # type: ignore[method-assign]
 
-    fleet.build_node = change
+    fleet.node_patch = change
 
 
 @mutation("leader-cut-off", "disturbed")
@@ -142,7 +142,7 @@
         follower = self.state.followers[follower_identity]
         now_micros = self.clock.now()
         is_silent = now_micros - follower.heard_micros > SECOND
-        if not is_silent or now_micros - follower.sent_micros > SELDOM_MICROS:
+        if not is_silent or now_micros - follower.sent_micros > RARE_SEND_INTERVAL_MICROS:
             real_send(self, follower_identity, is_heartbeat)
 
     LeaderReplication.send_append = send  # type: ignore[method-assign]
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -9,36 +9,36 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.history import DONE, NO_ANSWER, Change
-from pearhead.testbed.simulator.ledger import FORCE_MICROS
+from pearhead.testbed.simulator.ledger import CONFIG_PROPAGATION_LIMIT_MICROS
 from pearhead.testbed.simulator.operators import Operators
 from pearhead.testbed.simulator.world import pause
 
 NODE_COUNT = 1
 WORKER_COUNT = 2
-CUT_MICROS = 20 * SECOND
+PARTITION_MICROS = 20 * SECOND
 ANSWER_MICROS = 1_100 * MILLI
-LONG_PATIENCE_MICROS = 6 * SECOND
-IN_STEP_MICROS = 2 * SECOND
-LED_MICROS = 2 * SECOND
-UNDISTURBED_MICROS = 3 * SECOND
-CLOSELY_MICROS = 100
-WATCH_MICROS = 100 * MILLI
-ORDER_EVERY_MICROS = SECOND
-SETTLE_MICROS = 4 * SECOND
+LONG_REQUEST_TIMEOUT_MICROS = 6 * SECOND
+CATCH_UP_LIMIT_MICROS = 2 * SECOND
+ELECTION_LIMIT_MICROS = 2 * SECOND
+STABLE_LEADER_MICROS = 3 * SECOND
+FINE_POLL_MICROS = 100
+NODE_CHECK_INTERVAL_MICROS = 100 * MILLI
+REQUEST_INTERVAL_MICROS = SECOND
+STABILIZATION_MICROS = 4 * SECOND
 # A replaced machine counts as back this long after its start; who is silent this long is let go (§4.9).
-LOST_AFTER_MICROS = SETTLE_MICROS + SECOND
-AFTER_PLANNED_MICROS = 15 * SECOND
+LOST_AFTER_MICROS = STABILIZATION_MICROS + SECOND
+DELAY_AFTER_PLANNED_MICROS = 15 * SECOND
 LONG_PAUSE_MICROS = 3 * SECOND
 ROUNDS = 3
-LATER_CHANGES = 258
-LOG_ROUNDS = 3
+FOLLOWING_CHANGE_COUNT = 258
+DIVERGENT_LOG_ROUNDS = 3
 
-ControlPlay = Callable[["ControlDay"], Awaitable[None]]
+ControlScenarioBody = Callable[["ControlDay"], Awaitable[None]]
 
 
 @dataclass(frozen=True)
 class ControlScenario:
-    play: ControlPlay
+    play: ControlScenarioBody
     core_count: int
     digest_every: int
 
@@ -52,8 +52,10 @@
 CONTROL_SCENARIOS: dict[str, ControlScenario] = {}
 
 
-def control_scenario(core_count: int = 3, digest_every: int = 400) -> Callable[[ControlPlay], ControlPlay]:
-    def keep(play: ControlPlay) -> ControlPlay:
+def control_scenario(
+    core_count: int = 3, digest_every: int = 400
+) -> Callable[[ControlScenarioBody], ControlScenarioBody]:
+    def keep(play: ControlScenarioBody) -> ControlScenarioBody:
         name = play.__name__.replace("_", "-")
         CONTROL_SCENARIOS[name] = ControlScenario(play, core_count, digest_every)
         return play
@@ -75,22 +77,24 @@
         for name, startup in self.fleet.startups.items():
             if name.startswith("core-"):
                 self.fleet.startups[name] = dataclasses.replace(startup, founders=[], lostAfterMicros=LOST_AFTER_MICROS)
-        self.operators.start_reading()
-        self.fleet.load_tasks.append(self.world.loop.create_task(self._watch_nodes()))
+        self.operators.start_periodic_reads()
+        self.fleet.background_tasks.append(self.world.loop.create_task(self._check_node_configs()))
 
-    async def _watch_nodes(self) -> None:
+    async def _check_node_configs(self) -> None:
         """A node that holds itself to be current has what was acknowledged a while before."""
         while True:
-            await pause(self.world, WATCH_MICROS)
-            known_micros = self.world.now() - FORCE_MICROS
-            newest = max((r for r, ack_micros in self.fleet.ledger.applies if ack_micros < known_micros), default=0)
+            await pause(self.world, NODE_CHECK_INTERVAL_MICROS)
+            known_micros = self.world.now() - CONFIG_PROPAGATION_LIMIT_MICROS
+            newest = max(
+                (r for r, ack_micros in self.fleet.ledger.acknowledged_applies if ack_micros < known_micros), default=0
+            )
             for name, node in self.fleet.nodes.items():
                 if node.keeper.is_current() and node.keeper.view.description_revision < newest:
                     self.breach("old configuration", f"{name} serves without {newest}")
 
     async def end(self) -> None:
         """What was acknowledged is there at the end, at each member."""
-        if await self.operators.change_on(4 * SECOND) is None:
+        if await self.operators.submit_next_change(4 * SECOND) is None:
             self.breach("not led in time", "no order was acknowledged at the end")
         for name in sorted(self.fleet.cores):
             await self.operators.read(name)
@@ -102,61 +106,61 @@
     def followers(self) -> list[str]:
         return [name for name in self.fleet.live_cores() if name != self.fleet.leader()]
 
-    async def led(self, what: str, names: list[str] | None = None) -> None:
+    async def expect_leader(self, what: str, names: list[str] | None = None) -> None:
         """A leader, and then an order acknowledged, soon wherever a majority stands."""
         start_micros = self.world.now()
-        while not self.fleet.leader() and self.world.now() - start_micros <= LED_MICROS:
+        while not self.fleet.leader() and self.world.now() - start_micros <= ELECTION_LIMIT_MICROS:
             await pause(self.world, 20 * MILLI)
         if not self.fleet.leader():
             self.breach("not led in time", f"no leader {LED_MICROS // SECOND} s after {what}")
-        elif await self.operators.change_on(LED_MICROS) is None:
+        elif await self.operators.submit_next_change(ELECTION_LIMIT_MICROS) is None:
             self.breach("not led in time", f"no order was acknowledged after {what}")
 
-    async def wait_closely(self, is_reached: Callable[[], bool]) -> None:
-        end_micros = self.world.now() + SETTLE_MICROS
+    async def poll_until(self, is_reached: Callable[[], bool]) -> None:
+        end_micros = self.world.now() + STABILIZATION_MICROS
         while not is_reached():
             if self.world.now() > end_micros:
                 self.breach("not led in time", "members did not change as they should")
                 return
-            await pause(self.world, CLOSELY_MICROS)
+            await pause(self.world, FINE_POLL_MICROS)
 
     # ---- a core cut off ------------------------------------------------------------------------------
 
-    async def cut_off(self, victim: str, comes_in: bool, goes_out: bool) -> None:
+    async def isolate_machines(self, victim: str, is_inbound_open: bool, is_outbound_open: bool) -> None:
         """For 20 s with the node beside it, and a change right before, during and after."""
         others = [name for name in sorted(self.fleet.cores) if name != victim]
         cut_names = [victim, *sorted(self.fleet.nodes)]
         self.world.note(f"cuts {victim} off: comes in {comes_in}, goes out {goes_out}")
-        before = self.world.loop.create_task(self.operators.change_on())
+        before = self.world.loop.create_task(self.operators.submit_next_change())
         await pause(self.world, self.world.chance.randrange(8 * MILLI))
         pairs: list[tuple[str, str]] = []
-        if not goes_out:
+        if not is_outbound_open:
             pairs += self.fleet.cut(cut_names, others, both_ways=False)
-        if not comes_in:
+        if not is_inbound_open:
             pairs += self.fleet.cut(others, cut_names, both_ways=False)
-        end_micros = self.world.now() + CUT_MICROS
-        await self._order_at(victim)
+        end_micros = self.world.now() + PARTITION_MICROS
+        await self._request_at(victim)
         await before
-        while self.world.now() < end_micros - ORDER_EVERY_MICROS:
-            await self._order_at(victim)
-            if await self.operators.change_on(5 * SECOND, is_marked=False) is None:
+        while self.world.now() < end_micros - REQUEST_INTERVAL_MICROS:
+            await self._request_at(victim)
+            if await self.operators.submit_next_change(5 * SECOND, is_marked=False) is None:
                 self.breach("not led in time", f"no order was acknowledged while {victim} was cut off")
-            await pause(self.world, ORDER_EVERY_MICROS)
-        after = self.world.loop.create_task(self._order_at(victim))
+            await pause(self.world, REQUEST_INTERVAL_MICROS)
+        after = self.world.loop.create_task(self._request_at(victim))
         await pause(self.world, 5 * MILLI)
-        await self._return(victim, pairs)
+        await self._reconnect(victim, pairs)
         await after
 
-    async def _order_at(self, victim: str) -> None:
+    async def _request_at(self, victim: str) -> None:
         """Whether it runs or not, the operator is told soon."""
-        content = self.operators.draw_content()
+        content = self.operators.next_content()
         change = Change(self.operators.number, self.operators.number + 1, content, is_marked=False)
-        order = await self.operators.ask(change, victim, LONG_PATIENCE_MICROS)
+        order = await self.operators.ask(change, victim, LONG_REQUEST_TIMEOUT_MICROS)
         took_micros = order.end_micros - order.start_micros
         if order.status == NO_ANSWER or took_micros > ANSWER_MICROS:
             self.breach("late answer", f"{victim} told {order.status} after {took_micros / SECOND:.2f} s")
 
-    async def _return(self, victim: str, pairs: list[tuple[str, str]]) -> None:
+    async def _reconnect(self, victim: str, pairs: list[tuple[str, str]]) -> None:
         leader = self.fleet.leader()
         epoch = self.fleet.cores[leader].raft.term if leader else 0
         commit_index = self.fleet.cores[leader].raft.commit_index if leader else 0
@@ -165,16 +169,16 @@
         self.fleet.mend(pairs)
         heal_micros = self.world.now()
         raft = self.fleet.cores[victim].raft
-        while raft.commit_index < commit_index and self.world.now() - heal_micros <= IN_STEP_MICROS:
+        while raft.commit_index < commit_index and self.world.now() - heal_micros <= CATCH_UP_LIMIT_MICROS:
             await pause(self.world, 20 * MILLI)
         if raft.commit_index < commit_index:
             self.breach("not in step", f"{victim} has {raft.commit_index} of {commit_index}")
         if await self.operators.read(victim) is None:
             self.breach("not in step", f"{victim} can tell no description")
-        change = await self.operators.change_on(IN_STEP_MICROS)
+        change = await self.operators.submit_next_change(CATCH_UP_LIMIT_MICROS)
         if change is None or (await self.operators.ask(change, victim)).status != DONE:
             self.breach("not in step", f"{victim} acknowledges no order")
-        await pause(self.world, UNDISTURBED_MICROS)
+        await pause(self.world, STABLE_LEADER_MICROS)
         now_leader = self.fleet.leader()
         now_epoch = self.fleet.cores[now_leader].raft.term if now_leader else 0
         if (now_leader, now_epoch) != (leader, epoch):
@@ -182,35 +186,35 @@
 
     # ---- machines that come and go ---------------------------------------------------------------------
 
-    def bring(self) -> str:
+    def add_replacement_core(self) -> str:
         """An empty machine at a new address, whose seeds are those of now."""
         self.core_number += 1
         name = f"core-{self.core_number}"
         seeds = [self.fleet.startups[n].address for n in self.fleet.live_cores()]
-        any_startup = self.fleet.startups[sorted(self.fleet.cores)[0]]
+        template_startup = self.fleet.startups[sorted(self.fleet.cores)[0]]
         self.fleet.startups[name] = dataclasses.replace(
-            any_startup, address=f"{name}:1", httpAddress=f"{name}:2", area=self.fleet.area_of(name), seeds=seeds
+            template_startup, address=f"{name}:1", httpAddress=f"{name}:2", area=self.fleet.area_of(name), seeds=seeds
         )
         self.fleet.start(name)
         return name
 
-    def lose(self, name: str) -> None:
-        self.fleet.lose_core(name)
+    def destroy_machine(self, name: str) -> None:
+        self.fleet.destroy_core(name)
 
     async def replace_as_planned(self, name: str) -> None:
         """The new machine first; then the old one drains and goes for good."""
-        self.bring()
-        await pause(self.world, SETTLE_MICROS)
+        self.add_replacement_core()
+        await pause(self.world, STABILIZATION_MICROS)
         await self.fleet.stop_planned(name)
         self.fleet.forget_core(name)
-        await self.led(f"{name} went as planned")
+        await self.expect_leader(f"{name} went as planned")
 
-    async def lose_and_replace(self, names: list[str], pause_micros: int) -> None:
+    async def destroy_and_replace(self, names: list[str], pause_micros: int) -> None:
         for name in names:
-            self.lose(name)
+            self.destroy_machine(name)
         await pause(self.world, pause_micros)
         for _ in names:
-            self.bring()
+            self.add_replacement_core()
 
     async def wipe(self, names: list[str]) -> None:
         for name in names:
@@ -228,7 +232,7 @@
         self.world.chance.shuffle(names)
         for name in names:
             self.fleet.start(name)
-        await self.led("all lost power")
+        await self.expect_leader("all lost power")
 
 
 # ---- point 1: cut off for 20 s -------------------------------------------------------------------------
@@ -236,25 +240,25 @@
 
 @control_scenario()
 async def follower_cut_off(day: ControlDay) -> None:
-    await day.cut_off(day.world.chance.choice(day.followers()), comes_in=False, goes_out=False)
+    await day.isolate_machines(day.world.chance.choice(day.followers()), is_inbound_open=False, is_outbound_open=False)
 
 
 @control_scenario()
 async def leader_cut_off(day: ControlDay) -> None:
-    await day.cut_off(day.fleet.leader(), comes_in=False, goes_out=False)
+    await day.isolate_machines(day.fleet.leader(), is_inbound_open=False, is_outbound_open=False)
 
 
 @control_scenario()
 async def core_hears_nobody(day: ControlDay) -> None:
     """The leader as often as not."""
     victim = day.world.chance.choice([day.fleet.leader(), day.followers()[0]])
-    await day.cut_off(victim, comes_in=False, goes_out=True)
+    await day.isolate_machines(victim, is_inbound_open=False, is_outbound_open=True)
 
 
 @control_scenario()
 async def core_heard_by_nobody(day: ControlDay) -> None:
     victim = day.world.chance.choice([day.fleet.leader(), day.followers()[0]])
-    await day.cut_off(victim, comes_in=True, goes_out=False)
+    await day.isolate_machines(victim, is_inbound_open=True, is_outbound_open=False)
 
 
 # ---- point 2: one number, one winner ---------------------------------------------------------------------
@@ -263,9 +267,9 @@
 async def contend_through_faults(day: ControlDay, round_count: int) -> None:
     """Eight at once, again and again: through a new leader, a restart of all, and snapshots taken."""
     operators, chance = day.operators, day.world.chance
-    first = await operators.change_on()
+    first = await operators.submit_next_change()
     for number in range(round_count):
-        round_task = day.world.loop.create_task(operators.contend())
+        round_task = day.world.loop.create_task(operators.submit_conflicting_changes())
         await pause(day.world, chance.randrange(12 * MILLI))
         if number == 2 and day.fleet.leader():
             gone = day.fleet.leader()
@@ -281,7 +285,7 @@
     if not all(core.raft.log.base_index for core in day.fleet.cores.values()):
         day.breach("not led in time", "no log was ever cut")
     for change in taken:
-        await operators.repeat_at_all(change)
+        await operators.resend_to_all_cores(change)
 
 
 @control_scenario(digest_every=10)
@@ -297,67 +301,67 @@
 @control_scenario(digest_every=40)
 async def repeats_after_hundreds_of_changes(day: ControlDay) -> None:
     """The first ones are sent again to each member, also after a restart of all."""
-    first = await day.operators.change_on()
-    others = [await day.operators.change_on(is_marked=False) for _ in range(LATER_CHANGES)]
+    first = await day.operators.submit_next_change()
+    others = [await day.operators.submit_next_change(is_marked=False) for _ in range(FOLLOWING_CHANGE_COUNT)]
     for change in [first, others[0], others[-1]]:
         if change is None:
             day.breach("not led in time", "a change was not acknowledged")
             return
-        await day.operators.repeat_at_all(change)
+        await day.operators.resend_to_all_cores(change)
     await day.lose_power_everywhere()
     if first is not None:
-        await day.operators.repeat_at_all(first)
+        await day.operators.resend_to_all_cores(first)
 
 
 # ---- point 3: loss upon loss -------------------------------------------------------------------------------
 
 
-async def lose_after_planned(day: ControlDay, planned_count: int, loss_count: int) -> None:
+async def destroy_after_planned(day: ControlDay, planned_count: int, loss_count: int) -> None:
     """Planned replacements, losses with replacements 15 s later, wiped disks as soon as these are back, then power."""
     for _ in range(planned_count):
         await day.replace_as_planned(day.world.chance.choice(sorted(day.fleet.cores)))
-    await pause(day.world, AFTER_PLANNED_MICROS - SETTLE_MICROS)
-    await day.lose_and_replace(day.world.chance.sample(sorted(day.fleet.cores), loss_count), SECOND)
-    await pause(day.world, SETTLE_MICROS)
+    await pause(day.world, DELAY_AFTER_PLANNED_MICROS - STABILIZATION_MICROS)
+    await day.destroy_and_replace(day.world.chance.sample(sorted(day.fleet.cores), loss_count), SECOND)
+    await pause(day.world, STABILIZATION_MICROS)
     await day.wipe(day.world.chance.sample(sorted(day.fleet.cores), loss_count))
-    await day.led("a wiped disk after a loss after a planned replacement")
-    await pause(day.world, SETTLE_MICROS)
-    await day.led("a wiped disk")
+    await day.expect_leader("a wiped disk after a loss after a planned replacement")
+    await pause(day.world, STABILIZATION_MICROS)
+    await day.expect_leader("a wiped disk")
     await day.lose_power_everywhere()
 
 
 @control_scenario()
 async def losses_after_a_planned_replacement(day: ControlDay) -> None:
-    await lose_after_planned(day, 1, 1)
+    await destroy_after_planned(day, 1, 1)
 
 
 @control_scenario(core_count=5)
 async def losses_after_planned_replacements_at_five_cores(day: ControlDay) -> None:
-    await lose_after_planned(day, 2, 2)
+    await destroy_after_planned(day, 2, 2)
 
 
-async def lose_again_and_again(day: ControlDay, loss_count: int) -> None:
+async def destroy_repeatedly(day: ControlDay, loss_count: int) -> None:
     """The next one goes at the moment when its forerunner's successor counts as back."""
     for _ in range(ROUNDS):
         names = day.world.chance.sample(sorted(day.fleet.cores), loss_count)
         pause_micros = day.world.chance.choice([0, SECOND, 2 * SECOND, LONG_PAUSE_MICROS])
-        await day.lose_and_replace(names, pause_micros)
-        lost_text = f"{names} were lost, and others came {pause_micros / SECOND:.0f} s later"
+        await day.destroy_and_replace(names, pause_micros)
+        loss_description = f"{names} were lost, and others came {pause_micros / SECOND:.0f} s later"
         start_micros = day.world.now()
-        await day.led(lost_text)
-        await pause(day.world, max(0, start_micros + SETTLE_MICROS - day.world.now()))
-    await day.led("the last loss")
+        await day.expect_leader(loss_description)
+        await pause(day.world, max(0, start_micros + STABILIZATION_MICROS - day.world.now()))
+    await day.expect_leader("the last loss")
     await day.lose_power_everywhere()
 
 
 @control_scenario()
 async def losses_as_soon_as_settled(day: ControlDay) -> None:
-    await lose_again_and_again(day, 1)
+    await destroy_repeatedly(day, 1)
 
 
 @control_scenario(core_count=5)
 async def two_losses_at_five_cores_as_soon_as_settled(day: ControlDay) -> None:
-    await lose_again_and_again(day, 2)
+    await destroy_repeatedly(day, 2)
 
 
 @control_scenario()
@@ -371,30 +375,30 @@
         if number % 2 == 0:
             day.fleet.freeze(leader)
             await pause(day.world, day.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
-            day.bring()
-            await pause(day.world, SETTLE_MICROS)
-            day.lose(leader)
+            day.add_replacement_core()
+            await pause(day.world, STABILIZATION_MICROS)
+            day.destroy_machine(leader)
         else:
-            await day.lose_and_replace([leader], day.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
-            await pause(day.world, SETTLE_MICROS)
-        await day.led(f"the leader {leader} was replaced")
+            await day.destroy_and_replace([leader], day.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
+            await pause(day.world, STABILIZATION_MICROS)
+        await day.expect_leader(f"the leader {leader} was replaced")
     await day.lose_power_everywhere()
 
 
 @control_scenario()
 async def survivors_of_unlike_logs(day: ControlDay) -> None:
     """The leader goes, and of the others only one holds the last entry: it must win soon, time after time."""
-    for _ in range(LOG_ROUNDS):
+    for _ in range(DIVERGENT_LOG_ROUNDS):
         leader = day.fleet.leader()
         if not leader:
             day.breach("not led in time", "nobody leads at the start of a round")
             return
         behind = day.world.chance.choice(day.followers())
         pairs = day.fleet.cut([behind], [leader])
-        await day.operators.change_on(LED_MICROS, is_marked=False)
+        await day.operators.submit_next_change(ELECTION_LIMIT_MICROS, is_marked=False)
         day.fleet.kill(leader, loses_power=True)
         day.fleet.mend(pairs)
-        await day.led(f"{leader} went, and {behind} lacks its last entry")
+        await day.expect_leader(f"{leader} went, and {behind} lacks its last entry")
         day.fleet.start(leader)
         await pause(day.world, SECOND)
 
@@ -403,9 +407,9 @@
 async def promotion_known_to_one_alone(day: ControlDay) -> None:
     """A successor has the vote, and none but itself knows of it when the two others go that do: three of five stand."""
     leader = day.fleet.leader()
-    lost, behind, unended, other = day.followers()
-    day.lose(lost)
-    successor = day.bring()
+    lost, behind, uninformed, other = day.followers()
+    day.destroy_machine(lost)
+    successor = day.add_replacement_core()
     await pause(day.world, SECOND)
     pairs = day.fleet.cut([behind], [name for name in sorted(day.fleet.cores) if name != behind])
     raft = day.fleet.cores[leader].raft
@@ -414,11 +418,11 @@
         membership = raft.membership()
         return day.fleet.cores[successor].identity in membership.voters and not membership.is_joint
 
-    await day.wait_closely(is_ended)
+    await day.poll_until(is_ended)
     # The entry that ends the joint change is on its way, and does not come to this one.
-    pairs += day.fleet.cut([unended], [name for name in sorted(day.fleet.cores) if name != unended])
-    await day.wait_closely(lambda: raft.commit_index >= raft.membership().index)
-    day.lose(leader)
-    day.lose(other)
+    pairs += day.fleet.cut([uninformed], [name for name in sorted(day.fleet.cores) if name != uninformed])
+    await day.poll_until(lambda: raft.commit_index >= raft.membership().index)
+    day.destroy_machine(leader)
+    day.destroy_machine(other)
     day.fleet.mend(pairs)
-    await day.led(f"two went, and only {successor} knows that it votes")
+    await day.expect_leader(f"two went, and only {successor} knows that it votes")
--- a/src/pearhead/testbed/simulator/fault_log.py
+++ b/src/pearhead/testbed/simulator/fault_log.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-ALWAYS = 2**62
+NO_END_MICROS = 2**62
 
 
 @dataclass
@@ -14,7 +14,7 @@
     kind: str
     names: tuple[str, ...]
     start_micros: int
-    end_micros: int = ALWAYS
+    end_micros: int = NO_END_MICROS
 
 
 class FaultLog:
@@ -29,16 +29,16 @@
 
     def end(self, kind: str, names: tuple[str, ...], at_micros: int) -> None:
         for interval in self.intervals:
-            if interval.kind == kind and interval.names == names and interval.end_micros == ALWAYS:
+            if interval.kind == kind and interval.names == names and interval.end_micros == NO_END_MICROS:
                 interval.end_micros = at_micros
                 self.event_micros.append(at_micros)
 
-    def disturb(self, at_micros: int) -> None:
+    def record_disturbance(self, at_micros: int) -> None:
         """What is no fault of a machine and yet asks for patience: lost datagrams, a slow disk, a swap."""
         self.event_micros.append(at_micros)
 
-    def is_quiet(self, at_micros: int, for_micros: int) -> bool:
-        return not any(at_micros - for_micros < event <= at_micros for event in self.event_micros)
+    def is_quiet(self, at_micros: int, quiet_period_micros: int) -> bool:
+        return not any(at_micros - quiet_period_micros < event <= at_micros for event in self.event_micros)
 
     def stands(self, name: str, at_micros: int) -> bool:
         broken, cuts = self._state(at_micros)
@@ -48,13 +48,13 @@
     def is_overloaded(self, at_micros: int) -> bool:
         return any(s.kind == "burst" and s.start_micros <= at_micros < s.end_micros for s in self.intervals)
 
-    def froze_between(self, name: str, start_micros: int, end_micros: int) -> bool:
+    def was_frozen_between(self, name: str, start_micros: int, end_micros: int) -> bool:
         return any(
             s.kind == "frozen" and s.names == (name,) and s.start_micros <= end_micros and s.end_micros >= start_micros
             for s in self.intervals
         )
 
-    def good_cores(self, at_micros: int, core_names: set[str]) -> set[str]:
+    def connected_cores(self, at_micros: int, core_names: set[str]) -> set[str]:
         """Cores that stand, and reach all others of these both ways; largest by number, then by name."""
         broken, cuts = self._state(at_micros)
         good = core_names - broken
@@ -65,18 +65,18 @@
                 return good
             good = good - {worst}
 
-    def sound_nodes(
+    def healthy_nodes(
         self, at_micros: int, node_names: set[str], core_names: set[str], worker_names: set[str]
     ) -> set[str]:
         """Nodes at which a caller must be served: they stand, and reach a majority of cores and most workers."""
         broken, cuts = self._state(at_micros)
-        good_cores = self.good_cores(at_micros, core_names)
-        good_workers = {
+        connected_cores = self.connected_cores(at_micros, core_names)
+        connected_workers = {
             w
             for w in worker_names - broken
             if sum((w, n) in cuts or (n, w) in cuts for n in node_names) <= len(node_names) // 2
         }
-        if 2 * len(good_cores) <= len(core_names) or 2 * len(good_workers) < len(worker_names):
+        if 2 * len(connected_cores) <= len(core_names) or 2 * len(connected_workers) < len(worker_names):
             return set()
 
         def reaches(node: str, others: set[str]) -> set[str]:
@@ -85,8 +85,8 @@
         return {
             n
             for n in node_names - broken
-            if 2 * len(reaches(n, good_cores)) > len(core_names)
-            and 2 * len(reaches(n, good_workers)) > len(good_workers)
+            if 2 * len(reaches(n, connected_cores)) > len(core_names)
+            and 2 * len(reaches(n, connected_workers)) > len(connected_workers)
             and 2 * len(reaches(n, self.machine_names - {n})) > len(self.machine_names) - 1
         }
 
--- a/src/pearhead/testbed/simulator/strikes.py
+++ b/src/pearhead/testbed/simulator/fault_schedule.py
@@ -7,10 +7,10 @@
 
 from pearhead.runtime.clock import MILLI, SECOND
 
-STRIKE_COUNT = 14
-SPAN_MICROS = 30 * SECOND
+SIM_FAULT_COUNT = 14
+FAULT_WINDOW_MICROS = 30 * SECOND
 # Kinds that take a disk machine or the core's unity away: never two of these at a time.
-CORE_KINDS = (
+CORE_FAULT_KINDS = (
     "core-killed",
     "core-power",
     "core-frozen",
@@ -24,7 +24,7 @@
     "all-killed",
     "area-cut-off",
 )
-OTHER_KINDS = (
+OTHER_FAULT_KINDS = (
     "node-killed",
     "node-frozen",
     "node-isolated",
@@ -52,7 +52,7 @@
     "key-withdrawn",
     "holder-frozen-commanding",
 )
-LAST_KINDS = (
+FINAL_FAULT_KINDS = (
     "core-power",
     "core-frozen",
     "core-isolated",
@@ -70,41 +70,52 @@
 
 
 @dataclass(frozen=True)
-class Strike:
+class SimFault:
     number: int
     kind: str
     at_micros: int
-    lasts_micros: int
+    fault_duration_micros: int
     pick: int
-    stays_on: bool = False
+    is_permanent: bool = False
 
     def text(self) -> str:
-        lasts = "for good" if self.stays_on else f"for {self.lasts_micros / SECOND:.1f} s"
+        duration_text = "for good" if self.is_permanent else f"for {self.lasts_micros / SECOND:.1f} s"
         return f"strike {self.number}: {self.kind} ({self.pick}) at {self.at_micros / SECOND:.1f} s {lasts}"
 
 
-class StrikePlan:
+class SimFaultSchedule:
     """Draws strikes that overlap as they fall; core strikes wait for one another; the last one stays on."""
 
-    def draw(self, seed: int) -> list[Strike]:
+    def draw(self, seed: int) -> list[SimFault]:
         chance = random.Random(f"strikes/{seed}")
-        strikes: list[Strike] = []
+        strikes: list[SimFault] = []
         core_free_at = 0
-        for number in range(STRIKE_COUNT):
+        for number in range(SIM_FAULT_COUNT):
             is_core = chance.random() < 0.35
-            kind = chance.choice(CORE_KINDS if is_core else OTHER_KINDS)
-            at_micros = chance.randrange(SPAN_MICROS)
-            lasts_micros = chance.randrange(500 * MILLI, 7 * SECOND)
+            kind = chance.choice(CORE_FAULT_KINDS if is_core else OTHER_FAULT_KINDS)
+            at_micros = chance.randrange(FAULT_WINDOW_MICROS)
+            fault_duration_micros = chance.randrange(500 * MILLI, 7 * SECOND)
             if is_core:
                 at_micros = core_free_at + chance.randrange(2 * SECOND)
-                if at_micros > SPAN_MICROS:
+                if at_micros > FAULT_WINDOW_MICROS:
                     continue
                 # A replaced core has its vote some time after it came; a frozen one its log.
-                core_free_at = at_micros + (12 * SECOND if kind == "core-replaced" else lasts_micros + 2 * SECOND)
-            strikes.append(Strike(number, kind, at_micros, lasts_micros, chance.randrange(1_000)))
-        last_micros = max(s.at_micros + s.lasts_micros for s in strikes) + chance.randrange(SECOND, 16 * SECOND)
+                core_free_at = at_micros + (
+                    12 * SECOND if kind == "core-replaced" else fault_duration_micros + 2 * SECOND
+                )
+            strikes.append(SimFault(number, kind, at_micros, fault_duration_micros, chance.randrange(1_000)))
+        last_micros = max(s.at_micros + s.fault_duration_micros for s in strikes) + chance.randrange(
+            SECOND, 16 * SECOND
+        )
         last_micros = max(last_micros, core_free_at)
         strikes.append(
-            Strike(STRIKE_COUNT, chance.choice(LAST_KINDS), last_micros, 0, chance.randrange(1_000), stays_on=True)
+            SimFault(
+                SIM_FAULT_COUNT,
+                chance.choice(FINAL_FAULT_KINDS),
+                last_micros,
+                0,
+                chance.randrange(1_000),
+                is_permanent=True,
+            )
         )
         return sorted(strikes, key=lambda s: (s.at_micros, s.number))
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -19,24 +19,30 @@
 from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import Command, CommandResult, PurgeNote, Worker
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.deployment import Deployment, build_description, draw_job, tenant_key
-from pearhead.testbed.simulator.edges import BackEnd, BackEnds, SimCarrier, SimFetch, SimLink
+from pearhead.testbed.deployment import Deployment, build_description, generate_job, tenant_key
 from pearhead.testbed.simulator.ledger import JobTrace, Ledger, Send, WorkerCommand
-from pearhead.testbed.simulator.world import SimNet, World, pause
-from pearhead.testbed.workermodel import ApplicationModel, Pace, RunRecord, StoreModel, WorkerModel
-
-OUTSIDE = "outside"
-NOT_OPEN = "not open"
+from pearhead.testbed.simulator.simulated_clients import (
+    BackEnd,
+    BackEnds,
+    SimCacheFetcher,
+    SimUpstreamClient,
+    SimWorkerClient,
+)
+from pearhead.testbed.simulator.world import SimNetwork, World, pause
+from pearhead.testbed.workermodel import ApplicationModel, RunRecord, StoreModel, WorkerModel, WorkerSpeed
+
+EXTERNAL_HOST = "outside"
+NOT_ACCEPTING = "not open"
 COMMAND_MICROS = 6 * SECOND
-JOB_MICROS = 20 * SECOND
-UP_MICROS = 20 * SECOND
+JOB_TIMEOUT_MICROS = 20 * SECOND
+CONDITION_TIMEOUT_MICROS = 20 * SECOND
 
 
-async def void_call(call: Coroutine[Any, Any, JobTrace]) -> None:
+async def discard_call_result(call: Coroutine[Any, Any, JobTrace]) -> None:
     await call
 
 
-class _TracePen:
+class _TraceWriter:
     """The caller's end of a stream: lines cross a link, and a gone caller is a closed pipe."""
 
     def __init__(self, world: World, trace: JobTrace) -> None:
@@ -61,37 +67,37 @@
         self.cores: dict[str, CoreProcess] = {}
         self.nodes: dict[str, NodeProcess] = {}
         self.back_ends: BackEnds = {}
-        self.paces: dict[str, Pace] = {}
+        self.paces: dict[str, WorkerSpeed] = {}
         self.startups: dict[str, StartupConfig] = {}
-        self.known_dead: set[str] = set()
+        self.detected_dead: set[str] = set()
         self.job_number = 0
         self.apply_number = 0
-        self.load_tasks: list[asyncio.Task[None]] = []
+        self.background_tasks: list[asyncio.Task[None]] = []
         self.worker_number = self.worker_count
-        self.gone_workers: set[str] = set()
+        self.removed_workers: set[str] = set()
         self.withdrawn_tenants: set[str] = set()
-        self.left_out: frozenset[int] = frozenset()
+        self.excluded_faults: frozenset[int] = frozenset()
         self.burst_tasks: list[asyncio.Task[None]] = []
         self.actions: list[tuple[int, str, dict[str, Any]]] = []
         self.leaving_since: dict[str, int] = {}
         self.open_jobs: set[asyncio.Task[None]] = set()
         self.description_revision = 0
-        self.build_node: Callable[[NodeProcess], None] = lambda node: None
+        self.node_patch: Callable[[NodeProcess], None] = lambda node: None
         self.build_core: Callable[[CoreProcess], None] = lambda core: None
         core_names = [f"core-{n + 1}" for n in range(deployment.core_count)]
         self.core_addresses = [f"{name}:1" for name in core_names]
         for name in core_names:
-            self.startups[name] = self._startup(name, founders=self.core_addresses)
+            self.startups[name] = self._build_startup(name, founders=self.core_addresses)
         for number in range(self.node_count):
             name = f"node-{number + 1}"
-            self.startups[name] = self._startup(name, founders=[])
+            self.startups[name] = self._build_startup(name, founders=[])
 
     def area_of(self, name: str) -> str:
         """Machines of each role go round the areas by their numbers; those that are single are in the last."""
         _, _, number_text = name.partition("-")
         return self.deployment.areas[(int(number_text) - 1) % 3 if number_text else 2]
 
-    def _startup(self, name: str, founders: list[str]) -> StartupConfig:
+    def _build_startup(self, name: str, founders: list[str]) -> StartupConfig:
         return StartupConfig(
             address=f"{name}:1",
             httpAddress=f"{name}:2",
@@ -115,10 +121,10 @@
             self.world.note(f"{name} must stop: {reason}")
             self.kill(name)
 
-        core = CoreProcess(startup, machine, SimNet(machine, startup.address), machine.disk, machine.chance, fail)
+        core = CoreProcess(startup, machine, SimNetwork(machine, startup.address), machine.disk, machine.chance, fail)
         core.crew = machine.crew
-        self._watch_bumps(core)
-        self._watch_grants(core)
+        self._record_bumps(core)
+        self._record_grants(core)
         self.build_core(core)
         self.cores[name] = core
 
@@ -138,17 +144,17 @@
         node = NodeProcess(
             startup,
             machine,
-            SimNet(machine, startup.address),
-            SimCarrier(
-                machine, self.back_ends, lambda upstream_id, worker: self._watch_send(name, upstream_id, worker)
+            SimNetwork(machine, startup.address),
+            SimUpstreamClient(
+                machine, self.back_ends, lambda upstream_id, worker: self._record_send(name, upstream_id, worker)
             ),
-            SimLink(machine, self.back_ends, self._watch_command),
+            SimWorkerClient(machine, self.back_ends, self._record_worker_command),
             machine.chance,
         )
         # The machine's crew is what a crash ends.
         for part in (node, node.keeper, node.listener, node.holder):
             part.crew = machine.crew
-        self.build_node(node)
+        self.node_patch(node)
         node.start()
         machine.crew.start(node.wait_until_placeable())
         self.nodes[name] = node
@@ -160,7 +166,7 @@
         address = f"{name}:2"
 
         def watch(record: RunRecord) -> None:
-            record.at_micros = machine.to_world(record.at_micros)
+            record.at_micros = machine.to_world_micros(record.at_micros)
             self.ledger.runs.append((name, record))
 
         model: WorkerModel | ApplicationModel | StoreModel
@@ -169,19 +175,19 @@
         elif name == "desk":
             model = ApplicationModel(machine, watch)
         else:
-            model = WorkerModel(machine, machine.chance, SimFetch(machine, self.back_ends, "store:2"), watch)
-            model.pace = self.paces.setdefault(name, self._draw_pace())
+            model = WorkerModel(machine, machine.chance, SimCacheFetcher(machine, self.back_ends, "store:2"), watch)
+            model.pace = self.paces.setdefault(name, self._random_worker_speed())
         self.back_ends[address] = BackEnd(machine, model)
         self.world.note(f"starts {name}")
 
-    def present_workers(self) -> list[str]:
+    def current_workers(self) -> list[str]:
         names = [b.machine.name for a, b in sorted(self.back_ends.items()) if a.startswith("worker-")]
-        return [n for n in names if n not in self.gone_workers]
+        return [n for n in names if n not in self.removed_workers]
 
-    def _draw_pace(self) -> Pace:
+    def _random_worker_speed(self) -> WorkerSpeed:
         """Workers of unlike speed; long results stream for one to three seconds."""
         chance = self.world.chance
-        return Pace(
+        return WorkerSpeed(
             chance.randrange(40, 120),
             chance.randrange(10, 25) * MILLI,
             chance.randrange(120, 260) * MILLI,
@@ -216,20 +222,20 @@
 
     async def replace_worker(self, name: str) -> None:
         """A machine of another name and address comes for one that is gone for good."""
-        self.gone_workers.add(name)
+        self.removed_workers.add(name)
         await self.add_worker()
 
     async def add_worker(self) -> str:
         self.worker_number += 1
         new_name = f"worker-{self.worker_number}"
         self.start_back_end(new_name)
-        self._note_names()
+        self._update_machine_names()
         await self.set_workers()
         return new_name
 
     def is_loaded(self, worker_name: str) -> bool:
         """Whether all nodes that stand know it to be loaded."""
-        return all(worker_name in n.keeper.view.loads for name, n in self.nodes.items() if self._lives(name))
+        return all(worker_name in n.keeper.view.loads for name, n in self.nodes.items() if self._is_machine_alive(name))
 
     def heal(self) -> None:
         self._act("heal")
@@ -239,29 +245,31 @@
 
     def start(self, name: str) -> None:
         self._act("start", name=name)
-        self.known_dead.discard(name)
+        self.detected_dead.discard(name)
         self.fault_log.end("dead", (name,), self.world.now())
         self.fault_log.end("frozen", (name,), self.world.now())
         if name.startswith("core-"):
             self.start_core(name)
-            self._note_names()
+            self._update_machine_names()
         elif name.startswith("node-"):
             self.start_node(name)
-            self._note_names()
+            self._update_machine_names()
         else:
             self.start_back_end(name)
 
     def kill(self, name: str, loses_power: bool = False) -> None:
         self._act("power" if loses_power else "kill", name=name)
         self.world.note(f"{'cuts the power of' if loses_power else 'kills'} {name}")
-        if self._lives(name):
+        if self._is_machine_alive(name):
             self.fault_log.begin("dead", (name,), self.world.now())
         self.world.machine(name).crash(loses_power)
         process = self.cores.get(name) or self.nodes.get(name)
         if process is not None and hasattr(process, "courier"):
             process.courier.stop()
         # The platform notices a dead node after a while, and hands no connections to it.
-        self.world.loop.call_later(1.0, lambda: self.known_dead.add(name) if not self._lives(name) else None)
+        self.world.loop.call_later(
+            1.0, lambda: self.detected_dead.add(name) if not self._is_machine_alive(name) else None
+        )
 
     async def stop_planned(self, name: str) -> None:
         """As the platform does planned work: hand out no more connections, drain, then stop."""
@@ -270,8 +278,8 @@
         machine = self.world.machine(name)
         process = self.cores.get(name) or self.nodes.get(name)
         if process is not None:
-            self.known_dead.add(name)
-            await self.world.call_into(machine, OUTSIDE, process.drain, 40 * SECOND)
+            self.detected_dead.add(name)
+            await self.world.run_on_machine(machine, EXTERNAL_HOST, process.drain, 40 * SECOND)
         elif name.startswith("worker-"):
             await self.mark_leaving(name)
             await pause(self.world, 3 * SECOND)
@@ -291,24 +299,24 @@
         self.fault_log.end("frozen", (name,), self.world.now())
         self.world.machine(name).wake()
 
-    def set_disk(self, name: str, kind: str, is_on: bool) -> None:
+    def set_disk(self, name: str, kind: str, is_fault_active: bool) -> None:
         """Stalls or fills a disk, or ends it."""
         self.world.note(f"the disk of {name} is {kind if is_on else 'well again'}")
         disk = self.world.machine(name).disk
         if kind == "stalled":
-            disk.is_stalled = is_on
+            disk.is_stalled = is_fault_active
         else:
-            disk.is_full = is_on
-        if is_on:
+            disk.is_full = is_fault_active
+        if is_fault_active:
             self.fault_log.begin("disk", (name,), self.world.now())
         else:
             self.fault_log.end("disk", (name,), self.world.now())
 
-    def set_cast_loss(self, loss: float, double: float = 0.0) -> None:
-        self.world.cast_loss, self.world.cast_double = loss, double
-        self.fault_log.disturb(self.world.now())
+    def set_datagram_loss(self, loss: float, double: float = 0.0) -> None:
+        self.world.datagram_loss, self.world.datagram_duplication = loss, double
+        self.fault_log.record_disturbance(self.world.now())
 
-    def lose_core(self, name: str) -> None:
+    def destroy_core(self, name: str) -> None:
         """Power and disk are gone for good."""
         self.kill(name, loses_power=True)
         self.world.machine(name).disk.empty()
@@ -316,12 +324,12 @@
 
     def forget_core(self, name: str) -> None:
         self.cores.pop(name)
-        self._note_names()
+        self._update_machine_names()
 
     def add_node(self, name: str) -> None:
         """A node that is given only the cores of now for seeds."""
         live_addresses = [self.startups[n].address for n in self.live_cores()]
-        self.startups[name] = dataclasses.replace(self._startup(name, founders=[]), seeds=live_addresses)
+        self.startups[name] = dataclasses.replace(self._build_startup(name, founders=[]), seeds=live_addresses)
         self.start(name)
 
     def add_core(self, name: str, like: str = "") -> None:
@@ -340,11 +348,11 @@
         )
         self.start(name)
 
-    def _lives(self, name: str) -> bool:
+    def _is_machine_alive(self, name: str) -> bool:
         return self.world.machine(name).is_alive
 
     def live_cores(self) -> list[str]:
-        return [n for n in sorted(self.cores) if self._lives(n)]
+        return [n for n in sorted(self.cores) if self._is_machine_alive(n)]
 
     def leader(self) -> str:
         """The core that leads the highest epoch, if any."""
@@ -364,20 +372,20 @@
         await self.set_workers()
         await self.apply(build_description(self.deployment))
         await self.until(self._is_ready, "the fleet is up")
-        self._note_names()
+        self._update_machine_names()
         self.fault_log.intervals.clear()
         self.fault_log.event_micros.clear()
         self.world.note("is up")
 
-    def _note_names(self) -> None:
+    def _update_machine_names(self) -> None:
         self.ledger.core_names, self.ledger.node_names = set(self.cores), set(self.nodes)
-        self.ledger.worker_names = set(self.present_workers())
+        self.ledger.worker_names = set(self.current_workers())
         self.fault_log.machine_names = set(self.world.machines)
 
     def _is_ready(self) -> bool:
         for name, node in self.nodes.items():
             view = node.keeper.view
-            if not self._lives(name):
+            if not self._is_machine_alive(name):
                 continue
             if not node.keeper.is_current() or len(view.loads) < self.worker_count:
                 return False
@@ -385,7 +393,9 @@
                 return False
         return True
 
-    async def until(self, is_reached: Callable[[], bool], what: str, limit_micros: int = UP_MICROS) -> None:
+    async def until(
+        self, is_reached: Callable[[], bool], what: str, limit_micros: int = CONDITION_TIMEOUT_MICROS
+    ) -> None:
         end_micros = self.world.now() + limit_micros
         while not is_reached():
             if self.world.now() > end_micros:
@@ -404,10 +414,10 @@
             # Whichever process listens there by then.
             return await self.cores[core_name].execute(command)
 
-        given_result = await self.world.call_into(machine, OUTSIDE, work, COMMAND_MICROS)
+        given_result = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, COMMAND_MICROS)
         return None if isinstance(given_result, Err) else given_result.ok_value
 
-    async def insist(self, command: Command) -> CommandResult:
+    async def retry_until_decided(self, command: Command) -> CommandResult:
         """Asks core after core, by the same transaction, until an outcome is known."""
         while True:
             result = await self.command(command)
@@ -415,12 +425,12 @@
                 return result
             await pause(self.world, 200 * MILLI)
 
-    def start_burst(self, tenant: str, jobs_asecond: float, kind: str) -> None:
+    def start_burst(self, tenant: str, jobs_per_second: float, kind: str) -> None:
         """One tenant sends far more than the others."""
 
         async def burst() -> None:
             while True:
-                await pause(self.world, round(self.world.chance.expovariate(jobs_asecond) * SECOND))
+                await pause(self.world, round(self.world.chance.expovariate(jobs_per_second) * SECOND))
                 self.job_number += 1
                 job: dict[str, Any] = {
                     "model": self.deployment.line,
@@ -431,7 +441,7 @@
                 if kind == self.deployment.long_kind:
                     job.update(body=f"long {self.job_number}", prefix=[{"part": 900, "tokens": 2_000}])
                 node_name = self.world.chance.choice(sorted(self.nodes))
-                call_task = self.world.loop.create_task(void_call(self.call(node_name, tenant, job)))
+                call_task = self.world.loop.create_task(discard_call_result(self.call(node_name, tenant, job)))
                 self.open_jobs.add(call_task)
                 call_task.add_done_callback(self.open_jobs.discard)
 
@@ -445,66 +455,66 @@
         self.burst_tasks.clear()
         self.fault_log.end("burst", ("callers",), self.world.now())
 
-    def draw_transaction(self) -> bytes:
+    def new_transaction_id(self) -> bytes:
         return self.world.chance.randbytes(8)
 
     async def set_workers(self, removed: tuple[str, ...] = ()) -> None:
         """The platform's whole list: what there is, without what operators marked."""
-        command = Command(transaction=self.draw_transaction())
+        command = Command(transaction=self.new_transaction_id())
         for address, back_end in sorted(self.back_ends.items()):
             name = back_end.machine.name
-            if name in removed or name in self.gone_workers:
+            if name in removed or name in self.removed_workers:
                 continue
             service = {"store": "kept-parts", "desk": "desk"}.get(name, "models")
             command.workers.worker.append(Worker(name=name, address=address, area=self.area_of(name), service=service))
-        await self.insist(command)
+        await self.retry_until_decided(command)
         for name in removed:
             self.leaving_since.setdefault(name, self.world.now())
         self.world.note(f"the worker list is acknowledged, removed {removed}")
 
     async def mark_leaving(self, *names: str) -> None:
-        command = Command(transaction=self.draw_transaction())
+        command = Command(transaction=self.new_transaction_id())
         command.workers.partial = True
         command.workers.leaving.extend(names)
-        result = await self.insist(command)
+        result = await self.retry_until_decided(command)
         for name in names:
             self.leaving_since.setdefault(name, self.world.now())
         self.world.note(f"leaving {names}: {result.status}")
 
-    async def mark_staying(self, *names: str) -> None:
+    async def clear_leaving(self, *names: str) -> None:
         start_micros = self.world.now()
-        command = Command(transaction=self.draw_transaction())
+        command = Command(transaction=self.new_transaction_id())
         command.workers.partial = True
         command.workers.staying.extend(names)
-        result = await self.insist(command)
+        result = await self.retry_until_decided(command)
         for name in names:
-            self.ledger.leavings.append((name, self.leaving_since.pop(name), start_micros))
+            self.ledger.leaving_intervals.append((name, self.leaving_since.pop(name), start_micros))
         self.world.note(f"staying {names}: {result.status}")
 
     async def apply(self, description: dict[str, Any], base: int | None = None) -> str:
-        command = Command(transaction=self.draw_transaction())
+        command = Command(transaction=self.new_transaction_id())
         command.apply.base_revision = self.description_revision if base is None else base
         command.apply.description = json.dumps(description).encode()
         start_micros = self.world.now()
-        result = await self.insist(command)
+        result = await self.retry_until_decided(command)
         if result.status == "done":
             revision = json.loads(result.body)["revision"]
             self.description_revision = max(self.description_revision, revision)
             self.ledger.descriptions[revision] = description_from_checked_data(description)
-            self.ledger.applies.append((revision, self.world.now()))
+            self.ledger.acknowledged_applies.append((revision, self.world.now()))
             self.ledger.apply_spans.append((start_micros, self.world.now(), revision))
         else:
             marks = {t["name"] for t in description["tenants"]} - set(self.deployment.tenant_names)
             if marks:
-                self.ledger.losers.append(frozenset(marks))
+                self.ledger.rejected_mark_sets.append(frozenset(marks))
         self.world.note(f"apply: {result.status}")
         return result.status
 
-    def start_reads(self) -> None:
+    def start_state_reads(self) -> None:
         """An operator who reads the state again and again, at whichever core answers."""
-        self.load_tasks.append(self.world.loop.create_task(self._read_on()))
+        self.background_tasks.append(self.world.loop.create_task(self._read_periodically()))
 
-    async def _read_on(self) -> None:
+    async def _read_periodically(self) -> None:
         while True:
             await pause(self.world, self.world.chance.randrange(50 * MILLI, 400 * MILLI))
             core = self.cores[self.world.chance.choice(sorted(self.cores))]
@@ -512,7 +522,7 @@
                 continue
             start_micros = self.world.now()
             machine = self.world.machine(core.startup.address.split(":")[0])
-            found = await self.world.call_into(machine, OUTSIDE, core.read_fleet, SECOND)
+            found = await self.world.run_on_machine(machine, EXTERNAL_HOST, core.read_fleet, SECOND)
             if not isinstance(found, Err) and found.ok_value is not None:
                 self.ledger.reads.append((start_micros, self.world.now(), found.ok_value["descriptionRevision"]))
 
@@ -524,11 +534,11 @@
         return description
 
     async def name_weights(self, name: str, base: int = 0) -> str:
-        command = Command(transaction=self.draw_transaction())
+        command = Command(transaction=self.new_transaction_id())
         command.weights.line, command.weights.weights = self.deployment.line, name
         command.weights.base_revision = base
         self._act("weights", weights=name)
-        result = await self.insist(command)
+        result = await self.retry_until_decided(command)
         if result.status == "done":
             self.ledger.namings.append((json.loads(result.body)["revision"], self.world.now(), name))
         self.world.note(f"weights {name}: {result.status}")
@@ -545,19 +555,19 @@
 
     # ---- callers -------------------------------------------------------------------------------------
 
-    def start_load(self, jobs_asecond: float) -> None:
+    def start_load(self, jobs_per_second: float) -> None:
         self.ledger.is_loaded = True
-        self.load_tasks.append(self.world.loop.create_task(self._call_on(jobs_asecond)))
+        self.background_tasks.append(self.world.loop.create_task(self._call_on(jobs_per_second)))
 
     async def end_load(self) -> None:
-        for load_task in self.load_tasks + self.burst_tasks:
+        for load_task in self.background_tasks + self.burst_tasks:
             load_task.cancel()
-        end_micros = self.world.now() + JOB_MICROS + SECOND
+        end_micros = self.world.now() + JOB_TIMEOUT_MICROS + SECOND
         while self.open_jobs and self.world.now() < end_micros:
             await pause(self.world, 100 * MILLI)
         self.ledger.end_micros = self.world.now()
         for name, since_micros in self.leaving_since.items():
-            self.ledger.leavings.append((name, since_micros, self.world.now()))
+            self.ledger.leaving_intervals.append((name, since_micros, self.world.now()))
         await self.until(lambda: bool(self.leader()), "a leader at the end")
         if self.leader():
             last_fleet = self.cores[self.leader()].fleet
@@ -566,19 +576,19 @@
             self.ledger.last_parts = last_fleet.parts
         for node in self.nodes.values():
             self.ledger.retry_count += node.budget.retry_count
-            self.ledger.carried_count += node.budget.job_count
+            self.ledger.budgeted_job_count += node.budget.job_count
 
-    async def _call_on(self, jobs_asecond: float) -> None:
+    async def _call_on(self, jobs_per_second: float) -> None:
         while True:
-            await pause(self.world, round(self.world.chance.expovariate(jobs_asecond) * SECOND))
+            await pause(self.world, round(self.world.chance.expovariate(jobs_per_second) * SECOND))
             call_task = self.world.loop.create_task(self._call())
             self.open_jobs.add(call_task)
             call_task.add_done_callback(self.open_jobs.discard)
 
     async def _call(self) -> None:
         self.job_number += 1
-        tenant, job = draw_job(self.deployment, self.world.chance, self.job_number)
-        choices = [n for n in sorted(self.nodes) if n not in self.known_dead and self._is_open(n)]
+        tenant, job = generate_job(self.deployment, self.world.chance, self.job_number)
+        choices = [n for n in sorted(self.nodes) if n not in self.detected_dead and self._is_open(n)]
         if not choices:
             # Nobody takes connections: the caller is not served either.
             self.ledger.jobs[job["jobId"]] = JobTrace(
@@ -589,23 +599,23 @@
 
     def _is_open(self, node_name: str) -> bool:
         """The platform tries a node that starts, and hands it connections once it takes them."""
-        return self.nodes[node_name].is_open or not self._lives(node_name)
+        return self.nodes[node_name].is_open or not self._is_machine_alive(node_name)
 
     async def call(self, node_name: str, tenant: str, job: dict[str, Any]) -> JobTrace:
         trace = self.ledger.jobs[job["jobId"]] = JobTrace(job, tenant, node_name, self.world.now())
         machine = self.world.machine(node_name)
-        pen = _TracePen(self.world, trace)
+        pen = _TraceWriter(self.world, trace)
 
         async def work() -> Any:
             # Whichever process listens there by then; one that is not open yet takes no connections.
             node = self.nodes[node_name]
             if not node.is_open:
-                return NOT_OPEN
+                return NOT_ACCEPTING
             request = parse_job(json.dumps(job).encode()).unwrap()
             return await node.run_job(tenant_key(self.deployment, tenant), request, pen)
 
-        given_result: Any = await self.world.call_into(machine, OUTSIDE, work, JOB_MICROS)
-        if given_result == Ok(NOT_OPEN):
+        given_result: Any = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, JOB_TIMEOUT_MICROS)
+        if given_result == Ok(NOT_ACCEPTING):
             given_result = Err("refused")
         trace.end_micros = self.world.now()
         if isinstance(given_result, Err):
@@ -625,7 +635,7 @@
 
     # ---- watching -------------------------------------------------------------------------------------
 
-    def _watch_send(self, node_name: str, upstream_id: str, worker: str) -> None:
+    def _record_send(self, node_name: str, upstream_id: str, worker: str) -> None:
         """The first byte of a job leaves its node."""
         view = self.nodes[node_name].keeper.view
         self.ledger.sends[upstream_id] = Send(
@@ -638,10 +648,10 @@
             frozenset(t.name for t in view.description.tenants if t.name.startswith("mark-")),
         )
 
-    def _watch_command(self, node_name: str, worker_name: str, fence: int, sent_micros: int) -> None:
+    def _record_worker_command(self, node_name: str, worker_name: str, fence: int, sent_micros: int) -> None:
         self.ledger.commands.append(WorkerCommand(node_name, worker_name, fence, sent_micros, self.world.now()))
 
-    def _watch_grants(self, core: CoreProcess) -> None:
+    def _record_grants(self, core: CoreProcess) -> None:
         """When a hold was first applied by any core: it was committed no later."""
         real_apply = core.apply
 
@@ -655,7 +665,7 @@
 
         core.apply = apply  # type: ignore[method-assign]
 
-    def _watch_bumps(self, core: CoreProcess) -> None:
+    def _record_bumps(self, core: CoreProcess) -> None:
         real_bump = core.bump
 
         async def bump(note: PurgeNote) -> tuple[int, int] | None:
--- a/src/pearhead/testbed/simulator/history.py
+++ b/src/pearhead/testbed/simulator/history.py
@@ -13,7 +13,7 @@
     "unknown",
     "no answer",
 )
-CLEARLY_REFUSED = (CONFLICT, REFUSED)
+DEFINITE_REFUSALS = (CONFLICT, REFUSED)
 NOT_RUN = (CONFLICT, REFUSED, UNAVAILABLE)
 
 
@@ -60,16 +60,16 @@
         return [
             *self._find_doubles(),
             *self._find_wrong_answers(),
-            *self._find_broken_promises(),
+            *self._find_wrong_refusals(),
             *self._find_lost_changes(),
-            *self._find_steps_back(),
-            *self._find_unasked(),
+            *self._find_regressions(),
+            *self._find_unrequested(),
         ]
 
-    def winners(self) -> dict[int, str]:
+    def first_contents(self) -> dict[int, str]:
         """The content under each number, by the first that told of it."""
         found: dict[int, str] = {}
-        for number, content, _ in self._tellings():
+        for number, content, _ in self._observations():
             found.setdefault(number, content)
         return found
 
@@ -85,7 +85,7 @@
                 found |= changes
         return found
 
-    def _tellings(self) -> Iterator[tuple[int, str, str]]:
+    def _observations(self) -> Iterator[tuple[int, str, str]]:
         for order in self.orders:
             if order.status == DONE:
                 yield order.change.number, order.change.content, f"an answer of {order.core} at {order.end_micros}"
@@ -94,11 +94,11 @@
                 yield read.number, read.content, f"a read at {read.core} at {read.end_micros}"
 
     def _find_doubles(self) -> list[str]:
-        winners = self.winners()
+        first_contents = self.first_contents()
         return [
             f"number {number} holds {winners[number]!r}, and {content!r} by {source}"
-            for number, content, source in self._tellings()
-            if content != winners[number]
+            for number, content, source in self._observations()
+            if content != first_contents[number]
         ]
 
     def _find_wrong_answers(self) -> list[str]:
@@ -108,14 +108,14 @@
             if order.status == DONE and order.told_number != order.change.number
         ]
 
-    def _find_broken_promises(self) -> list[str]:
+    def _find_wrong_refusals(self) -> list[str]:
         """A clear refusal, before or after, of what was taken; or nothing but answers that it was not run."""
         taken = self.taken()
         faults = []
         attempts: dict[Change, list[Order]] = {}
         for order in self.orders:
             is_taken = order.change in taken
-            if is_taken and order.status in CLEARLY_REFUSED:
+            if is_taken and order.status in DEFINITE_REFUSALS:
                 faults.append(
                     f"{order.core} told {order.status} of {order.change.number} {order.change.content!r} at "
                     f"{order.end_micros}, which is taken"
@@ -144,7 +144,7 @@
                     break
         return faults
 
-    def _find_steps_back(self) -> list[str]:
+    def _find_regressions(self) -> list[str]:
         """Reads that follow one another never go back, and those of one number are alike."""
         faults = []
         marks: dict[int, frozenset[str]] = {}
@@ -160,14 +160,14 @@
                 faults.append(f"two reads of number {read.number} differ")
         return faults
 
-    def _find_unasked(self) -> list[str]:
+    def _find_unrequested(self) -> list[str]:
         """Nothing is in force that nobody had asked for by then."""
-        first_asks: dict[tuple[int, str], int] = {}
+        first_request_micros: dict[tuple[int, str], int] = {}
         for order in self.orders:
             key = (order.change.number, order.change.content)
-            first_asks[key] = min(first_asks.get(key, order.start_micros), order.start_micros)
+            first_request_micros[key] = min(first_request_micros.get(key, order.start_micros), order.start_micros)
         return [
             f"a read at {read.core} saw {read.number} {read.content!r}, which nobody had asked for"
             for read in self.reads
-            if read.number and first_asks.get((read.number, read.content), read.end_micros) >= read.end_micros
+            if read.number and first_request_micros.get((read.number, read.content), read.end_micros) >= read.end_micros
         ]
--- a/src/pearhead/testbed/simulator/explore.py
+++ b/src/pearhead/testbed/simulator/interleaving_explorer.py
@@ -14,9 +14,9 @@
 
 from pearhead.runtime.clock import SECOND, Timer
 
-Story = Callable[[], Coroutine[Any, Any, None]]
+TaskScenario = Callable[[], Coroutine[Any, Any, None]]
 SCHEDULE_LIMIT = 20_000
-TURN_LIMIT = 2_000
+SCHEDULE_STEP_LIMIT = 2_000
 
 
 class EndlessScheduleError(Exception):
@@ -28,12 +28,12 @@
         return []
 
 
-class _PickingLoop(asyncio.SelectorEventLoop):
+class _ScheduledLoop(asyncio.SelectorEventLoop):
     """Runs one ready callback a turn, the one that the schedule picks."""
 
-    def __init__(self, picks: list[int]) -> None:
+    def __init__(self, schedule_choices: list[int]) -> None:
         super().__init__(_NoWaitSelector())
-        self.picks = picks
+        self.schedule_choices = schedule_choices
         self.widths: list[int] = []
         self.turn = 0
 
@@ -46,7 +46,7 @@
             ready.append(timers.pop(0))
         if not ready:
             raise RuntimeError("every task waits for ever")
-        if self.turn > TURN_LIMIT:
+        if self.turn > SCHEDULE_STEP_LIMIT:
             raise EndlessScheduleError("a schedule does not end: a task spins")
         for position, handle in enumerate(ready):
             if not _is_task_step(handle):
@@ -56,7 +56,7 @@
                     handle._run()
                 return
         width = len(ready)
-        pick = self.picks[self.turn] if self.turn < len(self.picks) else 0
+        pick = self.schedule_choices[self.turn] if self.turn < len(self.schedule_choices) else 0
         self.widths.append(width)
         self.turn += 1
         ready.rotate(-pick)
@@ -92,19 +92,19 @@
 
 
 @dataclass
-class Exploration:
+class ExplorationResult:
     schedule_count: int = 0
     faults: list[str] = field(default_factory=list)
     is_whole: bool = True
 
 
-class Explorer:
-    def explore(self, story: Story, schedule_limit: int = SCHEDULE_LIMIT) -> Exploration:
+class InterleavingExplorer:
+    def explore(self, story: TaskScenario, schedule_limit: int = SCHEDULE_LIMIT) -> ExplorationResult:
         """Runs the story under every schedule; it raises where its checker finds a fault."""
-        exploration = Exploration()
-        picks: list[int] = []
+        exploration = ExplorationResult()
+        schedule_choices: list[int] = []
         while True:
-            loop = _PickingLoop(picks)
+            loop = _ScheduledLoop(schedule_choices)
             asyncio.set_event_loop(loop)
             try:
                 loop.run_until_complete(story())
@@ -116,22 +116,22 @@
                 widths = list(loop.widths)
                 for task in asyncio.all_tasks(loop):
                     task.cancel()
-                loop.picks = []
+                loop.schedule_choices = []
                 loop.run_until_complete(asyncio.sleep(0))
                 loop.close()
                 asyncio.set_event_loop(None)
             exploration.schedule_count += 1
-            next_picks = self._next(picks, widths)
-            if next_picks is None:
+            next_schedule_choices = self._next(schedule_choices, widths)
+            if next_schedule_choices is None:
                 return exploration
             if exploration.schedule_count >= schedule_limit:
                 exploration.is_whole = False
                 return exploration
-            picks = next_picks
+            schedule_choices = next_schedule_choices
 
-    def _next(self, picks: list[int], widths: list[int]) -> list[int] | None:
+    def _next(self, schedule_choices: list[int], widths: list[int]) -> list[int] | None:
         """The last pick that can still move moves; those after it begin anew."""
-        taken = picks + [0] * (len(widths) - len(picks))
+        taken = schedule_choices + [0] * (len(widths) - len(schedule_choices))
         for turn in range(len(widths) - 1, -1, -1):
             if taken[turn] + 1 < widths[turn]:
                 return [*taken[:turn], taken[turn] + 1]
--- a/src/pearhead/testbed/simulator/ledger.py
+++ b/src/pearhead/testbed/simulator/ledger.py
@@ -15,12 +15,12 @@
 from pearhead.testbed.simulator.history import History
 from pearhead.testbed.workermodel import RunRecord
 
-FORCE_MICROS = 2_300 * MILLI
+CONFIG_PROPAGATION_LIMIT_MICROS = 2_300 * MILLI
 LEAVING_MICROS = 3 * SECOND
 RECOVERY_MICROS = 12 * SECOND
 RETRY_SHARE = 0.1
 ANSWER_MICROS = 200 * MILLI
-PLANNED_REFUSALS = 0.005
+PLANNED_REFUSAL_SHARE = 0.005
 
 
 @dataclass
@@ -70,19 +70,19 @@
     worker_names: set[str] = field(default_factory=set)
     descriptions: dict[int, Description] = field(default_factory=dict)
     grants: dict[tuple[str, int], tuple[str, int]] = field(default_factory=dict)
-    applies: list[tuple[int, int]] = field(default_factory=list)
-    losers: list[frozenset[str]] = field(default_factory=list)
+    acknowledged_applies: list[tuple[int, int]] = field(default_factory=list)
+    rejected_mark_sets: list[frozenset[str]] = field(default_factory=list)
     apply_spans: list[tuple[int, int, int]] = field(default_factory=list)
     reads: list[tuple[int, int, int]] = field(default_factory=list)
     withdrawals: list[tuple[str, int]] = field(default_factory=list)
     changes: list[tuple[str, int, int]] = field(default_factory=list)
     namings: list[tuple[int, int, str]] = field(default_factory=list)
-    leavings: list[tuple[str, int, int]] = field(default_factory=list)
+    leaving_intervals: list[tuple[str, int, int]] = field(default_factory=list)
     bumps: list[tuple[str, int, str, int]] = field(default_factory=list)
     commands: list[WorkerCommand] = field(default_factory=list)
     breaches: list[str] = field(default_factory=list)
     retry_count: int = 0
-    carried_count: int = 0
+    budgeted_job_count: int = 0
     end_micros: int = 0
     planned_count: int = 0
     is_loaded: bool = False
@@ -150,16 +150,16 @@
     def begin_micros(self, worker: str, record: RunRecord) -> int:
         """When a run began; one that lay at a frozen worker counts from when its node let it go."""
         send = self.sends.get(record.upstream_id)
-        if send is not None and self.fault_log.froze_between(worker, send.at_micros, record.at_micros):
+        if send is not None and self.fault_log.was_frozen_between(worker, send.at_micros, record.at_micros):
             return send.at_micros
         return record.at_micros
 
-    def _begins(self) -> dict[str, int]:
+    def _start_times(self) -> dict[str, int]:
         """By upstream id: when a job began at its back end, or was sent if it never did."""
-        begins = {upstream_id: send.at_micros for upstream_id, send in self.sends.items()}
+        start_times = {upstream_id: send.at_micros for upstream_id, send in self.sends.items()}
         for worker, record in self.runs:
-            begins[record.upstream_id] = self.begin_micros(worker, record)
-        return begins
+            start_times[record.upstream_id] = self.begin_micros(worker, record)
+        return start_times
 
     def _check_force(self) -> list[str]:
         """In force 2 s after the acknowledgement, never back, never a losing one, no withdrawn key or entry.
@@ -168,32 +168,36 @@
         """
         faults = []
         latest: dict[tuple[str, int], int] = {}
-        begins = self._begins()
+        start_times = self._start_times()
         for upstream_id, send in self.sends.items():
-            begin_micros = begins[upstream_id]
+            begin_micros = start_times[upstream_id]
             key = (send.node, send.node_life)
             if send.description_revision < latest.get(key, 0):
                 faults.append(f"{send.node} went back to {send.description_revision}")
             latest[key] = max(latest.get(key, 0), send.description_revision)
-            for revision, ack_micros in self.applies:
-                if begin_micros > ack_micros + FORCE_MICROS and send.description_revision < revision:
+            for revision, ack_micros in self.acknowledged_applies:
+                if begin_micros > ack_micros + CONFIG_PROPAGATION_LIMIT_MICROS and send.description_revision < revision:
                     faults.append(f"{upstream_id} on {send.node} began before revision {revision}")
-            for marks in self.losers:
+            for marks in self.rejected_mark_sets:
                 if marks <= send.marks:
                     faults.append(f"{send.node} served a losing configuration {sorted(marks)}")
             trace = self.jobs.get(send.job_id)
             description = self.descriptions.get(send.description_revision)
             if trace is not None and description is not None:
-                fault = self._find_match_fault(description, trace, send.worker)
+                fault = self._find_routing_fault(description, trace, send.worker)
                 if fault:
                     faults.append(f"{upstream_id} on {send.node} under {send.description_revision}: {fault}")
-        if self.applies and self.is_loaded and self._is_served_after(max(a for _, a in self.applies) + FORCE_MICROS):
-            newest = max(r for r, _ in self.applies)
+        if (
+            self.acknowledged_applies
+            and self.is_loaded
+            and self._has_success_after(max(a for _, a in self.acknowledged_applies) + CONFIG_PROPAGATION_LIMIT_MICROS)
+        ):
+            newest = max(r for r, _ in self.acknowledged_applies)
             if not any(s.description_revision >= newest for s in self.sends.values()):
                 faults.append(f"nothing was ever served under revision {newest}")
         return faults
 
-    def _find_match_fault(self, description: Description, trace: JobTrace, worker: str) -> str:
+    def _find_routing_fault(self, description: Description, trace: JobTrace, worker: str) -> str:
         if not any(t.name == trace.tenant for t in description.tenants):
             return f"the key of {trace.tenant} is withdrawn"
         service = "desk" if worker == "desk" else "models"
@@ -206,43 +210,45 @@
     def _check_weights(self) -> list[str]:
         faults = []
         order = {name: revision for revision, _, name in self.namings}
-        first_begins: dict[int, int] = {}
+        first_start_micros: dict[int, int] = {}
         for worker, record in self.runs:
             if "@" not in record.loaded_model:
                 continue
             loaded_revision = order.get(record.loaded_model.split("@")[1], 0)
             begin_micros = self.begin_micros(worker, record)
-            first_begins[loaded_revision] = min(first_begins.get(loaded_revision, begin_micros), begin_micros)
+            first_start_micros[loaded_revision] = min(
+                first_start_micros.get(loaded_revision, begin_micros), begin_micros
+            )
             for revision, ack_micros, name in self.namings:
                 limit_micros = ack_micros + self.deployment.weights_limit_micros
                 if begin_micros > limit_micros and loaded_revision < revision:
                     faults.append(f"{record.upstream_id} began on {record.loaded_model} long after {name}")
         for revision, ack_micros, name in self.namings:
             limit_micros = ack_micros + self.deployment.weights_limit_micros
-            is_served = any(r >= revision and at <= limit_micros for r, at in first_begins.items())
-            if self.is_loaded and not is_served and self._was_sound(ack_micros, limit_micros):
+            is_served = any(r >= revision and at <= limit_micros for r, at in first_start_micros.items())
+            if self.is_loaded and not is_served and self._was_healthy(ack_micros, limit_micros):
                 faults.append(f"no job began on {name} within the limit")
         return faults
 
-    def _was_sound(self, start_micros: int, end_micros: int) -> bool:
+    def _was_healthy(self, start_micros: int, end_micros: int) -> bool:
         """Whether a node and a majority of cores stood all the time, and no fault came or went in it."""
         return (
             self.fault_log.is_quiet(end_micros, end_micros - start_micros)
             and end_micros < self.end_micros
-            and bool(self.sound_nodes(start_micros))
+            and bool(self.healthy_nodes(start_micros))
         )
 
-    def _is_served_after(self, from_micros: int) -> bool:
+    def _has_success_after(self, from_micros: int) -> bool:
         return any(t.outcome == "done" and t.sent_micros > from_micros for t in self.jobs.values())
 
-    def sound_nodes(self, at_micros: int) -> set[str]:
-        return self.fault_log.sound_nodes(at_micros, self.node_names, self.core_names, self.worker_names)
+    def healthy_nodes(self, at_micros: int) -> set[str]:
+        return self.fault_log.healthy_nodes(at_micros, self.node_names, self.core_names, self.worker_names)
 
     def _check_leaving(self) -> list[str]:
         faults = []
-        for worker, ack_micros, end_micros in self.leavings:
-            for ran_worker, record in self.runs:
-                if ran_worker != worker:
+        for worker, ack_micros, end_micros in self.leaving_intervals:
+            for run_worker, record in self.runs:
+                if run_worker != worker:
                     continue
                 if ack_micros + LEAVING_MICROS < self.begin_micros(worker, record) < end_micros:
                     faults.append(f"{record.upstream_id} began on leaving {worker}")
@@ -258,13 +264,15 @@
                 faults.append(f"a repeat of {transaction[:8]} gave {revision}")
                 continue
             if transaction in by_transaction and latest.get((volume, part), 0) >= revision:
-                if by_transaction[transaction] == revision and self._seen(volume, part, transaction, revision):
+                if by_transaction[transaction] == revision and self._is_only_transaction(
+                    volume, part, transaction, revision
+                ):
                     continue
                 faults.append(f"{volume} part {part} got {revision} after {latest[volume, part]}")
             latest[volume, part] = max(latest.get((volume, part), 0), revision)
         return faults
 
-    def _seen(self, volume: str, part: int, transaction: str, revision: int) -> bool:
+    def _is_only_transaction(self, volume: str, part: int, transaction: str, revision: int) -> bool:
         """Whether this revision of the part was given to this transaction alone."""
         return {t for v, p, t, r in self.bumps if (v, p, r) == (volume, part, revision)} == {transaction}
 
@@ -279,7 +287,7 @@
             highest[worker] = max(highest.get(worker, 0), fence)
             if holders.setdefault((worker, fence), node) != node:
                 faults.append(f"{worker}: fence {fence} used by two holders")
-            is_held_up = self.fault_log.froze_between(worker, command.sent_micros, command.at_micros)
+            is_held_up = self.fault_log.was_frozen_between(worker, command.sent_micros, command.at_micros)
             begin_micros = command.sent_micros if is_held_up else command.at_micros
             for (other_worker, other_fence), (_, grant_micros) in self.grants.items():
                 if other_worker == worker and other_fence > fence and grant_micros < begin_micros:
@@ -291,7 +299,7 @@
         know to be sound serves: no job sent there is refused or lost for want of a service."""
         if not self.is_loaded:
             return []
-        judged = [t for t in self.jobs.values() if self._must_serve(t)]
+        judged = [t for t in self.jobs.values() if self._must_succeed(t)]
         if not judged:
             return ["no job was sent at a time and place where it had to be served"]
         return [
@@ -300,19 +308,19 @@
             if t.outcome != "done" and not self._is_withdrawn(t)
         ]
 
-    def _must_serve(self, trace: JobTrace) -> bool:
-        for_micros = RECOVERY_MICROS + trace.end_micros - trace.sent_micros
-        is_quiet = trace.outcome != "open" and self.fault_log.is_quiet(trace.end_micros, for_micros)
-        return is_quiet and self._has_somewhere_to_go(trace)
+    def _must_succeed(self, trace: JobTrace) -> bool:
+        quiet_period_micros = RECOVERY_MICROS + trace.end_micros - trace.sent_micros
+        is_quiet = trace.outcome != "open" and self.fault_log.is_quiet(trace.end_micros, quiet_period_micros)
+        return is_quiet and self._has_healthy_target(trace)
 
-    def _has_somewhere_to_go(self, trace: JobTrace) -> bool:
+    def _has_healthy_target(self, trace: JobTrace) -> bool:
         """At a sound node, or at none, as none took connections while some should have."""
         if self.fault_log.is_overloaded(trace.sent_micros):
             return False
         if trace.job["kind"] == "notice" and not self.fault_log.stands("desk", trace.sent_micros):
             return False  # There is one application worker.
-        sound_nodes = self.sound_nodes(trace.sent_micros)
-        return trace.node in sound_nodes or (not trace.node and bool(sound_nodes))
+        healthy_nodes = self.healthy_nodes(trace.sent_micros)
+        return trace.node in healthy_nodes or (not trace.node and bool(healthy_nodes))
 
     def _check_lasting(self) -> list[str]:
         """What was acknowledged is there at the end, whatever was lost on the way."""
@@ -321,7 +329,7 @@
         from_revision = min(self.last_revisions) if is_full else 0
         faults = [
             f"revision {r} was acknowledged and is gone"
-            for r, _ in self.applies
+            for r, _ in self.acknowledged_applies
             if r not in self.last_revisions and r >= from_revision
         ]
         faults += [f"weights {n} were acknowledged and are gone" for r, _, n in self.namings if r > self.last_weights]
@@ -340,7 +348,7 @@
             if t.outcome != "done" and not t.is_refused
         ]
         refused_count = sum(t.is_refused for t in self.jobs.values())
-        if refused_count > PLANNED_REFUSALS * len(self.jobs):
+        if refused_count > PLANNED_REFUSAL_SHARE * len(self.jobs):
             faults.append(f"{refused_count} of {len(self.jobs)} jobs were refused")
         return faults
 
@@ -351,13 +359,13 @@
         at least asked for before it ended.
         """
         faults = []
-        first_asks = {revision: start_micros for start_micros, _, revision in self.apply_spans}
+        first_request_micros = {revision: start_micros for start_micros, _, revision in self.apply_spans}
         for start_micros, end_micros, revision in self.reads:
             acknowledged = max((r for _, end, r in self.apply_spans if end < start_micros), default=0)
             read_before = max((r for _, end, r in self.reads if end < start_micros), default=0)
             if revision < max(acknowledged, read_before):
                 faults.append(f"a read at {start_micros} saw {revision} after {max(acknowledged, read_before)}")
-            if revision in first_asks and first_asks[revision] > end_micros:
+            if revision in first_request_micros and first_request_micros[revision] > end_micros:
                 faults.append(f"a read that ended at {end_micros} saw {revision} before it was asked for")
         return faults
 
@@ -380,12 +388,12 @@
         faults = []
         for trace in self.jobs.values():
             for tenant, ack_micros in self.withdrawals:
-                known_micros = ack_micros + FORCE_MICROS + ANSWER_MICROS
+                known_micros = ack_micros + CONFIG_PROPAGATION_LIMIT_MICROS + ANSWER_MICROS
                 is_late = trace.sent_micros < ack_micros and trace.is_refused and trace.end_micros > known_micros
                 if (
                     trace.tenant == tenant
                     and is_late
-                    and not self.fault_log.froze_between(trace.node, trace.sent_micros, trace.end_micros)
+                    and not self.fault_log.was_frozen_between(trace.node, trace.sent_micros, trace.end_micros)
                 ):
                     faults.append(
                         f"{trace.job['jobId']} at {trace.node} was told {trace.outcome} "
@@ -394,14 +402,14 @@
         return faults
 
     def _check_retries(self) -> list[str]:
-        if self.retry_count > RETRY_SHARE * self.carried_count:
+        if self.retry_count > RETRY_SHARE * self.budgeted_job_count:
             return [f"{self.retry_count} retries for {self.carried_count} jobs"]
         return []
 
     def _is_withdrawn(self, trace: JobTrace) -> bool:
         """Refused as some description says that was in force on the way."""
         return trace.outcome in ("bad_key", "not_entitled") and any(
-            self._find_match_fault(d, trace, "desk") and self._find_match_fault(d, trace, "models")
+            self._find_routing_fault(d, trace, "desk") and self._find_routing_fault(d, trace, "models")
             for d in self.descriptions.values()
         )
 
@@ -416,7 +424,7 @@
                 if start_micros <= t.sent_micros
                 and t.end_micros < next_micros
                 and t.outcome not in ("done", "open")
-                and self._has_somewhere_to_go(t)
+                and self._has_healthy_target(t)
                 and not self._is_withdrawn(t)
             ]
             worst = max(worst or 0, max(bad) - start_micros if bad else 0)
--- a/src/pearhead/testbed/simulator/measure.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -12,15 +12,15 @@
 from pearhead.testbed.deployment import DEPLOYMENTS
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.ledger import JobTrace
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
 Figures = dict[str, float]
-Measure = Callable[[SimFleet], Awaitable[Figures]]
-JOBS_A_SECOND = 25.0
-LONG_SECONDS = 20
+MeasureFunction = Callable[[SimFleet], Awaitable[Figures]]
+JOBS_PER_SECOND = 25.0
+LOAD_SECONDS = 20
 
 
-def _sent(fleet: SimFleet, name: str) -> tuple[int, int]:
+def _sent_totals(fleet: SimFleet, name: str) -> tuple[int, int]:
     processes: list[CoreProcess | NodeProcess] = [*fleet.cores.values(), *fleet.nodes.values()]
     return (
         sum(p.courier.sent_counts.get(name, 0) for p in processes),
@@ -35,15 +35,15 @@
         for part in range(1, 21):
             node.listener.revision_of(owner, line, part)
     await pause(fleet.world, 4 * SECOND)
-    quiet_count, quiet_bytes = _sent(fleet, "purge_note")
+    quiet_count, quiet_bytes = _sent_totals(fleet, "purge_note")
     await pause(fleet.world, 60 * SECOND)
     for node in fleet.nodes.values():
         node.listener.revision_of(owner, line, 1)
-    table_count, table_bytes = _sent(fleet, "purge_note")
+    table_count, table_bytes = _sent_totals(fleet, "purge_note")
     nodes = list(fleet.nodes.values())
     for part in range(1, 21):
         await nodes[part % len(nodes)].listener.bump(owner, line, part)
-    bump_count, bump_bytes = _sent(fleet, "purge_note")
+    bump_count, bump_bytes = _sent_totals(fleet, "purge_note")
     return {
         "datagrams a bump": (bump_count - table_count) / 20,
         "bytes a bump": (bump_bytes - table_bytes) / 20,
@@ -52,11 +52,11 @@
     }
 
 
-async def _saved(fleet: SimFleet, uses_index: bool) -> Figures:
+async def _measure_prefill_savings(fleet: SimFleet, uses_index: bool) -> Figures:
     for node in fleet.nodes.values():
         node.nominator.uses_index = uses_index
-    fleet.start_load(JOBS_A_SECOND)
-    await pause(fleet.world, LONG_SECONDS * SECOND)
+    fleet.start_load(JOBS_PER_SECOND)
+    await pause(fleet.world, LOAD_SECONDS * SECOND)
     await fleet.end_load()
     prefix_tokens = sum(n.prefix_tokens for n in fleet.nodes.values())
     reused_tokens = sum(n.reused_tokens for n in fleet.nodes.values())
@@ -73,19 +73,19 @@
 
 
 async def measure_index(fleet: SimFleet) -> Figures:
-    return await _saved(fleet, True)
+    return await _measure_prefill_savings(fleet, True)
 
 
 async def measure_no_index(fleet: SimFleet) -> Figures:
-    return await _saved(fleet, False)
+    return await _measure_prefill_savings(fleet, False)
 
 
-async def measure_spread(fleet: SimFleet) -> Figures:
+async def measure_load_balance(fleet: SimFleet) -> Figures:
     """Six times the usual load, after 8 s to warm up: how evenly workers are used, and how long jobs take."""
-    fleet.start_load(6 * JOBS_A_SECOND)
+    fleet.start_load(6 * JOBS_PER_SECOND)
     await pause(fleet.world, 8 * SECOND)
     warm_micros = fleet.world.now()
-    await pause(fleet.world, LONG_SECONDS * SECOND)
+    await pause(fleet.world, LOAD_SECONDS * SECOND)
     await fleet.end_load()
     counts = {f"worker-{n + 1}": 0 for n in range(fleet.worker_count)}
     for worker, record in fleet.ledger.runs:
@@ -104,7 +104,7 @@
     return figures
 
 
-async def measure_force(fleet: SimFleet) -> Figures:
+async def measure_config_propagation(fleet: SimFleet) -> Figures:
     """From an acknowledgement to every node serving by it."""
     times = []
     for number in range(8):
@@ -123,7 +123,7 @@
 
 async def measure_weights(fleet: SimFleet) -> Figures:
     """From an acknowledged naming to the first job on the new weights, and to the last on the old."""
-    fleet.start_load(JOBS_A_SECOND)
+    fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, 2 * SECOND)
     await fleet.name_weights("w2")
     start_micros = fleet.world.now()
@@ -142,7 +142,7 @@
 
 async def measure_leader(fleet: SimFleet) -> Figures:
     """From the kill of the leader to the next acknowledged command, and jobs lost meanwhile."""
-    fleet.start_load(JOBS_A_SECOND)
+    fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, 2 * SECOND)
     fleet.kill(fleet.leader())
     start_micros = fleet.world.now()
@@ -159,7 +159,7 @@
 
 async def measure_retries(fleet: SimFleet) -> Figures:
     """Four workers down for 8 s: retries as a share of the jobs."""
-    fleet.start_load(JOBS_A_SECOND)
+    fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, 3 * SECOND)
     for number in range(4):
         fleet.kill(f"worker-{number + 1}")
@@ -170,22 +170,22 @@
     await fleet.end_load()
     done_count = sum(t.outcome == "done" for t in fleet.ledger.jobs.values())
     return {
-        "retries, share of jobs": fleet.ledger.retry_count / max(1, fleet.ledger.carried_count),
+        "retries, share of jobs": fleet.ledger.retry_count / max(1, fleet.ledger.budgeted_job_count),
         "jobs done, share": done_count / max(1, len(fleet.ledger.jobs)),
     }
 
 
 async def measure_leaving(fleet: SimFleet) -> Figures:
     """From an acknowledged mark to the last job that began on the leaving worker."""
-    fleet.start_load(3 * JOBS_A_SECOND)
+    fleet.start_load(3 * JOBS_PER_SECOND)
     await pause(fleet.world, 3 * SECOND)
     times = []
-    for name in fleet.present_workers()[:4]:
+    for name in fleet.current_workers()[:4]:
         await fleet.mark_leaving(name)
         ack_micros = fleet.world.now()
         await pause(fleet.world, 4 * SECOND)
         times.append(max([r.at_micros - ack_micros for w, r in fleet.ledger.runs if w == name], default=0))
-        await fleet.mark_staying(name)
+        await fleet.clear_leaving(name)
     await fleet.end_load()
     return {
         "marked leaving to last job begun there, ms (mean)": statistics.mean(max(0, t) for t in times) / MILLI,
@@ -193,21 +193,21 @@
     }
 
 
-async def measure_come_back(fleet: SimFleet) -> Figures:
+async def measure_retry_after(fleet: SimFleet) -> Figures:
     """A burst of long jobs for 6 s; each refused caller comes back once, when told, with a new job."""
     description = fleet.marked_description("a")
     description["entries"][0].update(concurrency=2, queueLimit=16)
     await fleet.apply(description)
     await pause(fleet.world, 3 * SECOND)
-    fleet.start_load(JOBS_A_SECOND)
+    fleet.start_load(JOBS_PER_SECOND)
     fleet.start_burst(fleet.deployment.tenant_names[0], 60.0, fleet.deployment.long_kind)
-    back_traces: list[JobTrace] = []
+    retried_traces: list[JobTrace] = []
     told: list[int] = []
 
     async def come_back(trace: JobTrace) -> None:
         await pause(fleet.world, trace.come_back_seconds * SECOND)
         job = {**trace.job, "jobId": f"{trace.job['jobId']}-again"}
-        back_traces.append(await fleet.call(trace.node, trace.tenant, job))
+        retried_traces.append(await fleet.call(trace.node, trace.tenant, job))
 
     seen: set[str] = set()
     tasks = []
@@ -228,7 +228,8 @@
         "refused, told when to come back": float(len(told)),
         "told, s (mean)": statistics.mean(told),
         "told, s (worst)": float(max(told)),
-        "done when they came back as told, share": sum(t.outcome == "done" for t in back_traces) / len(back_traces),
+        "done when they came back as told, share": sum(t.outcome == "done" for t in retried_traces)
+        / len(retried_traces),
         **{f"refused as {kind}": float(kinds[kind]) for kind in ("tenant_busy", "overloaded", "deadline_passed")},
     }
 
@@ -237,28 +238,28 @@
     """What a fleet without jobs says to itself, a second."""
     await pause(fleet.world, 2 * SECOND)
     names = ("hello", "hello_result", "term_ask", "term_result", "append_ask", "append_result", "command_ask")
-    before = {name: _sent(fleet, name) for name in names}
+    before = {name: _sent_totals(fleet, name) for name in names}
     await pause(fleet.world, 10 * SECOND)
     figures: Figures = {}
     for name in names:
-        count, size = _sent(fleet, name)
+        count, size = _sent_totals(fleet, name)
         figures[f"{name} messages a second"] = (count - before[name][0]) / 10
         figures[f"{name} bytes a second"] = (size - before[name][1]) / 10
     return figures
 
 
-MEASURES: dict[str, Measure] = {
+MEASURES: dict[str, MeasureFunction] = {
     "purge": measure_purge,
     "index": measure_index,
     "no-index": measure_no_index,
-    "force": measure_force,
+    "force": measure_config_propagation,
     "weights": measure_weights,
     "leader": measure_leader,
     "retries": measure_retries,
     "quiet": measure_quiet,
-    "spread": measure_spread,
+    "spread": measure_load_balance,
     "leaving": measure_leaving,
-    "come-back": measure_come_back,
+    "come-back": measure_retry_after,
 }
 
 
@@ -270,7 +271,7 @@
         await fleet.up()
         return await MEASURES[name](fleet)
 
-    figures: Any = run_virtual(seed, play)
+    figures: Any = run_in_virtual_time(seed, play)
     return dict(figures)
 
 
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -18,7 +18,7 @@
 from pearhead.router.job_transport import CUT, JobTransportError, SendPrecondition, UpstreamJob
 from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import BumpPart, Command, JoinAsk, JoinResult, TakeHold
-from pearhead.testbed.simulator.control_mutations import CONTROL_MUTATIONS, Mutation, Prepare
+from pearhead.testbed.simulator.control_mutations import CONTROL_MUTATIONS, Mutation, MutationPatch
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import SimDisk
 from pearhead.testbed.workermodel import WorkerModel, WorkerRefusalError
@@ -26,16 +26,16 @@
 MUTATIONS: dict[str, Mutation] = dict(CONTROL_MUTATIONS)
 
 
-def mutation(scenario: str, wanted: str) -> Callable[[Prepare], Prepare]:
-    def keep(prepare: Prepare) -> Prepare:
+def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
+    def keep(prepare: MutationPatch) -> MutationPatch:
         MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
         return prepare
 
     return keep
 
 
-def _on_nodes(fleet: SimFleet, change: Callable[[NodeProcess], None]) -> None:
-    fleet.build_node = change
+def _patch_nodes(fleet: SimFleet, change: Callable[[NodeProcess], None]) -> None:
+    fleet.node_patch = change
 
 
 @mutation("calm", "streams")
@@ -52,7 +52,7 @@
 
         node.carrier.carry = carry  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("workers-crash", "runs")
@@ -73,7 +73,7 @@
 
         node.carrier.carry = carry  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("weights-under-load", "owners")
@@ -102,7 +102,7 @@
     def change(node: NodeProcess) -> None:
         node.keeper.is_current = lambda: True  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("all-killed", "lasting")
@@ -124,8 +124,8 @@
     real_apply = Fleet._apply_apply
 
     def apply(self: Fleet, index: int, command: Any) -> dict[str, Any]:
-        is_loser = command.base_revision != self.description_revision
-        if is_loser:
+        is_conflicting = command.base_revision != self.description_revision
+        if is_conflicting:
             held, self.description = self.description, json.loads(command.description)
             self._set_description_sections(index)
             self.description = held
@@ -140,7 +140,7 @@
         node.nominator.old_weights_micros = 10**12
         node.holder._may_begin = lambda *_: False  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("workers-come-and-go", "leaving")
@@ -155,7 +155,7 @@
 
         node.nominator._candidates = candidates  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("bumps-race", "bumps")
@@ -201,7 +201,7 @@
     def change(node: NodeProcess) -> None:
         node.holder._is_first = lambda name: True  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("core-cut-in-two", "histories")
@@ -229,7 +229,7 @@
 
         node.drain = drain  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("one-tenant-bursts", "small tenants starved")
@@ -249,7 +249,7 @@
         node.admission.admit = admit  # type: ignore[method-assign]
         node.admission.leave_place = lambda entry, tenant_name, held_micros=0: real_leave(entry, "all", held_micros)  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("node-killed", "recovery")
@@ -258,7 +258,7 @@
         if fleet.world.now() > 5_000_000:
             node.keeper.is_current = lambda: False  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("most-workers-down", "retries")
@@ -272,7 +272,7 @@
         node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
         node.holder.unsound_callback = lambda worker: None
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("nodes-freeze-as-they-connect", "force")
@@ -280,7 +280,7 @@
     def change(node: NodeProcess) -> None:
         node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("entries-move-while-jobs-queue", "force")
@@ -296,7 +296,7 @@
         node._look = look  # type: ignore[method-assign]
         node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("entries-move-while-jobs-queue", "held_back")
@@ -304,7 +304,7 @@
     def change(node: NodeProcess) -> None:
         node.admission.review = lambda judge: None  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("holder-freezes-as-it-commands", "commands")
@@ -312,7 +312,7 @@
     def change(node: NodeProcess) -> None:
         node.holder._is_within_term = lambda name, fence: True  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("weights-under-load", "weights")
@@ -337,7 +337,7 @@
         node.holder.unsound_callback = lambda worker: None
         node.budget.take_out = lambda service: False  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("platform-against-operators", "leaving")
@@ -374,7 +374,7 @@
 
         node.listener.bump = bump  # type: ignore[method-assign]
 
-    _on_nodes(fleet, change)
+    _patch_nodes(fleet, change)
 
 
 @mutation("disk-back-empty", "not in time")
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -10,9 +10,9 @@
 
 from pearhead.rpc.wire_pb2 import Command, CommandResult
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.simulator.fleet import OUTSIDE, SimFleet
+from pearhead.testbed.simulator.fleet import EXTERNAL_HOST, SimFleet
 from pearhead.testbed.simulator.history import (
-    CLEARLY_REFUSED,
+    DEFINITE_REFUSALS,
     DONE,
     NO_ANSWER,
     Change,
@@ -21,11 +21,11 @@
 )
 from pearhead.testbed.simulator.world import pause
 
-PATIENCE_MICROS = SECOND
+REQUEST_TIMEOUT_MICROS = SECOND
 AGAIN_MICROS = 100 * MILLI
 READ_PAUSE_MICROS = (150 * MILLI, 400 * MILLI)
 READER_COUNT = 1
-MARK = "mark-"
+MARKER_TENANT_PREFIX = "mark-"
 
 
 def build_command(change: Change) -> Command:
@@ -33,7 +33,7 @@
     command.change.base_number, command.change.number = change.base, change.number
     document: dict[str, Any] = {"source": change.content}
     if change.is_marked:
-        document["put"] = {"tenants": [{"name": MARK + change.content, "keyHashes": []}]}
+        document["put"] = {"tenants": [{"name": MARKER_TENANT_PREFIX + change.content, "keyHashes": []}]}
     command.change.document = json.dumps(document).encode()
     command.change.by_name = True
     return command
@@ -47,11 +47,11 @@
         self.number = 0
         self.content_number = 0
 
-    def draw_content(self) -> str:
+    def next_content(self) -> str:
         self.content_number += 1
         return f"c{self.content_number}"
 
-    async def ask(self, change: Change, core_name: str, patience_micros: int = PATIENCE_MICROS) -> Order:
+    async def ask(self, change: Change, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS) -> Order:
         """One attempt. Without an answer in time the operator goes on, and the order may yet be run."""
         order = Order(change, core_name, self.world.now())
         self.history.orders.append(order)
@@ -59,7 +59,9 @@
         async def work() -> CommandResult:
             return await self.fleet.cores[core_name].execute(build_command(change))
 
-        given = await self.world.call_into(self.world.machine(core_name), OUTSIDE, work, patience_micros)
+        given = await self.world.run_on_machine(
+            self.world.machine(core_name), EXTERNAL_HOST, work, request_timeout_micros
+        )
         order.end_micros = self.world.now()
         if not isinstance(given, Err):
             result: CommandResult = given.ok_value
@@ -68,48 +70,52 @@
             order.told_number = body.get("number", 0)
         if order.status == DONE:
             self.number = max(self.number, change.number)
-            self.fleet.ledger.applies.append((body["revision"], order.end_micros))
+            self.fleet.ledger.acknowledged_applies.append((body["revision"], order.end_micros))
         return order
 
-    async def insist(self, change: Change, limit_micros: int = 30 * SECOND, first_patience_micros: int = 0) -> str:
+    async def retry_until_decided(
+        self, change: Change, limit_micros: int = 30 * SECOND, first_timeout_micros: int = 0
+    ) -> str:
         """Core after core, until one answers clearly; the first answer may be given up early."""
         end_micros = self.world.now() + limit_micros
-        patience_micros = first_patience_micros or PATIENCE_MICROS
+        request_timeout_micros = first_timeout_micros or REQUEST_TIMEOUT_MICROS
         while self.world.now() < end_micros:
             core_name = self.world.chance.choice(sorted(self.fleet.cores))
-            order = await self.ask(change, core_name, patience_micros)
-            if order.status in (DONE, *CLEARLY_REFUSED):
+            order = await self.ask(change, core_name, request_timeout_micros)
+            if order.status in (DONE, *DEFINITE_REFUSALS):
                 return order.status
-            patience_micros = PATIENCE_MICROS
+            request_timeout_micros = REQUEST_TIMEOUT_MICROS
             await pause(self.world, AGAIN_MICROS)
         return NO_ANSWER
 
-    async def change_on(self, limit_micros: int = 30 * SECOND, is_marked: bool = True) -> Change | None:
+    async def submit_next_change(self, limit_micros: int = 30 * SECOND, is_marked: bool = True) -> Change | None:
         """The next change of one operator: read again and numbered anew as long as others come first."""
         end_micros = self.world.now() + limit_micros
-        content = self.draw_content()
+        content = self.next_content()
         while self.world.now() < end_micros:
             change = Change(self.number, self.number + 1, content, is_marked)
-            status = await self.insist(change, end_micros - self.world.now())
+            status = await self.retry_until_decided(change, end_micros - self.world.now())
             if status == DONE:
                 return change
-            await self.learn_number()
+            await self.refresh_number()
         return None
 
-    async def learn_number(self) -> None:
+    async def refresh_number(self) -> None:
         for core_name in sorted(self.fleet.cores):
             read = await self.read(core_name)
             if read is not None:
                 self.number = max(self.number, read.number)
 
-    async def read(self, core_name: str, patience_micros: int = PATIENCE_MICROS) -> Read | None:
+    async def read(self, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS) -> Read | None:
         start_micros = self.world.now()
 
         async def work() -> dict[str, Any] | None:
             core = self.fleet.cores[core_name]
             return await core.read_description() if hasattr(core, "raft") else None
 
-        given = await self.world.call_into(self.world.machine(core_name), OUTSIDE, work, patience_micros)
+        given = await self.world.run_on_machine(
+            self.world.machine(core_name), EXTERNAL_HOST, work, request_timeout_micros
+        )
         if isinstance(given, Err) or given.ok_value is None:
             return None
         description = given.ok_value["description"]
@@ -120,34 +126,40 @@
             self.world.now(),
             given.ok_value["number"],
             description.get("source", ""),
-            frozenset(name.removeprefix(MARK) for name in names if name.startswith(MARK)),
+            frozenset(
+                name.removeprefix(MARKER_TENANT_PREFIX) for name in names if name.startswith(MARKER_TENANT_PREFIX)
+            ),
         )
         self.history.reads.append(read)
         return read
 
-    def start_reading(self) -> None:
+    def start_periodic_reads(self) -> None:
         """Someone reads again and again, at any core, also at one that is cut off."""
-        self.fleet.load_tasks.extend(self.world.loop.create_task(self._read_on()) for _ in range(READER_COUNT))
+        self.fleet.background_tasks.extend(
+            self.world.loop.create_task(self._read_periodically()) for _ in range(READER_COUNT)
+        )
 
-    async def _read_on(self) -> None:
+    async def _read_periodically(self) -> None:
         while True:
             await pause(self.world, self.world.chance.randrange(*READ_PAUSE_MICROS))
             await self.read(self.world.chance.choice(sorted(self.fleet.cores)))
 
-    async def contend(self, count: int = 8) -> None:
+    async def submit_conflicting_changes(self, count: int = 8) -> None:
         """As many orders at once on one base: of unlike content under one number, and one of these under another.
         Some answers are lost, and the orders repeated to other members."""
         base = self.number
-        contents = [self.draw_content() for _ in range(count - 2)]
+        contents = [self.next_content() for _ in range(count - 2)]
         changes = [Change(base, base + 1, content) for content in contents]
         changes += [Change(base, base + 2, contents[0]), Change(base, base + 1, contents[1])]
         chance = self.world.chance
-        patiences = [chance.randrange(1 * MILLI, 15 * MILLI) if chance.random() < 0.5 else 0 for _ in changes]
-        pairs = zip(changes, patiences, strict=True)
-        await asyncio.gather(*(self.insist(change, first_patience_micros=patience) for change, patience in pairs))
-        await self.learn_number()
+        first_timeouts = [chance.randrange(1 * MILLI, 15 * MILLI) if chance.random() < 0.5 else 0 for _ in changes]
+        pairs = zip(changes, first_timeouts, strict=True)
+        await asyncio.gather(
+            *(self.retry_until_decided(change, first_timeout_micros=patience) for change, patience in pairs)
+        )
+        await self.refresh_number()
 
-    async def repeat_at_all(self, change: Change) -> None:
+    async def resend_to_all_cores(self, change: Change) -> None:
         """What was taken is sent again to each member; another content under its number is, too."""
         for core_name in sorted(self.fleet.cores):
             await self.ask(change, core_name)
--- a/src/pearhead/testbed/simulator/recording.py
+++ b/src/pearhead/testbed/simulator/recording.py
@@ -12,7 +12,7 @@
 from pearhead.testbed.deployment import DEPLOYMENTS, build_description
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.ledger import Ledger
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
 RECORDING_FORMAT = 1
 FAULT_ACTIONS = ("kill", "power", "start", "freeze", "wake", "cut", "heal")
@@ -49,7 +49,7 @@
     return Recording(head["deployment"], head["seed"], head["nodeCount"], [json.loads(x) for x in lines[1:]])
 
 
-def record_run(fleet: SimFleet, start_micros: int) -> Recording:
+def build_recording(fleet: SimFleet, start_micros: int) -> Recording:
     """What a finished run did, in order of time."""
     events: list[dict[str, Any]] = [
         {
@@ -104,8 +104,8 @@
             sum(n.reused_tokens for n in nodes) / max(1, sum(n.prefix_tokens for n in nodes)),
         )
 
-    played: Replay = run_virtual(recording.seed, play)
-    return played
+    replay_result: Replay = run_in_virtual_time(recording.seed, play)
+    return replay_result
 
 
 async def _call(fleet: SimFleet, event: dict[str, Any]) -> None:
@@ -136,9 +136,9 @@
     await fleet.name_weights(weights)
 
 
-def compare(recording: Recording, played: Replay) -> list[str]:
+def compare_replay(recording: Recording, replay_result: Replay) -> list[str]:
     """The difference, in counts and then job by job."""
-    before, after = recording.outcomes(), played.outcomes
+    before, after = recording.outcomes(), replay_result.outcomes
     lines = [f"{'outcome':<18} {'recorded':>9} {'replayed':>9}"]
     counts = Counter(before.values()), Counter(after.values())
     for outcome in sorted(set(counts[0]) | set(counts[1])):
--- a/src/pearhead/testbed/simulator/runner.py
+++ b/src/pearhead/testbed/simulator/runner.py
@@ -20,29 +20,29 @@
 
 
 @dataclass(frozen=True)
-class RunOrder:
+class RunSpec:
     scenario: str
     deployment: str
     seed: int
     mutation: str = ""
     node_count: int = 0
     record_path: str = ""
-    left_out: frozenset[int] = frozenset()
+    excluded_faults: frozenset[int] = frozenset()
 
     def command(self) -> str:
-        left_out = f" --without {','.join(map(str, sorted(self.left_out)))}" if self.left_out else ""
+        excluded_faults = f" --without {','.join(map(str, sorted(self.left_out)))}" if self.excluded_faults else ""
         return f"testbed sim {self.scenario} --deployment {self.deployment} --seed {self.seed}{left_out}"
 
 
 @dataclass
 class RunResult:
-    order: RunOrder
+    order: RunSpec
     breaches: list[str] = field(default_factory=list)
     outcomes: dict[str, int] = field(default_factory=dict)
     run_hash: str = ""
     recovery_micros: int | None = None
     retry_count: int = 0
-    carried_count: int = 0
+    budgeted_job_count: int = 0
     virtual_seconds: float = 0.0
     trace: list[str] = field(default_factory=list)
     real_seconds: float = 0.0
@@ -61,7 +61,7 @@
         return "\n".join([self.order.command(), *self.breaches[:12], *self.trace[-TRACE_LINES:]])
 
 
-def run_order(order: RunOrder) -> RunResult:
+def run_spec(order: RunSpec) -> RunResult:
     from pearhead.testbed.simulator.mutations import MUTATIONS
 
     logging.getLogger("pearhead").handlers = [logging.NullHandler()]
@@ -75,7 +75,7 @@
             prepare,
             order.node_count,
             order.record_path,
-            order.left_out,
+            order.excluded_faults,
         )
     except Exception:  # noqa: BLE001 - a crash of the simulator is a failed run, told with its place
         return RunResult(order, breaches=[traceback.format_exc()])
@@ -86,22 +86,22 @@
         world.run_hash.hexdigest(),
         ledger.recovery_micros(),
         ledger.retry_count,
-        ledger.carried_count,
+        ledger.budgeted_job_count,
         world.now() / SECOND,
         world.trace,
         time.monotonic() - start_seconds,
     )
 
 
-def run_orders(orders: list[RunOrder]) -> list[RunResult]:
+def run_specs(orders: list[RunSpec]) -> list[RunResult]:
     """Sound builds share processes, as loading the code costs as much as a short run; broken ones are kept apart."""
     if any(order.mutation for order in orders):
-        return run_apart(run_order, orders)
+        return run_isolated(run_spec, orders)
     with concurrent.futures.ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        return list(pool.map(run_order, orders))
+        return list(pool.map(run_spec, orders))
 
 
-def run_apart(work: Callable[[OrderT], ResultT], orders: list[OrderT]) -> list[ResultT]:
+def run_isolated(work: Callable[[OrderT], ResultT], orders: list[OrderT]) -> list[ResultT]:
     """Each order in a process of its own, so that a broken build leaves nothing behind."""
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(mp_context=context, max_tasks_per_child=1) as pool:
--- a/src/pearhead/testbed/simulator/scale.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -14,11 +14,11 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import ACADEMY
 from pearhead.testbed.simulator.fleet import SimFleet
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
 Row = dict[str, Any]
-CASTS = 200
-LOSS = 0.3
+BROADCAST_TRIALS = 200
+DATAGRAM_LOSS_SHARE = 0.3
 
 
 def _totals(fleet: SimFleet) -> dict[str, tuple[int, int]]:
@@ -31,7 +31,7 @@
     return totals
 
 
-def _count_fan_out(fleet: SimFleet, owner: str) -> Row:
+def _measure_fan_out(fleet: SimFleet, owner: str) -> Row:
     """One cast on an object's channel, by the directory as it is: direct, or by one relay an area.
 
     A relay is one of the listeners. `reached` is counted over 200 casts with 30 % of datagrams lost.
@@ -44,19 +44,19 @@
             by_area.setdefault(record.area, []).append(record.address)
     chance = random.Random(1)
     direct_count = relay_count = relay_sent = 0
-    for _ in range(CASTS):
-        direct_count += sum(chance.random() >= LOSS for _ in listeners)
+    for _ in range(BROADCAST_TRIALS):
+        direct_count += sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in listeners)
         for addresses in by_area.values():
             relay_sent += 1
-            if chance.random() >= LOSS:
+            if chance.random() >= DATAGRAM_LOSS_SHARE:
                 relay_sent += len(addresses) - 1
-                relay_count += 1 + sum(chance.random() >= LOSS for _ in addresses[1:])
+                relay_count += 1 + sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in addresses[1:])
     return {
         "sender's burst, direct": len(listeners),
         "sender's burst, relays": len(by_area),
-        "reached, direct": direct_count / CASTS / max(1, len(listeners)),
-        "reached, relays": relay_count / CASTS / max(1, len(listeners)),
-        "datagrams a cast, relays": relay_sent / CASTS,
+        "reached, direct": direct_count / BROADCAST_TRIALS / max(1, len(listeners)),
+        "reached, relays": relay_count / BROADCAST_TRIALS / max(1, len(listeners)),
+        "datagrams a cast, relays": relay_sent / BROADCAST_TRIALS,
     }
 
 
@@ -71,12 +71,12 @@
         await pause(world, 10 * SECOND)
         quiet = _totals(fleet)
 
-        def a_second(*names: str) -> tuple[float, float]:
+        def rate_per_second(*names: str) -> tuple[float, float]:
             counts = [(quiet[n][0] - before[n][0], quiet[n][1] - before[n][1]) for n in names if n in before]
             return sum(c for c, _ in counts) / 10, sum(b for _, b in counts) / 10
 
-        term_count, term_bytes = a_second("term_ask", "term_result")
-        hello_count, hello_bytes = a_second("hello", "hello_result")
+        term_count, term_bytes = rate_per_second("term_ask", "term_result")
+        hello_count, hello_bytes = rate_per_second("hello", "hello_result")
         owner = f"tenant:{fleet.deployment.tenant_names[0]}"
         for node in fleet.nodes.values():
             node.listener.revision_of(owner, fleet.deployment.line, 1)
@@ -84,7 +84,7 @@
         bump_before = _totals(fleet)["purge_note"]
         await fleet.nodes["node-1"].listener.bump(owner, fleet.deployment.line, 1)
         bump_after = _totals(fleet)["purge_note"]
-        fan_out = _count_fan_out(fleet, owner)
+        fan_out = _measure_fan_out(fleet, owner)
         apply_before = _totals(fleet)["term_result"]
         await fleet.apply(fleet.marked_description("a"))
         start_micros = world.now()
@@ -104,11 +104,11 @@
             **fan_out,
         }
 
-    row: Row = run_virtual(1, play)
+    row: Row = run_in_virtual_time(1, play)
     return row
 
 
-def run_entries(entry_count: int) -> Row:
+def measure_entry_scaling(entry_count: int) -> Row:
     """One small change to a description of so many entries: bytes to all nodes, and match cost."""
 
     async def play(world: World) -> Row:
@@ -147,7 +147,7 @@
             "match, microseconds here": (time.perf_counter() - start_seconds) * 100,
         }
 
-    row: Row = run_virtual(1, play)
+    row: Row = run_in_virtual_time(1, play)
     return row
 
 
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -13,15 +13,15 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import DEPLOYMENTS
 from pearhead.testbed.simulator.control_scenarios import CONTROL_SCENARIOS, NODE_COUNT, WORKER_COUNT
-from pearhead.testbed.simulator.edges import COMMAND, JOB, SimFetch
+from pearhead.testbed.simulator.fault_injector import SimFaultInjector
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.ledger import RECOVERY_MICROS, Ledger
-from pearhead.testbed.simulator.recording import record_run
-from pearhead.testbed.simulator.striker import Striker
-from pearhead.testbed.simulator.world import Machine, World, pause, run_virtual
+from pearhead.testbed.simulator.recording import build_recording
+from pearhead.testbed.simulator.simulated_clients import COMMAND_CONNECTION, JOB_CONNECTION, SimCacheFetcher
+from pearhead.testbed.simulator.world import Machine, World, pause, run_in_virtual_time
 from pearhead.testbed.workermodel import ApplicationModel, StoreModel
 
-JOBS_A_SECOND = 25.0
+JOBS_PER_SECOND = 25.0
 Play = Callable[[SimFleet], Awaitable[None]]
 SCENARIOS: dict[str, Play] = {}
 
@@ -36,7 +36,7 @@
     await pause(fleet.world, RECOVERY_MICROS + 3 * SECOND)
 
 
-def expect_nobody_serves(fleet: SimFleet) -> None:
+def expect_no_node_serves(fleet: SimFleet) -> None:
     if any(n.keeper.is_current() for n in fleet.nodes.values()):
         fleet.ledger.breaches.append("a node serves without a majority in reach")
 
@@ -98,7 +98,7 @@
 async def all_workers_killed(fleet: SimFleet) -> None:
     """All at once, with the nodes that hold most of them, while weights are named."""
     holders = [n for n, node in sorted(fleet.nodes.items()) if node.holder.holds][:3]
-    names = [*fleet.present_workers(), *holders]
+    names = [*fleet.current_workers(), *holders]
     for name in names:
         fleet.kill(name, loses_power=True)
     await fleet.name_weights("w2")
@@ -124,9 +124,9 @@
 
 @scenario
 async def node_isolated(fleet: SimFleet) -> None:
-    everyone = sorted(fleet.world.machines)
+    all_machine_names = sorted(fleet.world.machines)
     fleet.world.note("isolates node-3")
-    fleet.cut(["node-3"], everyone)
+    fleet.cut(["node-3"], all_machine_names)
     description = fleet.marked_description("a")
     withdrawn = fleet.deployment.tenant_names[-1]
     description["tenants"] = [t for t in description["tenants"] if t["name"] != withdrawn]
@@ -137,23 +137,23 @@
     await settle(fleet)
 
 
-async def withdraw(fleet: SimFleet, tenant_name: str, description: dict[str, Any] | None = None) -> None:
+async def withdraw_tenant_key(fleet: SimFleet, tenant_name: str, description: dict[str, Any] | None = None) -> None:
     description = description or fleet.marked_description("withdrawn")
     description["tenants"] = [t for t in description["tenants"] if t["name"] != tenant_name]
     await fleet.apply(description)
     fleet.ledger.withdrawals.append((tenant_name, fleet.world.now()))
 
 
-def trap_nodes(fleet: SimFleet, purpose: str, names: list[str]) -> list[tuple[str, str]]:
+def freeze_nodes_on_connect(fleet: SimFleet, purpose: str, names: list[str]) -> list[tuple[str, str]]:
     """Each of these nodes freezes as its next connection stands, before it sends a byte."""
     caught: list[tuple[str, str]] = []
 
-    def trap(name: str, worker: Machine) -> None:
+    def connect_hook(name: str, worker: Machine) -> None:
         fleet.freeze(name)
         caught.append((name, worker.name))
 
     for name in names:
-        fleet.world.connect_traps[name, purpose] = functools.partial(trap, name)
+        fleet.world.connect_hooks[name, purpose] = functools.partial(connect_hook, name)
     return caught
 
 
@@ -161,9 +161,9 @@
 async def nodes_freeze_as_they_connect(fleet: SimFleet) -> None:
     """Keys, workers and weights go while connections stand that no byte has left by."""
     names = sorted(fleet.nodes)[: len(fleet.nodes) // 2]
-    caught = trap_nodes(fleet, JOB, names)
+    caught = freeze_nodes_on_connect(fleet, JOB_CONNECTION, names)
     await fleet.until(lambda: len(caught) == len(names), "all are caught as they connect")
-    await withdraw(fleet, fleet.deployment.tenant_names[0])
+    await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.mark_leaving(*sorted({worker for _, worker in caught if worker != "desk"})[:2])
     await fleet.name_weights("w2")
     for name in names:
@@ -177,11 +177,11 @@
     """Each holder freezes between its check and its command, and wakes when another holds its workers."""
     # Those that hold most go first: a node that holds nothing commands nothing, and is never caught.
     names = sorted(fleet.nodes, key=lambda name: (-len(fleet.nodes[name].holder.holds), name))
-    caught = trap_nodes(fleet, COMMAND, names[: len(names) - 2])
+    caught = freeze_nodes_on_connect(fleet, COMMAND_CONNECTION, names[: len(names) - 2])
     await fleet.name_weights("w2")
     await fleet.until(lambda: bool(caught), "a holder is caught as it commands")
     await pause(fleet.world, fleet.world.chance.randrange(5 * SECOND, 10 * SECOND))
-    fleet.world.connect_traps.clear()
+    fleet.world.connect_hooks.clear()
     for name, _ in caught:
         fleet.wake(name)
     await settle(fleet)
@@ -193,17 +193,19 @@
     desk = fleet.back_ends["desk:2"].model
     assert isinstance(desk, ApplicationModel)
     desk.line_micros = 150 * MILLI
-    greedy, other = fleet.deployment.tenant_names[0], fleet.deployment.tenant_names[1]
+    bursting_tenant, other = fleet.deployment.tenant_names[0], fleet.deployment.tenant_names[1]
     description = fleet.marked_description("a")
     description["entries"][2].update(concurrency=1, queueLimit=64, deadlineMicros=8 * SECOND)
     await fleet.apply(description)
     await pause(fleet.world, 2 * SECOND)
-    fleet.start_burst(greedy, 80.0, "notice")
+    fleet.start_burst(bursting_tenant, 80.0, "notice")
     fleet.start_burst(other, 40.0, "notice")
     await pause(fleet.world, 3 * SECOND)
-    await withdraw(fleet, greedy, description)
+    await withdraw_tenant_key(fleet, bursting_tenant, description)
     await pause(fleet.world, 4 * SECOND)
-    description["entries"][2]["tenants"] = [n for n in fleet.deployment.tenant_names if n not in (greedy, other)]
+    description["entries"][2]["tenants"] = [
+        n for n in fleet.deployment.tenant_names if n not in (bursting_tenant, other)
+    ]
     await fleet.apply(description)
     await pause(fleet.world, 4 * SECOND)
     description["entries"][2].update(tenants=["*"], service="models")
@@ -219,7 +221,7 @@
     name = fleet.world.chance.choice(sorted(fleet.nodes))
     fleet.world.note(f"cuts {name} off from cores and nodes")
     fleet.cut([name], [*sorted(fleet.cores), *sorted(fleet.nodes)])
-    await withdraw(fleet, fleet.deployment.tenant_names[0])
+    await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.mark_leaving("worker-1", "worker-2")
     await fleet.name_weights("w2")
     await settle(fleet)
@@ -233,7 +235,7 @@
     fleet.cut(sorted(fleet.cores), sorted(fleet.nodes))
     await fleet.apply(fleet.marked_description("a"))
     await pause(fleet.world, 6 * SECOND)
-    expect_nobody_serves(fleet)
+    expect_no_node_serves(fleet)
     fleet.heal()
     await settle(fleet)
 
@@ -242,14 +244,14 @@
 async def worker_freezes(fleet: SimFleet) -> None:
     """A stopped process, whose kernel takes connections on, or a stopped machine."""
     name = f"worker-{fleet.world.chance.randrange(fleet.worker_count) + 1}"
-    fleet.world.machine(name).kernel_answers = fleet.world.chance.random() < 0.7
+    fleet.world.machine(name).kernel_accepts_connections = fleet.world.chance.random() < 0.7
     fleet.freeze(name)
     await settle(fleet)
     fleet.wake(name)
     await settle(fleet)
 
 
-def end_on(kind: str, strike: Callable[[SimFleet, str], None]) -> None:
+def register_final_fault(kind: str, strike: Callable[[SimFleet, str], None]) -> None:
     """A day that ends with one last fault: it is never healed, and the rest serves on."""
 
     async def play(fleet: SimFleet) -> None:
@@ -274,28 +276,28 @@
     return [n for n in sorted(fleet.world.machines) if fleet.area_of(n) == area]
 
 
-def lose_area(fleet: SimFleet, area: str) -> None:
+def cut_area_power(fleet: SimFleet, area: str) -> None:
     for name in members_of(fleet, area):
         fleet.kill(name, loses_power=True)
 
 
-def cut_off(fleet: SimFleet, names: list[str]) -> None:
+def isolate_machines(fleet: SimFleet, names: list[str]) -> None:
     fleet.cut(names, [n for n in sorted(fleet.world.machines) if n not in names])
 
 
-end_on("leader-lost", lambda fleet, name: fleet.lose_core(name))
-end_on("leader-frozen", lambda fleet, name: fleet.freeze(name))
-end_on("leader-isolated", lambda fleet, name: cut_off(fleet, [name]))
-end_on("node-isolated", lambda fleet, name: cut_off(fleet, [name]))
-end_on("node-frozen", lambda fleet, name: fleet.freeze(name))
-end_on("worker-lost", lambda fleet, name: fleet.kill(name, loses_power=True))
-end_on("worker-frozen", lambda fleet, name: fleet.freeze(name))
-end_on("worker-isolated", lambda fleet, name: cut_off(fleet, [name]))
-end_on("store-lost", lambda fleet, name: fleet.kill(name, loses_power=True))
-end_on("core-disk-stalled", lambda fleet, name: fleet.set_disk(name, "stalled", True))
-end_on("core-disk-full", lambda fleet, name: fleet.set_disk(name, "full", True))
-end_on("area-lost", lose_area)
-end_on("area-cut-off", lambda fleet, area: cut_off(fleet, members_of(fleet, area)))
+register_final_fault("leader-lost", lambda fleet, name: fleet.destroy_core(name))
+register_final_fault("leader-frozen", lambda fleet, name: fleet.freeze(name))
+register_final_fault("leader-isolated", lambda fleet, name: isolate_machines(fleet, [name]))
+register_final_fault("node-isolated", lambda fleet, name: isolate_machines(fleet, [name]))
+register_final_fault("node-frozen", lambda fleet, name: fleet.freeze(name))
+register_final_fault("worker-lost", lambda fleet, name: fleet.kill(name, loses_power=True))
+register_final_fault("worker-frozen", lambda fleet, name: fleet.freeze(name))
+register_final_fault("worker-isolated", lambda fleet, name: isolate_machines(fleet, [name]))
+register_final_fault("store-lost", lambda fleet, name: fleet.kill(name, loses_power=True))
+register_final_fault("core-disk-stalled", lambda fleet, name: fleet.set_disk(name, "stalled", True))
+register_final_fault("core-disk-full", lambda fleet, name: fleet.set_disk(name, "full", True))
+register_final_fault("area-lost", cut_area_power)
+register_final_fault("area-cut-off", lambda fleet, area: isolate_machines(fleet, members_of(fleet, area)))
 
 
 @scenario
@@ -328,7 +330,7 @@
     for number in range(3):
         await fleet.apply(fleet.marked_description(str(number)))
         name = fleet.leader()
-        fleet.lose_core(name)
+        fleet.destroy_core(name)
         fleet.add_core(f"core-{number + 4}")
         await fleet.until(
             lambda: (
@@ -418,7 +420,7 @@
 
 @scenario
 async def datagrams_lost(fleet: SimFleet) -> None:
-    fleet.set_cast_loss(0.3, 0.1)
+    fleet.set_datagram_loss(0.3, 0.1)
     await fleet.name_weights("w2")
     await pause(fleet.world, 12 * SECOND)
     await settle(fleet)
@@ -462,19 +464,19 @@
     await pause(fleet.world, 3 * SECOND)
     fleet.start("worker-3")
     fleet.start("worker-1")
-    await fleet.mark_staying("worker-1", "worker-2", "worker-4")
+    await fleet.clear_leaving("worker-1", "worker-2", "worker-4")
     await settle(fleet)
 
 
 @scenario
 async def platform_against_operators(fleet: SimFleet) -> None:
     """The platform sends its whole list again and again; operators mark workers and name weights at once."""
-    list_task = fleet.world.loop.create_task(list_on(fleet))
+    list_task = fleet.world.loop.create_task(resend_worker_list(fleet))
     for number in range(3):
         name = f"worker-{number + 1}"
         await fleet.mark_leaving(name)
         await pause(fleet.world, 6 * SECOND)
-        await fleet.mark_staying(name)
+        await fleet.clear_leaving(name)
     revision = await fleet.weights_revision()
     first, second = (fleet.world.loop.create_task(fleet.name_weights(w, revision)) for w in ("w2", "w3"))
     if sorted([await first, await second]) != ["conflict", "done"]:
@@ -483,7 +485,7 @@
     await settle(fleet)
 
 
-async def list_on(fleet: SimFleet) -> None:
+async def resend_worker_list(fleet: SimFleet) -> None:
     while True:
         await fleet.set_workers()
         await pause(fleet.world, 300 * MILLI)
@@ -496,7 +498,7 @@
         fleet.world.machine(name).set_rate(fleet.world.chance.uniform(0.98, 1.02))
     pairs = fleet.cut(["node-1"], [*sorted(fleet.cores), *sorted(fleet.nodes)])
     await fleet.mark_leaving("worker-1")
-    await withdraw(fleet, fleet.deployment.tenant_names[0])
+    await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.name_weights("w2")
     holder = fleet.world.chance.choice(sorted(fleet.nodes)[1:])
     fleet.freeze(holder)
@@ -513,14 +515,14 @@
 async def workers_replaced_until_none_is_left(fleet: SimFleet) -> None:
     """Planned: each comes by another name and address before the next one leaves; weights are named meanwhile."""
     fleet.ledger.planned_count += 1
-    for number, name in enumerate(fleet.present_workers()):
+    for number, name in enumerate(fleet.current_workers()):
         new_name = await fleet.add_worker()
         await fleet.until(lambda new_name=new_name: fleet.is_loaded(new_name), f"{new_name} is loaded")  # type: ignore[misc]
         await fleet.mark_leaving(name)
         await pause(fleet.world, 3 * SECOND)
         await fleet.until(lambda name=name: not fleet.worker(name).running_count, f"{name} is empty")  # type: ignore[misc]
         fleet.kill(name)
-        fleet.gone_workers.add(name)
+        fleet.removed_workers.add(name)
         await fleet.set_workers()
         if number % 3 == 1:
             await fleet.name_weights(f"w{number + 1}")
@@ -582,7 +584,7 @@
 @scenario
 async def half_the_workers_down(fleet: SimFleet) -> None:
     """As many as the rest can do without: it serves all, while they are gone."""
-    names = fleet.present_workers()
+    names = fleet.current_workers()
     fleet.world.chance.shuffle(names)
     for name in names[: len(names) // 2]:
         fleet.kill(name)
@@ -603,7 +605,7 @@
 @scenario
 async def bumps_race(fleet: SimFleet) -> None:
     """Many nodes bump the same parts while datagrams are lost and leaders change."""
-    fleet.set_cast_loss(0.3, 0.2)
+    fleet.set_datagram_loss(0.3, 0.2)
     owner = f"tenant:{fleet.deployment.tenant_names[0]}"
     tasks = []
     for number in range(30):
@@ -620,7 +622,7 @@
     given_results = [await t for t in tasks]
     if None in given_results:
         fleet.ledger.breaches.append(f"{given_results.count(None)} bumps were never answered")
-    fleet.set_cast_loss(0.0)
+    fleet.set_datagram_loss(0.0)
     await settle(fleet)
 
 
@@ -632,7 +634,7 @@
         await pause(fleet.world, 300 * MILLI)
         fleet.start(name)
         if name.startswith("worker-"):
-            await fleet.mark_staying(name)
+            await fleet.clear_leaving(name)
         await pause(fleet.world, 1_500 * MILLI)
         if number == 3:
             await fleet.apply(fleet.marked_description("a"))
@@ -644,13 +646,13 @@
 @scenario
 async def one_tenant_bursts(fleet: SimFleet) -> None:
     """A large tenant sends many times what the workers bear; small ones must go on."""
-    greedy = fleet.deployment.tenant_names[0]
+    bursting_tenant = fleet.deployment.tenant_names[0]
     description = fleet.marked_description("a")
     description["entries"][0].update(concurrency=2, queueLimit=16)
     await fleet.apply(description)
     await pause(fleet.world, 3 * SECOND)
     start_micros = fleet.world.now()
-    fleet.start_burst(greedy, 300.0, fleet.deployment.long_kind)
+    fleet.start_burst(bursting_tenant, 300.0, fleet.deployment.long_kind)
     await pause(fleet.world, 5 * SECOND)
     fleet.end_bursts()
     end_micros = fleet.world.now()
@@ -658,7 +660,7 @@
     others = [
         t
         for t in fleet.ledger.jobs.values()
-        if t.tenant != greedy and start_micros + SECOND < t.sent_micros < end_micros and t.outcome != "open"
+        if t.tenant != bursting_tenant and start_micros + SECOND < t.sent_micros < end_micros and t.outcome != "open"
     ]
     served_count = sum(t.outcome == "done" for t in others)
     refused_count = sum(t.outcome in ("tenant_busy", "overloaded") for t in fleet.ledger.jobs.values())
@@ -711,8 +713,8 @@
         f"{behind} is level again",
     )
     await settle(fleet)
-    late_fleet, leader_fleet = fleet.cores[behind].fleet, fleet.cores[fleet.leader()].fleet
-    if late_fleet.parts != leader_fleet.parts:
+    restored_fleet, leader_fleet = fleet.cores[behind].fleet, fleet.cores[fleet.leader()].fleet
+    if restored_fleet.parts != leader_fleet.parts:
         fleet.ledger.breaches.append(f"{behind} holds other part revisions than the leader")
 
 
@@ -765,15 +767,15 @@
     await settle(fleet)
 
 
-async def tell_changed(fleet: SimFleet, limit_micros: int) -> list[str]:
+async def report_changed_parts(fleet: SimFleet, limit_micros: int) -> list[str]:
     """Workers and the store tell of parts that changed; once, twice, and from another one late."""
     chance = fleet.world.chance
     hot_keys = [k for _, r in fleet.ledger.runs[-200:] for k in r.reused_keys]
     keys = sorted(set(hot_keys), key=lambda k: (-hot_keys.count(k), k))[:3]
-    tellers = [fleet.worker(name) for name in fleet.present_workers()]
+    reporting_workers = [fleet.worker(name) for name in fleet.current_workers()]
     for key in keys:
-        holding = [t for t in tellers if key in t.cache] or tellers
-        first, late = holding[0], holding[-1]
+        holding_workers = [t for t in reporting_workers if key in t.cache] or reporting_workers
+        first, late = holding_workers[0], holding_workers[-1]
         for _ in range(chance.choice([1, 2])):
             first.log.tell("changed", key)
         store = fleet.back_ends["store:2"].model
@@ -790,20 +792,20 @@
 async def parts_change(fleet: SimFleet) -> None:
     """What a worker tells as changed is bumped, once or more, and its old copies are used no more."""
     await pause(fleet.world, 4 * SECOND)
-    await tell_changed(fleet, 2 * SECOND)
+    await report_changed_parts(fleet, 2 * SECOND)
     await pause(fleet.world, 4 * SECOND)
     # Then with a holder that sleeps over the report, a leader that dies, and datagrams lost: tables tell it,
     # and a holder's term, the next one's first poll and the table's lifetime bound how late.
-    fleet.set_cast_loss(0.3)
+    fleet.set_datagram_loss(0.3)
     for name in sorted(fleet.nodes)[:2]:
         fleet.freeze(name)
-    await tell_changed(fleet, 45 * SECOND)
+    await report_changed_parts(fleet, 45 * SECOND)
     await pause(fleet.world, 5 * SECOND)
     fleet.kill(fleet.leader(), loses_power=True)
     for name in sorted(fleet.nodes)[:2]:
         fleet.wake(name)
     await pause(fleet.world, 40 * SECOND)
-    fleet.set_cast_loss(0.0)
+    fleet.set_datagram_loss(0.0)
     await settle(fleet)
     volumes = fleet.cores[fleet.leader()].fleet.parts.values()
     if not any(revision > 1 for parts in volumes for revision in parts.values()):
@@ -815,7 +817,7 @@
     for address, back_end in sorted(fleet.back_ends.items()):
         if address.startswith("worker-"):
             link = fleet.worker(back_end.machine.name).link
-            assert isinstance(link, SimFetch)
+            assert isinstance(link, SimCacheFetcher)
             link.slowness = 50
     await pause(fleet.world, 6 * SECOND)
     await settle(fleet)
@@ -828,7 +830,7 @@
     for name in names:
         fleet.kill(name)
     await pause(fleet.world, 6 * SECOND)
-    expect_nobody_serves(fleet)
+    expect_no_node_serves(fleet)
     for name in names:
         fleet.start(name)
     await settle(fleet)
@@ -840,15 +842,15 @@
     await fleet.apply(fleet.marked_description("a"))
     left, *lost = [fleet.leader(), *(n for n in sorted(fleet.cores) if n != fleet.leader())]
     for name in lost:
-        fleet.lose_core(name)
+        fleet.destroy_core(name)
     await pause(fleet.world, 3 * SECOND)
     fleet.kill(left)
     identity = fleet.cores[left].identity
     machine = fleet.world.machine(left)
     machine.boot()
     rescue = QuorumLossRecovery(machine.disk)
-    for wrong_words in ((identity, "yes"), ("another", REQUIRED_CONSENT)):
-        if not isinstance(await rescue.run(wrong_words[0], f"{left}:1", wrong_words[1]), Err):
+    for wrong_arguments in ((identity, "yes"), ("another", REQUIRED_CONSENT)):
+        if not isinstance(await rescue.run(wrong_arguments[0], f"{left}:1", wrong_arguments[1]), Err):
             fleet.ledger.breaches.append("a rescue ran by accident")
     (await rescue.run(identity, f"{left}:1", REQUIRED_CONSENT)).unwrap()
     fleet.start(left)
@@ -888,16 +890,16 @@
             await fleet.name_weights(f"w{weights_number}")
             weights_number += 1
         else:
-            fleet.set_cast_loss(chance.choice([0.0, 0.1, 0.3]))
+            fleet.set_datagram_loss(chance.choice([0.0, 0.1, 0.3]))
         await pause(fleet.world, chance.randrange(200 * MILLI, 3 * SECOND))
-    fleet.set_cast_loss(0.0)
+    fleet.set_datagram_loss(0.0)
     await settle(fleet)
 
 
 @scenario
 async def overlapping_faults(fleet: SimFleet) -> None:
     """Fourteen strikes of all kinds that overlap, and a last one that stays on."""
-    await Striker(fleet).play()
+    await SimFaultInjector(fleet).play()
     await settle(fleet)
 
 
@@ -922,25 +924,25 @@
     prepare: Callable[[SimFleet], None] = lambda fleet: None,
     node_count: int = 0,
     record_path: str = "",
-    left_out: frozenset[int] = frozenset(),
+    excluded_faults: frozenset[int] = frozenset(),
 ) -> tuple[Ledger, World]:
     async def play(world: World) -> tuple[Ledger, World]:
         fleet = build_fleet(world, name, deployment_name, node_count)
-        fleet.left_out = left_out
+        fleet.excluded_faults = excluded_faults
         prepare(fleet)
         await fleet.up()
         start_micros = world.now()
         if name not in CONTROL_SCENARIOS:
-            fleet.start_load(JOBS_A_SECOND)
-        fleet.start_reads()
+            fleet.start_load(JOBS_PER_SECOND)
+        fleet.start_state_reads()
         await pause(world, 2 * SECOND)
         await SCENARIOS[name](fleet)
         await fleet.end_load()
         if record_path:
-            record_run(fleet, start_micros).write(record_path)
+            build_recording(fleet, start_micros).write(record_path)
         for machine in world.machines.values():
             fleet.ledger.breaches.extend(f"{machine.name}: a task ended by {f!r}" for f in machine.crew.faults)
         return fleet.ledger, world
 
-    outcome: tuple[Ledger, World] = run_virtual(seed, play)
+    outcome: tuple[Ledger, World] = run_in_virtual_time(seed, play)
     return outcome
--- a/src/pearhead/testbed/simulator/edges.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -21,11 +21,11 @@
     UpstreamJob,
 )
 from pearhead.runtime.clock import SECOND
-from pearhead.testbed.simulator.world import LINK_MICROS, Machine
+from pearhead.testbed.simulator.world import LINK_LATENCY_MICROS, Machine
 from pearhead.testbed.workermodel import (
-    FETCH_MICROS_A_TOKEN,
+    FETCH_MICROS_PER_TOKEN,
     ApplicationModel,
-    Kept,
+    CachedPart,
     StoreModel,
     WorkerModel,
     WorkerRefusalError,
@@ -41,11 +41,11 @@
 
 
 BackEnds = dict[str, BackEnd]
-END = object()
+STREAM_END = object()
 CONNECT_MICROS = SECOND
 RESEND_MICROS = SECOND // 5
-JOB = "job"
-COMMAND = "command"
+JOB_CONNECTION = "job"
+COMMAND_CONNECTION = "command"
 
 
 def open_connection(
@@ -69,7 +69,7 @@
 
         return settle_once
 
-    def go_back(action: Callable[[], None]) -> None:
+    def send_reply(action: Callable[[], None]) -> None:
         if not world.is_cut(worker.name, node.name):
             world.loop.call_later(world.link_micros() / SECOND, node.gate(settle(action)))
 
@@ -77,18 +77,18 @@
         if world.is_cut(node.name, worker.name):
             return
         if not worker.is_alive:
-            go_back(lambda: fail("connection refused"))
-        elif not worker.is_frozen or worker.kernel_answers:
-            trap = world.connect_traps.pop((node.name, purpose), None)
-            if trap is not None:
-                trap(worker)
-            go_back(begin)
+            send_reply(lambda: fail("connection refused"))
+        elif not worker.is_frozen or worker.kernel_accepts_connections:
+            connect_hook = world.connect_hooks.pop((node.name, purpose), None)
+            if connect_hook is not None:
+                connect_hook(worker)
+            send_reply(begin)
 
     world.loop.call_later(world.link_micros() / SECOND, arrive)
     node.after(min(CONNECT_MICROS, limit_micros), settle(lambda: fail("no connection")))
 
 
-class SimCarrier:
+class SimUpstreamClient:
     def __init__(self, machine: Machine, back_ends: BackEnds, watch: Callable[[str, str], None]) -> None:
         self.machine = machine
         self.world = machine.world
@@ -105,12 +105,12 @@
         is_closed = False
         unsent: list[Any] = []
 
-        def hand_back(item: Any) -> None:
+        def queue_reply(item: Any) -> None:
             unsent.append(item)
             if len(unsent) == 1:
-                pump()
+                flush_replies()
 
-        def pump() -> None:
+        def flush_replies() -> None:
             """Over the link in order, and through the node's gate; what a cut holds up is sent again after it."""
             nonlocal last_arrival
             if not worker.is_alive and world.is_cut(worker.name, node.name):
@@ -118,7 +118,7 @@
             while unsent:
                 if world.is_cut(worker.name, node.name):
                     if not is_closed:
-                        world.loop.call_later(RESEND_MICROS / SECOND, pump)
+                        world.loop.call_later(RESEND_MICROS / SECOND, flush_replies)
                     return
                 last_arrival = max(last_arrival + 1, world.now() + world.link_micros())
                 deliver = node.gate(functools.partial(events.put_nowait, unsent.pop(0)))
@@ -131,12 +131,12 @@
                 run_events = model.run(upstream_job.to_request(), upstream_job.upstream_id)
                 async with aclosing(run_events) as open_events:
                     async for event in open_events:
-                        hand_back(event)
-                hand_back(END)
+                        queue_reply(event)
+                queue_reply(STREAM_END)
             except WorkerRefusalError as refusal:
-                hand_back(JobTransportError(REFUSED, refusal.why))
+                queue_reply(JobTransportError(REFUSED, refusal.why))
             except asyncio.CancelledError:
-                hand_back(JobTransportError(CUT, "reset"))
+                queue_reply(JobTransportError(CUT, "reset"))
                 raise
 
         def send() -> None:
@@ -153,7 +153,7 @@
                 if world.is_cut(node.name, worker.name):
                     return
                 if not worker.is_alive or worker.life != worker_life:
-                    hand_back(JobTransportError(CUT, "reset"))
+                    queue_reply(JobTransportError(CUT, "reset"))
                     return
                 worker.gate(lambda: run_tasks.append(worker.crew.start(run())))()
 
@@ -162,12 +162,12 @@
         def fail(why: str) -> None:
             events.put_nowait(JobTransportError(NOT_SENT, why))
 
-        open_connection(node, worker, JOB, upstream_job.limit_micros, send, fail)
+        open_connection(node, worker, JOB_CONNECTION, upstream_job.limit_micros, send, fail)
         node.after(upstream_job.limit_micros, lambda: events.put_nowait(JobTransportError(CUT, "deadline")))
         try:
             while True:
                 item = await events.get()
-                if item is END:
+                if item is STREAM_END:
                     return
                 if isinstance(item, JobTransportError):
                     raise item
@@ -185,10 +185,10 @@
                 if not world.is_cut(node.name, worker.name):
                     worker.gate(stop_runs)()
 
-            world.loop.call_later(2 * LINK_MICROS[1] / SECOND, arrive_close)
+            world.loop.call_later(2 * LINK_LATENCY_MICROS[1] / SECOND, arrive_close)
 
 
-class SimLink:
+class SimWorkerClient:
     """Commands and reports, noted with the node that gave them."""
 
     def __init__(self, machine: Machine, back_ends: BackEnds, watch: Callable[[str, str, int, int], None]) -> None:
@@ -240,7 +240,7 @@
                 settle("not within its term any more")
 
         result_future: asyncio.Future[Result[dict[str, Any], str]] = self.world.loop.create_future()
-        open_connection(self.machine, back_end.machine, COMMAND, limit_micros, begin, settle)
+        open_connection(self.machine, back_end.machine, COMMAND_CONNECTION, limit_micros, begin, settle)
         why = await begin_future
         return Err(why) if why else await result_future
 
@@ -262,7 +262,7 @@
         limit_micros: int,
         result_future: asyncio.Future[Result[dict[str, Any], str]],
     ) -> None:
-        given_result = await self.world.call_into(back_end.machine, self.machine.name, work, limit_micros)
+        given_result = await self.world.run_on_machine(back_end.machine, self.machine.name, work, limit_micros)
 
         def settle() -> None:
             if not result_future.done():
@@ -271,7 +271,7 @@
         self.machine.gate(settle)()
 
 
-class SimFetch:
+class SimCacheFetcher:
     def __init__(self, machine: Machine, back_ends: BackEnds, store_address: str) -> None:
         self.machine = machine
         self.world = machine.world
@@ -279,28 +279,28 @@
         self.store_address = store_address
         self.slowness = 1
 
-    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> Kept | None:
+    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
         remote = self.back_ends[remote_address]
 
-        async def work() -> Kept | None:
+        async def work() -> CachedPart | None:
             if isinstance(remote.model, StoreModel):
                 return remote.model.get(key)
             assert isinstance(remote.model, WorkerModel)
             return remote.model.cache.get(key)
 
-        given_result = await self.world.call_into(remote.machine, self.machine.name, work, limit_micros)
+        given_result = await self.world.run_on_machine(remote.machine, self.machine.name, work, limit_micros)
         if isinstance(given_result, Err) or given_result.ok_value is None:
             return None
-        kept: Kept = given_result.ok_value
-        link_micros = kept.tokens * FETCH_MICROS_A_TOKEN * self.slowness
+        kept: CachedPart = given_result.ok_value
+        link_micros = kept.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
         await asyncio.sleep(min(link_micros, limit_micros) / SECOND)
         return kept if link_micros <= limit_micros else None
 
-    async def keep_in_store(self, key: str, kept: Kept) -> None:
+    async def write_to_store(self, key: str, kept: CachedPart) -> None:
         store = self.back_ends[self.store_address]
 
         async def work() -> None:
             assert isinstance(store.model, StoreModel)
             store.model.put(key, kept)
 
-        self.machine.crew.start(self.world.call_into(store.machine, self.machine.name, work, SECOND))
+        self.machine.crew.start(self.world.run_on_machine(store.machine, self.machine.name, work, SECOND))
--- a/src/pearhead/testbed/simulator/sweep.py
+++ b/src/pearhead/testbed/simulator/sweep.py
@@ -12,47 +12,49 @@
 from typing import Any
 
 from pearhead.runtime.clock import SECOND
-from pearhead.testbed.simulator.runner import RunOrder, RunResult, run_order
-from pearhead.testbed.simulator.strikes import StrikePlan
+from pearhead.testbed.simulator.fault_schedule import SimFaultSchedule
+from pearhead.testbed.simulator.runner import RunResult, RunSpec, run_spec
 
-OVERLAPPING = "overlapping-faults"
-RunMany = Callable[[list[RunOrder]], Iterable[RunResult]]
+OVERLAPPING_FAULTS_SCENARIO = "overlapping-faults"
+RunMany = Callable[[list[RunSpec]], Iterable[RunResult]]
 
 
-def run_as_they_end(orders: list[RunOrder]) -> Iterator[RunResult]:
+def run_as_completed(orders: list[RunSpec]) -> Iterator[RunResult]:
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(mp_context=context) as pool:
-        for future in concurrent.futures.as_completed([pool.submit(run_order, order) for order in orders]):
+        for future in concurrent.futures.as_completed([pool.submit(run_spec, order) for order in orders]):
             yield future.result()
 
 
-def checks_of(result: RunResult) -> set[str]:
+def failed_checks(result: RunResult) -> set[str]:
     return {breach.partition(":")[0] for breach in result.breaches}
 
 
-class Shortener:
+class FailureMinimizer:
     """Leaves out strikes, as long as the run still breaks one of the rules it broke at first."""
 
     def __init__(self, run_many: RunMany) -> None:
         self.run_many = run_many
 
-    def shorten(self, failed: RunResult) -> RunResult:
-        if failed.order.scenario != OVERLAPPING:
+    def minimize_failure(self, failed: RunResult) -> RunResult:
+        if failed.order.scenario != OVERLAPPING_FAULTS_SCENARIO:
             return failed
-        numbers = [s.number for s in StrikePlan().draw(failed.order.seed)]
-        wanted = checks_of(failed)
-        shortest = failed
+        numbers = [s.number for s in SimFaultSchedule().draw(failed.order.seed)]
+        wanted = failed_checks(failed)
+        minimal_result = failed
         is_shorter = True
         while is_shorter:
             is_shorter = False
-            left = [n for n in numbers if n not in shortest.order.left_out]
-            tries = [replace(shortest.order, left_out=shortest.order.left_out | {n}) for n in left]
-            still_failing = [r for r in self.run_many(tries) if checks_of(r) & wanted]
+            left = [n for n in numbers if n not in minimal_result.order.excluded_faults]
+            tries = [
+                replace(minimal_result.order, excluded_faults=minimal_result.order.excluded_faults | {n}) for n in left
+            ]
+            still_failing = [r for r in self.run_many(tries) if failed_checks(r) & wanted]
             if still_failing:
                 # The one that needs the least time is the easiest to read.
-                shortest = min(still_failing, key=lambda r: (r.virtual_seconds, sorted(r.order.left_out)))
+                minimal_result = min(still_failing, key=lambda r: (r.virtual_seconds, sorted(r.order.excluded_faults)))
                 is_shorter = True
-        return shortest
+        return minimal_result
 
 
 class Sweep:
@@ -61,28 +63,28 @@
         self.run_many = run_many
         self.tell = tell
 
-    def run(self, orders: list[RunOrder]) -> int:
+    def run(self, orders: list[RunSpec]) -> int:
         """How many of the orders broke a rule, now or in the journal; one line for each that did."""
         done = self._read_journal()
         failed_count = sum(int(done.get(o.command(), {}).get("breaches", 0)) > 0 for o in orders)
-        open_ = [o for o in orders if o.command() not in done]
+        pending_specs = [o for o in orders if o.command() not in done]
         self.tell(f"{len(orders)} runs, {len(orders) - len(open_)} in the journal")
         failures: list[RunResult] = []
-        for result in self.run_many(open_):
+        for result in self.run_many(pending_specs):
             self._note(result)
             if result.breaches:
                 failures.append(result)
                 self.tell(f"{result.order.command()}: {result.breaches[0].splitlines()[-1][:200]}")
         for failure in failures:
-            shortest = Shortener(self.run_many).shorten(failure)
-            if shortest is not failure:
+            minimal_result = FailureMinimizer(self.run_many).minimize_failure(failure)
+            if minimal_result is not failure:
                 self.tell("shortened:")
-                self.tell(shortest.failure())
+                self.tell(minimal_result.failure())
         for line in self.summary(orders):
             self.tell(line)
         return failed_count + len(failures)
 
-    def summary(self, orders: list[RunOrder]) -> list[str]:
+    def summary(self, orders: list[RunSpec]) -> list[str]:
         """A row a scenario and deployment, of all seeds asked for: how long service took to come back."""
         done = self._read_journal()
         rows: dict[tuple[str, str], list[dict[str, Any]]] = {}
@@ -118,11 +120,11 @@
         row = {
             "command": result.order.command(),
             "breaches": len(result.breaches),
-            "checks": sorted(checks_of(result)),
+            "checks": sorted(failed_checks(result)),
             "recoveryMicros": result.recovery_micros,
             "outcomes": result.outcomes,
             "retries": result.retry_count,
-            "carried": result.carried_count,
+            "carried": result.budgeted_job_count,
             "hash": result.run_hash,
         }
         with self.journal_path.open("a") as journal:
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -14,11 +14,11 @@
 from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND, Timer, rest
 from pearhead.runtime.net import Receiver
-from pearhead.testbed.simulator.loop import VirtualLoop
 from pearhead.testbed.simulator.uplink import Uplink
+from pearhead.testbed.simulator.virtual_loop import VirtualLoop
 
-LINK_MICROS = (200, 900)
-DISK_MICROS = (400, 2_500)
+LINK_LATENCY_MICROS = (200, 900)
+DISK_SYNC_MICROS = (400, 2_500)
 Action = Callable[[], None]
 
 
@@ -31,26 +31,26 @@
         self.chance = random.Random(world.chance.getrandbits(64))
         # Each machine booted at another time, and its crystal may be quick or slow.
         self.clock_base = self.chance.randrange(10**6, 10**12)
-        self.clock_since = 0
+        self.clock_rate_set_at = 0
         self.clock_rate = 1.0
         self.is_alive = False
         self.is_frozen = False
         # A stopped process's kernel still takes connections for it; a stopped machine's does not.
-        self.kernel_answers = True
+        self.kernel_accepts_connections = True
         self.life = 0
-        self.held_actions: list[Action] = []
+        self.deferred_actions: list[Action] = []
         self.crew = BackgroundTaskGroup(name)
         self.disk = SimDisk(self)
 
     def now(self) -> int:
-        return self.clock_base + round((self.world.now() - self.clock_since) * self.clock_rate)
+        return self.clock_base + round((self.world.now() - self.clock_rate_set_at) * self.clock_rate)
 
     def set_rate(self, clock_rate: float) -> None:
         """From here on; what it counted stays counted."""
-        self.clock_base, self.clock_since, self.clock_rate = self.now(), self.world.now(), clock_rate
+        self.clock_base, self.clock_rate_set_at, self.clock_rate = self.now(), self.world.now(), clock_rate
 
-    def to_world(self, own_micros: int) -> int:
-        return self.clock_since + round((own_micros - self.clock_base) / self.clock_rate)
+    def to_world_micros(self, own_micros: int) -> int:
+        return self.clock_rate_set_at + round((own_micros - self.clock_base) / self.clock_rate)
 
     def after(self, delay_micros: int, callback: Action) -> Timer:
         return self.world.loop.call_later(max(delay_micros, 0) / self.clock_rate / SECOND, self.gate(callback))
@@ -58,20 +58,20 @@
     def gate(self, action: Action) -> Action:
         life = self.life
 
-        def pass_gate() -> None:
+        def run_unless_frozen() -> None:
             if not self.is_alive or self.life != life:
                 return
             if self.is_frozen:
-                self.held_actions.append(pass_gate)
+                self.deferred_actions.append(run_unless_frozen)
             else:
                 action()
 
-        return pass_gate
+        return run_unless_frozen
 
     def boot(self) -> None:
         self.life += 1
         self.is_alive, self.is_frozen = True, False
-        self.held_actions = []
+        self.deferred_actions = []
         self.crew = BackgroundTaskGroup(self.name)
 
     def crash(self, loses_power: bool) -> None:
@@ -84,18 +84,18 @@
 
     def wake(self) -> None:
         self.is_frozen = False
-        held, self.held_actions = self.held_actions, []
+        held, self.deferred_actions = self.deferred_actions, []
         for action in held:
             self.world.loop.call_soon(action)
 
 
-class SimNet:
+class SimNetwork:
     def __init__(self, machine: Machine, address: str) -> None:
         self.machine = machine
         self.world = machine.world
         self.address = address
         self.receiver: Receiver = lambda frame_bytes: None
-        self.world.nets[address] = self
+        self.world.networks_by_address[address] = self
 
     def listen(self, frame_receiver: Receiver) -> None:
         self.receiver = frame_receiver
@@ -151,7 +151,7 @@
 
     async def _sync(self) -> None:
         self.sync_count += 1
-        await rest(self.machine, self.machine.chance.randrange(*DISK_MICROS) * self.slowness)
+        await rest(self.machine, self.machine.chance.randrange(*DISK_SYNC_MICROS) * self.slowness)
         while self.is_stalled:
             await rest(self.machine, 50 * MILLI)
 
@@ -172,12 +172,12 @@
         self.seed = seed
         self.chance = random.Random(seed)
         self.machines: dict[str, Machine] = {}
-        self.nets: dict[str, SimNet] = {}
+        self.networks_by_address: dict[str, SimNetwork] = {}
         self.cuts: set[tuple[str, str]] = set()
         # By node and purpose: what happens as a handshake of it is over, before the node hears of it.
-        self.connect_traps: dict[tuple[str, str], Callable[[Machine], None]] = {}
-        self.cast_loss = 0.0
-        self.cast_double = 0.0
+        self.connect_hooks: dict[tuple[str, str], Callable[[Machine], None]] = {}
+        self.datagram_loss = 0.0
+        self.datagram_duplication = 0.0
         self.last_arrivals: dict[tuple[str, str], int] = {}
         # Links out of bounded rate, by machine; the others' take no time.
         self.uplinks: dict[str, Uplink] = {}
@@ -215,22 +215,22 @@
         self.cuts.clear()
 
     def link_micros(self) -> int:
-        return self.chance.randrange(*LINK_MICROS)
+        return self.chance.randrange(*LINK_LATENCY_MICROS)
 
     def transmit(self, source: Machine, target_address: str, frame_bytes: bytes, is_stream: bool) -> None:
         if not source.is_alive:
             return
         self.sent_count += 1
         self.run_hash.update(b"%d %d" % (self.now(), len(frame_bytes)))
-        target_net = self.nets.get(target_address)
+        target_net = self.networks_by_address.get(target_address)
         if target_net is None:
             return
         target = target_net.machine
         copy_count = 1
         if not is_stream:
-            if self.chance.random() < self.cast_loss:
+            if self.chance.random() < self.datagram_loss:
                 return
-            copy_count += self.chance.random() < self.cast_double
+            copy_count += self.chance.random() < self.datagram_duplication
         departure_micros = self._departure(source, frame_bytes, is_stream)
         if departure_micros is None:
             return
@@ -256,7 +256,7 @@
 
     # ---- calls from outside, and HTTP in between ----------------------------------------------------
 
-    async def call_into(
+    async def run_on_machine(
         self, target: Machine, from_name: str, work: Callable[[], Coroutine[Any, Any, Any]], limit_micros: int
     ) -> Result[Any, str]:
         """Runs work inside a machine, as a request over a link; Err if no answer came back."""
@@ -266,7 +266,7 @@
             if not result_future.done():
                 result_future.set_result(given_result)
 
-        def go_back(given_result: Result[Any, str]) -> None:
+        def send_reply(given_result: Result[Any, str]) -> None:
             if not self.is_cut(target.name, from_name):
                 self.loop.call_later(self.link_micros() / SECOND, settle, given_result)
 
@@ -274,12 +274,12 @@
             try:
                 given_result = await work()
             except asyncio.CancelledError:
-                go_back(Err("reset"))
+                send_reply(Err("reset"))
                 raise
             except Exception as fault:  # noqa: BLE001 - the other side sees a failed request
-                go_back(Err(repr(fault)))
+                send_reply(Err(repr(fault)))
                 return
-            go_back(Ok(given_result))
+            send_reply(Ok(given_result))
 
         has_link = not self.is_cut(from_name, target.name) and not self.is_cut(target.name, from_name)
 
@@ -287,9 +287,9 @@
             if not has_link or self.is_cut(from_name, target.name):
                 return
             if not target.is_alive:
-                go_back(Err("refused"))
+                send_reply(Err("refused"))
                 return
-            target.gate(lambda: void(target.crew.start(run())))()
+            target.gate(lambda: discard_result(target.crew.start(run())))()
 
         self.loop.call_later(self.link_micros() / SECOND, arrive)
         limit_timer = self.loop.call_later(limit_micros / SECOND, settle, Err("timeout"))
@@ -299,7 +299,7 @@
             limit_timer.cancel()
 
 
-def void(_: object) -> None:
+def discard_result(_: object) -> None:
     return None
 
 
@@ -307,7 +307,7 @@
     await asyncio.sleep(micros / SECOND)
 
 
-def run_virtual(seed: int, play: Callable[[World], Coroutine[Any, Any, Any]]) -> Any:
+def run_in_virtual_time(seed: int, play: Callable[[World], Coroutine[Any, Any, Any]]) -> Any:
     """Runs one play to its end on a loop of its own."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
--- a/src/pearhead/testbed/soak/fleet.py
+++ b/src/pearhead/testbed/soak/fleet.py
@@ -29,7 +29,7 @@
     SiteSize,
 )
 from pearhead.testbed.emulator.wire import ask
-from pearhead.testbed.launcher import Launcher, deployment_named
+from pearhead.testbed.launcher import Launcher, find_deployment
 from pearhead.testbed.soak.faultproxy import SOUND_LINK, FaultProxy, LinkFault
 from pearhead.testbed.soak.schedule import SoakProfile
 
@@ -71,7 +71,7 @@
 
     def make(self, profile: SoakProfile, seed: int) -> None:
         """Draws the site; some of its requests last for seconds, as those at work matter when a node drains."""
-        self.make_site(deployment_named("academy"), SiteSize(profile.cores, profile.fronts, profile.workers), seed)
+        self.make_site(find_deployment("academy"), SiteSize(profile.cores, profile.fronts, profile.workers), seed)
         site = self.site
         short, long = site.kinds
         site.kinds = [
@@ -83,7 +83,7 @@
             route["Tries"] = max(LEAST_TRIES, route["Tries"])
         self.plan["site"] = site.fields()
         self.plan["config"] = site.config
-        self._keep_plan()
+        self._save_plan()
 
     def settings_of(self, name: str) -> dict[str, Any]:
         """As the platform writes them, with the addresses of proxies where others are told of one."""
--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -13,23 +13,23 @@
 
 from pearhead.runtime.clock import SECOND, BootClock, rest
 from pearhead.testbed.workermodel import (
-    FETCH_MICROS_A_TOKEN,
+    FETCH_MICROS_PER_TOKEN,
     ApplicationModel,
-    Kept,
+    CachedPart,
     StoreModel,
     WorkerModel,
     WorkerRefusalError,
 )
 
 
-class HttpFetchLink:
+class HttpCacheFetcher:
     def __init__(self, store_address: str) -> None:
         self.store_address = store_address
         self.slowness = 1
         self.clock = BootClock()
         self.put_tasks: set[asyncio.Task[None]] = set()
 
-    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> Kept | None:
+    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
         request = HTTPRequest(
             f"http://{remote_address}/v1/kv/{key}",
             request_timeout=limit_micros / SECOND,
@@ -37,21 +37,21 @@
         )
         try:
             response = await AsyncHTTPClient().fetch(request)
-            kept = Kept(**json.loads(response.body))
+            kept = CachedPart(**json.loads(response.body))
         except (HTTPClientError, OSError, ValueError, TypeError):
             return None
-        link_micros = kept.tokens * FETCH_MICROS_A_TOKEN * self.slowness
+        link_micros = kept.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
         await rest(self.clock, min(link_micros, limit_micros))
         return kept if link_micros <= limit_micros else None
 
-    async def keep_in_store(self, key: str, kept: Kept) -> None:
+    async def write_to_store(self, key: str, kept: CachedPart) -> None:
         if not self.store_address:
             return
         put_task = asyncio.ensure_future(self._put(key, kept))
         self.put_tasks.add(put_task)
         put_task.add_done_callback(self.put_tasks.discard)
 
-    async def _put(self, key: str, kept: Kept) -> None:
+    async def _put(self, key: str, kept: CachedPart) -> None:
         request = HTTPRequest(
             f"http://{self.store_address}/v1/kv/{key}",
             method="PUT",
@@ -131,7 +131,7 @@
         self.finish(self.model.events(self.get_argument("life", ""), int(self.get_argument("after", "0"))))
 
 
-class KeptHandler(RequestHandler):
+class CachedPartHandler(RequestHandler):
     def initialize(self, model: WorkerModel | StoreModel) -> None:
         self.model = model
 
@@ -145,7 +145,7 @@
 
     def put(self, key: str) -> None:
         assert isinstance(self.model, StoreModel)
-        self.model.put(key, Kept(**json.loads(self.request.body)))
+        self.model.put(key, CachedPart(**json.loads(self.request.body)))
         self.finish({})
 
 
@@ -162,7 +162,7 @@
 class FaultHandler(RequestHandler):
     """Faults by command: slow link, silent reports, cut streams."""
 
-    def initialize(self, model: WorkerModel, link: HttpFetchLink) -> None:
+    def initialize(self, model: WorkerModel, link: HttpCacheFetcher) -> None:
         self.model = model
         self.link = link
 
@@ -180,7 +180,7 @@
     if role == "store":
         store = StoreModel(chance)
         return Application(
-            [("/v1/kv_events", EventsHandler, {"model": store}), ("/v1/kv/(.+)", KeptHandler, {"model": store})],
+            [("/v1/kv_events", EventsHandler, {"model": store}), ("/v1/kv/(.+)", CachedPartHandler, {"model": store})],
             log_function=lambda handler: None,
         )
     if role == "application":
@@ -192,7 +192,7 @@
             ],
             log_function=lambda handler: None,
         )
-    link = HttpFetchLink(store_address)
+    link = HttpCacheFetcher(store_address)
     worker = WorkerModel(clock, chance, link)
     return Application(
         [
@@ -200,7 +200,7 @@
             ("/v1/load", LoadHandler, {"model": worker}),
             ("/v1/claim", ClaimHandler, {"model": worker}),
             ("/v1/kv_events", EventsHandler, {"model": worker}),
-            ("/v1/kv/(.+)", KeptHandler, {"model": worker}),
+            ("/v1/kv/(.+)", CachedPartHandler, {"model": worker}),
             ("/runs", RunsHandler, {"model": worker}),
             ("/faults", FaultHandler, {"model": worker, "link": link}),
         ],
