--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -14,13 +14,13 @@
 
 from pearhead.runtime.clock import MILLI, Clock, rest
 
-PREFILL_MICROS_A_TOKEN = 100
+PREFILL_MICROS_PER_TOKEN = 100
 LINE_MICROS = 15 * MILLI
 LINE_COUNT = 6
 LOAD_MICROS = 1_500 * MILLI
 EVENT_LIMIT = 5_000
 BATCH_SIZE = 4
-CACHE_KEYS = 4_000
+CACHE_KEY_LIMIT = 4_000
 
 
 class WorkerRefusalError(Exception):
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Kept:
+class CachedPart:
     """What a kept prefix came from."""
 
     model: str
@@ -55,10 +55,10 @@
     reused_keys: list[str] = field(default_factory=list)
 
 
-class FetchLink(Protocol):
-    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> Kept | None: ...
+class CacheFetcher(Protocol):
+    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None: ...
 
-    async def keep_in_store(self, key: str, kept: Kept) -> None: ...
+    async def write_to_store(self, key: str, kept: CachedPart) -> None: ...
 
 
 def expected_text(body: str, line_number: int) -> str:
@@ -71,17 +71,17 @@
 
 
 @dataclass
-class Pace:
+class WorkerSpeed:
     """How fast a worker is, and whether it lets running jobs end before it loads."""
 
-    prefill_micros: int = PREFILL_MICROS_A_TOKEN
+    prefill_micros: int = PREFILL_MICROS_PER_TOKEN
     line_micros: int = LINE_MICROS
     long_line_micros: int = LINE_MICROS
     load_micros: int = LOAD_MICROS
-    drains_itself: bool = True
+    drains_before_load: bool = True
 
 
-class EventLog:
+class CacheEventLog:
     """Reports of kept parts by life and sequence; a reader too far behind gets the whole list."""
 
     def __init__(self, life: str) -> None:
@@ -95,17 +95,17 @@
         self.events.append((self.sequence, kind, key))
         del self.events[:-EVENT_LIMIT]
 
-    def read(self, life: str, after: int, held_keys: list[str]) -> dict[str, Any]:
+    def read(self, life: str, after: int, cached_keys: list[str]) -> dict[str, Any]:
         is_whole = life != self.life or after > self.sequence or (bool(self.events) and after + 1 < self.events[0][0])
-        news = [] if is_whole else [e for e in self.events if e[0] > after]
-        kept = held_keys if is_whole else [k for _, kind, k in news if kind == "kept"]
+        new_cache_events = [] if is_whole else [e for e in self.events if e[0] > after]
+        kept = cached_keys if is_whole else [k for _, kind, k in new_cache_events if kind == "kept"]
         return {
             "life": self.life,
             "sequence": self.sequence,
             "whole": is_whole,
             "kept": kept,
-            "dropped": [k for _, kind, k in news if kind == "dropped"],
-            "changed": [k for _, kind, k in news if kind == "changed"],
+            "dropped": [k for _, kind, k in new_cache_events if kind == "dropped"],
+            "changed": [k for _, kind, k in new_cache_events if kind == "changed"],
         }
 
 
@@ -114,24 +114,24 @@
         self,
         clock: Clock,
         chance: random.Random,
-        link: FetchLink,
+        link: CacheFetcher,
         watch: Callable[[RunRecord], None] = lambda record: None,
     ) -> None:
         self.clock = clock
         self.link = link
         self.watch = watch
-        self.log = EventLog(chance.randbytes(8).hex())
+        self.log = CacheEventLog(chance.randbytes(8).hex())
         self.loaded_model = ""
         self.loading_model = ""
         self.load_count = 0
         self.highest_fence = 0
         self.commands: list[tuple[int, str, bool]] = []
-        self.cache: OrderedDict[str, Kept] = OrderedDict()
+        self.cache: OrderedDict[str, CachedPart] = OrderedDict()
         self.running_count = 0
         self.prefill_free_at = 0
         self.runs: list[RunRecord] = []
         self.cut_after_lines: int | None = None
-        self.pace = Pace()
+        self.pace = WorkerSpeed()
         self.load_fault = ""
 
     async def run(self, request: dict[str, Any], upstream_id: str) -> AsyncGenerator[dict[str, Any], None]:
@@ -153,7 +153,7 @@
     ) -> AsyncGenerator[dict[str, Any], None]:
         prefix, salt, load_count = request["prefix"], request["cache_salt"], self.load_count
         fetch_micros, fetch_tokens = await self._fetch(request, prefix)
-        reused_count = self._longest_held(prefix, salt)
+        reused_count = self._count_cached_parts(prefix, salt)
         for part in prefix[:reused_count]:
             kept = self.cache[part["key"]]
             record.reused_tokens += int(part["tokens"])
@@ -177,7 +177,7 @@
             raise
         for part in prefix[reused_count:]:
             if part["key"]:
-                await self._keep(part["key"], Kept(self.loaded_model, salt, record.tenant, int(part["tokens"])))
+                await self._keep(part["key"], CachedPart(self.loaded_model, salt, record.tenant, int(part["tokens"])))
         line_count = expected_lines(request["prompt"])
         line_micros = self.pace.line_micros if line_count < LINE_COUNT else self.pace.long_line_micros
         for line_number in range(line_count):
@@ -222,7 +222,7 @@
             await self._keep(part["key"], kept)
         return self.clock.now() - start_micros, token_count
 
-    def _longest_held(self, prefix: list[dict[str, Any]], salt: str) -> int:
+    def _count_cached_parts(self, prefix: list[dict[str, Any]], salt: str) -> int:
         for position, part in enumerate(prefix):
             kept = self.cache.get(part["key"]) if part["key"] else None
             if kept is None or kept.salt != salt:
@@ -230,20 +230,20 @@
             self.cache.move_to_end(part["key"])
         return len(prefix)
 
-    async def _keep(self, key: str, kept: Kept) -> None:
+    async def _keep(self, key: str, kept: CachedPart) -> None:
         self.cache[key] = kept
         self.log.tell("kept", key)
-        while len(self.cache) > CACHE_KEYS:
-            gone_key, _ = self.cache.popitem(last=False)
-            self.log.tell("dropped", gone_key)
-        await self.link.keep_in_store(key, kept)
+        while len(self.cache) > CACHE_KEY_LIMIT:
+            evicted_key, _ = self.cache.popitem(last=False)
+            self.log.tell("dropped", evicted_key)
+        await self.link.write_to_store(key, kept)
 
     async def claim(self, fence: int) -> dict[str, Any]:
         """A new holder shows its fence: from here on no older one commands."""
-        self._take_fence(fence, "")
+        self._accept_fence(fence, "")
         return {"life": self.log.life, "fence": self.highest_fence}
 
-    def _take_fence(self, fence: int, model: str) -> None:
+    def _accept_fence(self, fence: int, model: str) -> None:
         is_taken = fence >= self.highest_fence
         self.commands.append((fence, model, is_taken))
         if not is_taken:
@@ -252,7 +252,7 @@
 
     async def load(self, fence: int, model: str) -> dict[str, Any]:
         """Drains, loads, clears and confirms; an older fence is rejected."""
-        self._take_fence(fence, model)
+        self._accept_fence(fence, model)
         while self.loading_model:
             await rest(self.clock, 20 * MILLI)
         if fence < self.highest_fence:
@@ -260,7 +260,7 @@
         if self.loaded_model != model:
             self.loading_model = model
             try:
-                while self.running_count and self.pace.drains_itself:
+                while self.running_count and self.pace.drains_before_load:
                     await rest(self.clock, 20 * MILLI)
                 await rest(self.clock, self.pace.load_micros)
                 while self.load_fault == "hangs":
@@ -295,15 +295,15 @@
     """The shared store of kept parts: it lists keys and checks none."""
 
     def __init__(self, chance: random.Random) -> None:
-        self.log = EventLog(chance.randbytes(8).hex())
-        self.kept: OrderedDict[str, Kept] = OrderedDict()
+        self.log = CacheEventLog(chance.randbytes(8).hex())
+        self.kept: OrderedDict[str, CachedPart] = OrderedDict()
 
-    def put(self, key: str, kept: Kept) -> None:
+    def put(self, key: str, kept: CachedPart) -> None:
         if key not in self.kept:
             self.log.tell("kept", key)
         self.kept[key] = kept
 
-    def get(self, key: str) -> Kept | None:
+    def get(self, key: str) -> CachedPart | None:
         return self.kept.get(key)
 
     def events(self, life: str, after: int) -> dict[str, Any]:
@@ -333,4 +333,4 @@
         yield {"id": f"cmpl-{upstream_id}", "choices": [], "usage": {"completion_tokens": line_count}}
 
 
-FETCH_MICROS_A_TOKEN = 20
+FETCH_MICROS_PER_TOKEN = 20
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -32,7 +32,7 @@
 from pearhead.rpc.wire_pb2 import AppendResult, DigestResult, Entry, LogRecord, Mark, Member, Members, VoteResult
 from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.simulator.loop import VirtualLoop
+from pearhead.testbed.simulator.virtual_loop import VirtualLoop
 
 AnyT = TypeVar("AnyT")
 STEP_COUNT = 220
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -120,7 +120,7 @@
 
     async def _call(self, name: str, command: Command) -> Result[Any, str]:
         machine, core = self.fleet.world.machine(name), self.fleet.cores[name]
-        return await self.fleet.world.call_into(machine, "outside", lambda: core.execute(command), CALL_MICROS)
+        return await self.fleet.world.run_on_machine(machine, "outside", lambda: core.execute(command), CALL_MICROS)
 
     async def _watch_leaders(self) -> None:
         while True:
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -20,7 +20,7 @@
 from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import BumpPart, Command, PurgeNote, Record
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.simulator.world import SimNet, World, pause, run_virtual
+from pearhead.testbed.simulator.world import SimNetwork, World, pause, run_in_virtual_time
 
 OWNER, LINE, PART, KEY = "tenant:t", "l", 7, "a key of part 7"
 LIFETIME_MICROS = 30 * SECOND
@@ -78,7 +78,7 @@
         machine = world.machine(name)
         machine.boot()
         self.machine = machine
-        net = SimNet(machine, f"{name}:1")
+        net = SimNetwork(machine, f"{name}:1")
         courier = RpcEndpoint(name, f"{name}:1", net, machine)
         record = Record(identity=name, address=f"{name}:1", role="router")
         directory = Directory(record, [CORE], courier, machine, machine.chance)
@@ -124,7 +124,7 @@
         self.core = OneCore()
         machine = world.machine("core")
         machine.boot()
-        courier = RpcEndpoint("core", CORE, SimNet(machine, CORE), machine)
+        courier = RpcEndpoint("core", CORE, SimNetwork(machine, CORE), machine)
         record = Record(identity="core", address=CORE, role="control_plane")
         directory = Directory(record, [], courier, machine, machine.chance)
         serializer = RevisionSequencer(self.core, courier, directory, machine, machine.crew, LIFETIME_MICROS)
@@ -147,7 +147,7 @@
         assert [n.revision() for n in fleet.knowing] == [1] * knowing
         return await play(fleet)
 
-    return run_virtual(seed, whole)
+    return run_in_virtual_time(seed, whole)
 
 
 class UnknownKeyTest(unittest.TestCase):
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -12,7 +12,7 @@
 from pearhead.testbed.simulator.history import CONFLICT, DONE, NO_ANSWER, Change
 from pearhead.testbed.simulator.mutations import MUTATIONS
 from pearhead.testbed.simulator.scenarios import SCENARIOS, build_fleet
-from pearhead.testbed.simulator.world import World, run_virtual
+from pearhead.testbed.simulator.world import World, run_in_virtual_time
 
 CHECKS = {"orders", "late answer", "not in step", "disturbed", "old configuration", "not led in time"}
 
@@ -23,7 +23,7 @@
         await day.fleet.up()
         await play(day)
 
-    run_virtual(1, play_all)
+    run_in_virtual_time(1, play_all)
 
 
 class ControlDaysTest(unittest.TestCase):
@@ -36,7 +36,7 @@
                 self.assertEqual(len(fleet.core_addresses), scenario.core_count, name)
                 self.assertEqual(fleet.node_count, 1, name)
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
 
     def test_each_check_has_a_broken_build_on_one_of_them(self) -> None:
         found = {mutation.wanted for mutation in MUTATIONS.values() if mutation.scenario in CONTROL_SCENARIOS}
@@ -64,12 +64,12 @@
         async def play(day: ControlDay) -> None:
             silent = day.followers()[0]
             day.fleet.freeze(silent)
-            await day._order_at(silent)
+            await day._request_at(silent)
             self.assertIn("late answer", day.fleet.ledger.breaches[0])
             for name in day.fleet.live_cores():
                 day.fleet.kill(name)
             start_micros = day.world.now()
-            await day.led("all were killed")
+            await day.expect_leader("all were killed")
             self.assertIn("not led in time", day.fleet.ledger.breaches[1])
             self.assertLess(day.world.now() - start_micros, 3 * SECOND)
 
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -10,7 +10,7 @@
 from pearhead.rpc.wire_pb2 import HelloResult, Record
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
-from pearhead.testbed.simulator.world import Machine, SimNet, World, pause, run_virtual
+from pearhead.testbed.simulator.world import Machine, SimNetwork, World, pause, run_in_virtual_time
 
 CORE_COUNT = 3
 ROUTER_COUNT = 63
@@ -72,7 +72,7 @@
         machine: Machine = self.world.machine(name)
         machine.boot()
         address = f"{name}:1"
-        courier = RpcEndpoint(name, address, SimNet(machine, address), machine)
+        courier = RpcEndpoint(name, address, SimNetwork(machine, address), machine)
         record = Record(identity=name, address=address, role=role)
         directory = Directory(record, self.seeds, courier, machine, random.Random(f"{self.world.seed} {name}"))
         machine.crew.start(directory.run())
@@ -103,4 +103,4 @@
                     known = {r.identity for directory in running for r in directory.members()}
                     self.assertEqual(known & gone, set(), "they are known to be gone themselves")
 
-                run_virtual(seed, play)
+                run_in_virtual_time(seed, play)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -175,7 +175,7 @@
         launcher.wait_ready()
 
         lost_name = self.leader() or "core-1"
-        reports.append(self.call_beside(120, 21_000, lambda: launcher.lose_core(lost_name)))
+        reports.append(self.call_beside(120, 21_000, lambda: launcher.destroy_core(lost_name)))
         new_address = launcher.plan["processes"][lost_name]["address"]
 
         def has_vote() -> bool:
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -64,7 +64,7 @@
 
     def test_a_sound_history_has_no_fault(self) -> None:
         self.assertEqual(History(sound_orders(), sound_reads()).find_faults(), [])
-        self.assertEqual(History(sound_orders(), sound_reads()).winners(), {1: "a", 2: "c"})
+        self.assertEqual(History(sound_orders(), sound_reads()).first_contents(), {1: "a", 2: "c"})
         self.assertEqual(History().find_faults(), [])
 
     def test_two_contents_under_one_number(self) -> None:
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -8,7 +8,7 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import KLIPPVIK
 from pearhead.testbed.simulator.fleet import SimFleet
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
 SEEDS = 6
 RECOVERY_MICROS = 4 * SECOND
@@ -76,5 +76,5 @@
                     return await self.course(fleet, world.chance.randrange(200 * MILLI, 4 * SECOND), calm_micros)
 
                 with self.subTest(seed=seed, calm_micros=calm_micros):
-                    acknowledged, held = run_virtual(seed, play)
+                    acknowledged, held = run_in_virtual_time(seed, play)
                     self.assertEqual(held, [acknowledged] * len(held))
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -42,7 +42,12 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.deployment import ACADEMY, tenant_key
-from pearhead.testbed.simulator.explore import Exploration, Explorer, StepClock, Story
+from pearhead.testbed.simulator.interleaving_explorer import (
+    ExplorationResult,
+    InterleavingExplorer,
+    StepClock,
+    TaskScenario,
+)
 from tests.test_front import NoLink, ScriptedCarrier, make_view
 
 STARTUP = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], holdMicros=3 * SECOND)
@@ -319,7 +324,7 @@
 
 
 class InterleavingsTest(unittest.TestCase):
-    def check(self, story: Story, mutate: Callable[[], Callable[[], None]], least_count: int) -> None:
+    def check(self, story: TaskScenario, mutate: Callable[[], Callable[[], None]], least_count: int) -> None:
         exploration = self.explore(story)
         self.assertEqual(exploration.faults, [])
         self.assertTrue(exploration.is_whole, "not every schedule was run")
@@ -335,8 +340,8 @@
             f"mutation found in {len(broken.faults)} of {broken.schedule_count}"
         )
 
-    def explore(self, story: Story) -> Exploration:
-        return Explorer().explore(story)
+    def explore(self, story: TaskScenario) -> ExplorationResult:
+        return InterleavingExplorer().explore(story)
 
     def swap(self, owner: Any, name: str, value: Any) -> Callable[[], Callable[[], None]]:
         def mutate() -> Callable[[], None]:
--- a/tests/test_kept_gatherer.py
+++ b/tests/test_kept_gatherer.py
@@ -11,7 +11,7 @@
 from pearhead.router.worker_control import PrefixCacheEvent
 from pearhead.rpc.wire_pb2 import KeptNote, KeptPart
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 from tests.workerfleet import LINE, WorkerFleet, busiest_second, sent_bytes
 
 
@@ -30,7 +30,7 @@
         assert not fleet.faults(), fleet.faults()
         return result
 
-    return run_virtual(seed, whole)
+    return run_in_virtual_time(seed, whole)
 
 
 class PackTest(unittest.TestCase):
@@ -160,10 +160,10 @@
             worker = fleet.platform.workers["w0"]
             for number in range(12):
                 # Every other note is lost; parts without a salt are nothing to tell.
-                fleet.world.cast_loss = float(number % 2)
+                fleet.world.datagram_loss = float(number % 2)
                 worker.events += [make_event(f"{number:08x}", 9), make_event("0", 9, salt="")]
                 await pause(fleet.world, 300 * MILLI)
-                fleet.world.cast_loss = 0.0
+                fleet.world.datagram_loss = 0.0
             await pause(fleet.world, 300 * MILLI)
             worker.events.append(make_event("last", 9))
             await pause(fleet.world, 300 * MILLI)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,7 @@
 from pearhead.router.stats_log import StatsLog, processor_micros
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.daemon import FORMAT_ERROR_TEXT, LineFormatter
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
 ROOT = Path(__file__).resolve().parent.parent
 LEVELS = ("debug", "info", "warning", "error", "exception")
@@ -146,4 +146,4 @@
             await pause(world, 70 * SECOND)
             self.assertEqual([log.line_count for log in logs], [3, 0])
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import KLIPPVIK
 from pearhead.testbed.simulator.fleet import SimFleet
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
 Play = Callable[[SimFleet], Awaitable[None]]
 
@@ -57,7 +57,7 @@
     async def play_all(world: World) -> None:
         await play(build_fleet(world, core_count))
 
-    run_virtual(seed, play_all)
+    run_in_virtual_time(seed, play_all)
 
 
 class MembersTest(unittest.TestCase):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -45,7 +45,7 @@
 from pearhead.runtime.loop_lag import LoopLag  # noqa: E402
 from pearhead.runtime.metrics import METRICS_PATH, build_registry, serve_metrics  # noqa: E402
 from pearhead.runtime.socketnet import FRESH_MICROS, QUEUE_LIMIT, OutgoingConnection, SocketNet, split_address  # noqa: E402
-from pearhead.testbed.simulator.world import World, pause, run_virtual  # noqa: E402
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time  # noqa: E402
 from tests.test_relay import Fleet as RelayFleet  # noqa: E402
 from tests.workerfleet import WorkerFleet  # noqa: E402
 
@@ -372,7 +372,7 @@
             self.assertGreater(figures["roster_list_requests_total"], 20)
             self.assertEqual(fleet.faults(), [])
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
 
     def test_who_leaves_is_logged_once_a_node_with_its_source(self) -> None:
         async def play(world: World) -> None:
@@ -393,7 +393,7 @@
             ages = [int(line.partition("age_ms=")[2]) for line in lines]
             self.assertLess(max(ages), 100)
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
 
     def test_a_list_in_trouble_is_logged_with_its_begin_and_its_end(self) -> None:
         async def play(world: World) -> None:
@@ -414,7 +414,7 @@
             ended = messages(caught, "Stops asking the list for the fleet.")
             self.assertEqual(len(begun), len(ended), "one asker before and one after")
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
 
 
 class RelayLogsTest(unittest.TestCase):
@@ -445,7 +445,7 @@
                 await pause(world, 5 * RELAY_PERIOD_MICROS)
             self.assertEqual([r.getMessage() for r in caught.records], ["router: Relays for its zone no more. zone=a"])
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
 
 
 class _CountedRequests:
--- a/tests/test_paced_cast.py
+++ b/tests/test_paced_cast.py
@@ -8,7 +8,7 @@
 from pearhead.router.paced_broadcaster import BATCH_BYTES, BATCH_PAUSE_MICROS, PacedBroadcaster
 from pearhead.rpc.rpc_endpoint import MAXIMUM_DATAGRAM_BODY_BYTES, RpcEndpoint
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
-from pearhead.testbed.simulator.world import World, run_virtual
+from pearhead.testbed.simulator.world import World, run_in_virtual_time
 
 ADDRESSES = ["a:1", "b:1", "c:1"]
 
@@ -64,4 +64,4 @@
             self.assertEqual([at for at, _ in batches], [n * BATCH_PAUSE_MICROS for n in range(3)])
             self.assertEqual(sorted(a for _, batch in batches for a in batch), sorted(addresses))
 
-        run_virtual(1, play)
+        run_in_virtual_time(1, play)
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -13,7 +13,7 @@
 from pearhead.router.worker_version_table import LOADING_NOTE_TTL_MICROS, WorkerVersionTable
 from pearhead.rpc.wire_pb2 import ModelNote
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 from tests.workerfleet import LINE, FleetNode, ModelWorker, WorkerFleet, find_turns
 
 
@@ -30,7 +30,7 @@
         assert not find_turns(fleet.platform.orders), find_turns(fleet.platform.orders)
         return result
 
-    return run_virtual(seed, whole)
+    return run_in_virtual_time(seed, whole)
 
 
 def versions(fleet: WorkerFleet) -> list[int]:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -11,7 +11,7 @@
 from pearhead.router.worker_control import Backend
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
 from pearhead.runtime.clock import MILLI, SECOND
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 from tests.workerfleet import SERVICE, FleetNode, WorkerFleet, asker_of, busiest_second, sent_bytes
 
 
@@ -30,7 +30,7 @@
         assert not fleet.faults(), fleet.faults()
         return result
 
-    return run_virtual(seed, whole)
+    return run_in_virtual_time(seed, whole)
 
 
 class RosterMergeTest(unittest.TestCase):
@@ -96,7 +96,7 @@
         async def play(fleet: WorkerFleet) -> None:
             listed = fleet.platform.listed
             listed["w1"] = dataclasses.replace(listed["w1"], is_leaving=True)
-            fleet.world.cast_loss = 0.3
+            fleet.world.datagram_loss = 0.3
             await pause(fleet.world, 2 * SECOND)
             known = [n.name for n in fleet.nodes if "w1" in n.names()]
             await pause(fleet.world, SECOND)
--- a/tests/test_roster_freshness.py
+++ b/tests/test_roster_freshness.py
@@ -10,7 +10,7 @@
 from pearhead.router.worker_control import Backend
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.uplink import PACKET_OVERHEAD_BYTES, Uplink
-from pearhead.testbed.simulator.world import World, pause, run_virtual
+from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 from tests.workerfleet import LINE, SERVICE, WorkerFleet, asker_of, busiest_second
 
 # The users' grown sites: 63 nodes behind 5 Mbit/s; what their links queue is not told, and reckoned from a trial.
@@ -39,7 +39,7 @@
         assert not fleet.faults(), fleet.faults()
         return result
 
-    return run_virtual(seed, whole)
+    return run_in_virtual_time(seed, whole)
 
 
 def add_worker(fleet: WorkerFleet, name: str) -> None:
@@ -162,7 +162,7 @@
         for loss in (0.3, 0.9):
 
             async def lossy(fleet: WorkerFleet, loss: float = loss) -> None:
-                fleet.world.cast_loss = loss
+                fleet.world.datagram_loss = loss
                 await play(fleet)
 
             run_fleet(9, lossy)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -6,7 +6,7 @@
 
 from pearhead.testbed.deployment import DEPLOYMENTS
 from pearhead.testbed.simulator.mutations import MUTATIONS
-from pearhead.testbed.simulator.runner import RunOrder, run_orders
+from pearhead.testbed.simulator.runner import RunSpec, run_specs
 from pearhead.testbed.simulator.scenarios import SCENARIOS
 from tests.known_red import KNOWN_RED_FILE, is_known, read_known_red
 
@@ -15,8 +15,8 @@
 
 class ScenariosTest(unittest.TestCase):
     def test_no_scenario_breaks_a_rule(self) -> None:
-        orders = [RunOrder(s, d, seed) for s in SCENARIOS for d in DEPLOYMENTS for seed in SEEDS]
-        results = run_orders(orders)
+        orders = [RunSpec(s, d, seed) for s in SCENARIOS for d in DEPLOYMENTS for seed in SEEDS]
+        results = run_specs(orders)
         known = read_known_red(KNOWN_RED_FILE.read_text() if KNOWN_RED_FILE.exists() else "")
         failures = []
         for result in results:
@@ -38,17 +38,17 @@
         read_known_red(KNOWN_RED_FILE.read_text())
 
     def test_each_checker_finds_a_broken_build(self) -> None:
-        orders = [RunOrder(m.scenario, "klippvik", 1, name, 3) for name, m in MUTATIONS.items()]
-        for result in run_orders(orders):
+        orders = [RunSpec(m.scenario, "klippvik", 1, name, 3) for name, m in MUTATIONS.items()]
+        for result in run_specs(orders):
             wanted = MUTATIONS[result.order.mutation].wanted
             found_checks = {breach.split(":")[0] for breach in result.breaches}
             with self.subTest(result.order.mutation):
                 self.assertIn(wanted, found_checks, result.breaches[:3])
 
     def test_a_seed_gives_the_same_run(self) -> None:
-        orders = [RunOrder("mixed-faults", "klippvik", 5, node_count=3)] * 2 + [
-            RunOrder("mixed-faults", "klippvik", 6, node_count=3)
+        orders = [RunSpec("mixed-faults", "klippvik", 5, node_count=3)] * 2 + [
+            RunSpec("mixed-faults", "klippvik", 6, node_count=3)
         ]
-        first, again, other = run_orders(orders)
+        first, again, other = run_specs(orders)
         self.assertEqual((first.run_hash, first.outcomes), (again.run_hash, again.outcomes))
         self.assertNotEqual(first.run_hash, other.run_hash)
--- a/tests/test_simulator_explore.py
+++ b/tests/test_simulator_explore.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from pearhead.testbed.simulator.explore import Explorer
+from pearhead.testbed.simulator.interleaving_explorer import InterleavingExplorer
 
 
 class ExplorerTest(unittest.TestCase):
@@ -21,7 +21,7 @@
             await asyncio.gather(add(), add())
             assert counter["value"] == 2, "lost"
 
-        exploration = Explorer().explore(story)
+        exploration = InterleavingExplorer().explore(story)
         self.assertTrue(exploration.is_whole)
         self.assertGreater(exploration.schedule_count, 5)
         self.assertGreater(len(exploration.faults), 0)
--- a/tests/test_term_links.py
+++ b/tests/test_term_links.py
@@ -19,7 +19,7 @@
 from pearhead.rpc.wire_pb2 import Member, Members, Record, Section, TermAsk, TermResult, ViewDelta
 from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import SECOND, Timer, rest
-from pearhead.testbed.simulator.loop import VirtualLoop
+from pearhead.testbed.simulator.virtual_loop import VirtualLoop
 
 CORES = ("c1:1", "c2:1", "c3:1")
 LINK = 100_000  # Bytes a second: what clients leave of a link of 5 Mbit/s when it is busy.
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -42,7 +42,7 @@
 )
 from pearhead.runtime.clock import MILLI, SECOND, rest
 from pearhead.runtime.invariants import InvariantCounters
-from pearhead.testbed.simulator.world import Machine, SimNet, World, void
+from pearhead.testbed.simulator.world import Machine, SimNetwork, World, discard_result
 
 CORE = "core:1"
 LINE = "line"
@@ -301,7 +301,7 @@
         return self.held
 
     def is_current(self) -> bool:
-        void(self.view)
+        discard_result(self.view)
         return self.machine.now() - self.current_at <= 2 * SECOND
 
     def core_addresses(self) -> list[str]:
@@ -347,7 +347,7 @@
         machine, address = self.machine, f"{name}:1"
         chance = random.Random(f"{fleet.world.seed} {name} {machine.life}")
         self.identity = chance.randbytes(12).hex()
-        self.courier = RpcEndpoint(self.identity, address, SimNet(machine, address), machine)
+        self.courier = RpcEndpoint(self.identity, address, SimNetwork(machine, address), machine)
         record = Record(identity=self.identity, address=address, role="router")
         self.directory = Directory(record, [CORE], self.courier, machine, chance)
         self.keeper = NodeKeeper(fleet.core, machine)
@@ -414,7 +414,7 @@
             self.platform.add(f"w{number}")
         machine = world.machine("core")
         machine.boot()
-        courier = RpcEndpoint("core", CORE, SimNet(machine, CORE), machine)
+        courier = RpcEndpoint("core", CORE, SimNetwork(machine, CORE), machine)
         seed = Directory(
             Record(identity="core", address=CORE, role="control_plane"), [], courier, machine, random.Random(1)
         )
