--- a/src/pearhead/testbed/caller.py
+++ b/src/pearhead/testbed/caller.py
@@ -64,11 +64,11 @@
     async def run(self, job_count: int, at_once: int, first_number: int = 0) -> CallerReport:
         numbers = iter(range(first_number, first_number + job_count))
 
-        async def call_on() -> None:
+        async def run_calls() -> None:
             for number in numbers:
                 await self._call(number)
 
-        await asyncio.gather(*(call_on() for _ in range(at_once)))
+        await asyncio.gather(*(run_calls() for _ in range(at_once)))
         return self.report
 
     async def _call(self, number: int) -> None:
--- a/src/pearhead/testbed/capacity/live_fleet.py
+++ b/src/pearhead/testbed/capacity/live_fleet.py
@@ -94,7 +94,7 @@
         self.processes = ProcessSet(Path(self.folder.name))
         host_count = -(-size.hollow_nodes // NODES_A_PROCESS)
         needed = 2 * (size.cores + size.real_nodes) + size.hollow_nodes + host_count + size.hollow_workers
-        ports = iter(FreePortAllocator().draw(needed))
+        ports = iter(FreePortAllocator().allocate(needed))
         self.core_addresses = [f"127.0.0.1:{next(ports)}" for _ in range(size.cores)]
         self.core_http = {f"core-{n + 1}": f"127.0.0.1:{next(ports)}" for n in range(size.cores)}
         self.node_addresses = [f"127.0.0.1:{next(ports)}" for _ in range(size.real_nodes)]
--- a/src/pearhead/testbed/launcher.py
+++ b/src/pearhead/testbed/launcher.py
@@ -27,7 +27,7 @@
 class FreePortAllocator:
     """Loopback ports free for both TCP and UDP; all are held until each has been drawn."""
 
-    def draw(self, port_count: int) -> list[int]:
+    def allocate(self, port_count: int) -> list[int]:
         held_sockets: list[socket.socket] = []
         port_numbers: list[int] = []
         while len(port_numbers) < port_count:
@@ -59,7 +59,7 @@
 
     def make_plan(self, deployment: Deployment, node_count: int, worker_count: int, core_count: int) -> None:
         self.folder_path.mkdir(parents=True, exist_ok=True)
-        port_numbers = iter(FreePortAllocator().draw(2 * (core_count + node_count) + worker_count + 2))
+        port_numbers = iter(FreePortAllocator().allocate(2 * (core_count + node_count) + worker_count + 2))
 
         def address() -> str:
             return f"127.0.0.1:{next(port_numbers)}"
@@ -205,7 +205,7 @@
         core = self.plan["processes"][name]
         shutil.rmtree(core["dataFolder"])
         core["address"], core["httpAddress"] = (
-            f"127.0.0.1:{port_number}" for port_number in FreePortAllocator().draw(2)
+            f"127.0.0.1:{port_number}" for port_number in FreePortAllocator().allocate(2)
         )
         core["seeds"] = [
             p["address"] for n, p in self.plan["processes"].items() if p["program"] == "control_plane" and n != name
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -26,10 +26,10 @@
 from pearhead.testbed.emulator.plan import SiteSize
 from pearhead.testbed.emulator.strikes import SiteStrikes
 from pearhead.testbed.launcher import Launcher, find_deployment
-from pearhead.testbed.simulator.measurements import MEASURES, run_measure, spread
-from pearhead.testbed.simulator.recording import compare_replay, plan, read_recording, replay
+from pearhead.testbed.simulator.measurements import MEASURES, run_measure, summary_rows
+from pearhead.testbed.simulator.recording import compare_replay, preview_description, read_recording, replay
 from pearhead.testbed.simulator.runner import RunSpec, run_isolated, run_spec, run_specs
-from pearhead.testbed.simulator.scaling_costs import measure_entry_scaling, run_nodes, table
+from pearhead.testbed.simulator.scaling_costs import markdown_table, measure_entry_scaling, measure_node_scaling
 from pearhead.testbed.simulator.scenarios import SCENARIOS
 from pearhead.testbed.simulator.sweep import Sweep, run_as_completed
 from pearhead.testbed.soak.run import soak
@@ -226,7 +226,7 @@
 
     def plan(self, recording: str, description: str) -> None:
         """Tells what a description would do with a recorded load, before it is applied."""
-        print("\n".join(plan(read_recording(recording), json.loads(Path(description).read_text()))))
+        print("\n".join(preview_description(read_recording(recording), json.loads(Path(description).read_text()))))
 
     def measure(self, name: str = "all", deployment: str = "all", seeds: int = 5, nodes: int = 0) -> None:
         """Prints a table of a measurement: mean, least and most over seeds."""
@@ -236,14 +236,14 @@
                 rows = run_isolated(run_measure, orders)
                 print(f"| {measure_name}, {deployment_name}, {seeds} seeds | mean | least | most |")
                 print("| --- | --- | --- | --- |")
-                print("\n".join(spread(rows)))
+                print("\n".join(summary_rows(rows)))
                 print()
 
     def scale(self, nodes: str = "12,50,100,200", entries: str = "10,100,1000,10000") -> None:
         """Prints what a fleet costs by its size, and a description by its entries."""
-        for run_row, sizes_text in ((run_nodes, nodes), (measure_entry_scaling, entries)):
+        for run_row, sizes_text in ((measure_node_scaling, nodes), (measure_entry_scaling, entries)):
             sizes = [int(x) for x in (sizes_text.split(",") if isinstance(sizes_text, str) else sizes_text)]
-            print("\n".join(table(run_isolated(run_row, sizes))))
+            print("\n".join(markdown_table(run_isolated(run_row, sizes))))
             print()
 
     def scale_run(self, axis: str, sizes: str = "", kept: str = "", plot: str = "") -> None:
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -40,11 +40,11 @@
 
 
 def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
-    def keep(prepare: MutationPatch) -> MutationPatch:
+    def register(prepare: MutationPatch) -> MutationPatch:
         CONTROL_MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
         return prepare
 
-    return keep
+    return register
 
 
 @mutation("operators-contend", "orders")
@@ -95,7 +95,7 @@
         core.start = start  # type: ignore[method-assign]
 
     vars(replication)["UNHEARD_MICROS"] = UNBOUNDED_MICROS
-    fleet.build_core = change
+    fleet.core_patch = change
 
 
 @mutation("leader-cut-off", "late answer")
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -16,7 +16,7 @@
 NODE_COUNT = 1
 WORKER_COUNT = 2
 PARTITION_MICROS = 20 * SECOND
-ANSWER_MICROS = 1_100 * MILLI
+ANSWER_LIMIT_MICROS = 1_100 * MILLI
 LONG_REQUEST_TIMEOUT_MICROS = 6 * SECOND
 CATCH_UP_LIMIT_MICROS = 2 * SECOND
 ELECTION_LIMIT_MICROS = 2 * SECOND
@@ -29,11 +29,11 @@
 LOST_AFTER_MICROS = STABILIZATION_MICROS + SECOND
 DELAY_AFTER_PLANNED_MICROS = 15 * SECOND
 LONG_PAUSE_MICROS = 3 * SECOND
-ROUNDS = 3
+LOSS_ROUNDS = 3
 FOLLOWING_CHANGE_COUNT = 258
 DIVERGENT_LOG_ROUNDS = 3
 
-ControlScenarioBody = Callable[["ControlDay"], Awaitable[None]]
+ControlScenarioBody = Callable[["ControlScenarioRun"], Awaitable[None]]
 
 
 @dataclass(frozen=True)
@@ -43,10 +43,10 @@
     digest_every: int
 
     async def run(self, fleet: SimFleet) -> None:
-        day = ControlDay(fleet)
-        day.begin()
-        await self.play(day)
-        await day.end()
+        scenario_run = ControlScenarioRun(fleet)
+        scenario_run.begin()
+        await self.play(scenario_run)
+        await scenario_run.end()
 
 
 CONTROL_SCENARIOS: dict[str, ControlScenario] = {}
@@ -55,15 +55,15 @@
 def control_scenario(
     core_count: int = 3, digest_every: int = 400
 ) -> Callable[[ControlScenarioBody], ControlScenarioBody]:
-    def keep(play: ControlScenarioBody) -> ControlScenarioBody:
+    def register(play: ControlScenarioBody) -> ControlScenarioBody:
         name = play.__name__.replace("_", "-")
         CONTROL_SCENARIOS[name] = ControlScenario(play, core_count, digest_every)
         return play
 
-    return keep
+    return register
 
 
-class ControlDay:
+class ControlScenarioRun:
     """One fleet with its operators, and the checks that these scenarios share."""
 
     def __init__(self, fleet: SimFleet) -> None:
@@ -112,7 +112,7 @@
         while not self.fleet.leader() and self.world.now() - start_micros <= ELECTION_LIMIT_MICROS:
             await pause(self.world, 20 * MILLI)
         if not self.fleet.leader():
-            self.breach("not led in time", f"no leader {LED_MICROS // SECOND} s after {what}")
+            self.breach("not led in time", f"no leader {ELECTION_LIMIT_MICROS // SECOND} s after {what}")
         elif await self.operators.submit_next_change(ELECTION_LIMIT_MICROS) is None:
             self.breach("not led in time", f"no order was acknowledged after {what}")
 
@@ -130,7 +130,7 @@
         """For 20 s with the node beside it, and a change right before, during and after."""
         others = [name for name in sorted(self.fleet.cores) if name != victim]
         cut_names = [victim, *sorted(self.fleet.nodes)]
-        self.world.note(f"cuts {victim} off: comes in {comes_in}, goes out {goes_out}")
+        self.world.note(f"cuts {victim} off: comes in {is_inbound_open}, goes out {is_outbound_open}")
         before = self.world.loop.create_task(self.operators.submit_next_change())
         await pause(self.world, self.world.chance.randrange(8 * MILLI))
         pairs: list[tuple[str, str]] = []
@@ -155,10 +155,10 @@
         """Whether it runs or not, the operator is told soon."""
         content = self.operators.next_content()
         change = Change(self.operators.number, self.operators.number + 1, content, is_marked=False)
-        order = await self.operators.ask(change, victim, LONG_REQUEST_TIMEOUT_MICROS)
-        took_micros = order.end_micros - order.start_micros
-        if order.status == NO_ANSWER or took_micros > ANSWER_MICROS:
-            self.breach("late answer", f"{victim} told {order.status} after {took_micros / SECOND:.2f} s")
+        attempt = await self.operators.ask(change, victim, LONG_REQUEST_TIMEOUT_MICROS)
+        took_micros = attempt.end_micros - attempt.start_micros
+        if attempt.status == NO_ANSWER or took_micros > ANSWER_LIMIT_MICROS:
+            self.breach("late answer", f"{victim} told {attempt.status} after {took_micros / SECOND:.2f} s")
 
     async def _reconnect(self, victim: str, pairs: list[tuple[str, str]]) -> None:
         leader = self.fleet.leader()
@@ -166,7 +166,7 @@
         commit_index = self.fleet.cores[leader].raft.commit_index if leader else 0
         if leader in ("", victim):
             self.breach("not led in time", f"{leader or 'nobody'} leads while {victim} is cut off")
-        self.fleet.mend(pairs)
+        self.fleet.restore_links(pairs)
         heal_micros = self.world.now()
         raft = self.fleet.cores[victim].raft
         while raft.commit_index < commit_index and self.world.now() - heal_micros <= CATCH_UP_LIMIT_MICROS:
@@ -216,7 +216,7 @@
         for _ in names:
             self.add_replacement_core()
 
-    async def wipe(self, names: list[str]) -> None:
+    async def erase_disks(self, names: list[str]) -> None:
         for name in names:
             self.fleet.kill(name, loses_power=True)
             self.world.machine(name).disk.empty()
@@ -239,190 +239,198 @@
 
 
 @control_scenario()
-async def follower_cut_off(day: ControlDay) -> None:
-    await day.isolate_machines(day.world.chance.choice(day.followers()), is_inbound_open=False, is_outbound_open=False)
+async def follower_cut_off(scenario_run: ControlScenarioRun) -> None:
+    await scenario_run.isolate_machines(
+        scenario_run.world.chance.choice(scenario_run.followers()), is_inbound_open=False, is_outbound_open=False
+    )
 
 
 @control_scenario()
-async def leader_cut_off(day: ControlDay) -> None:
-    await day.isolate_machines(day.fleet.leader(), is_inbound_open=False, is_outbound_open=False)
+async def leader_cut_off(scenario_run: ControlScenarioRun) -> None:
+    await scenario_run.isolate_machines(scenario_run.fleet.leader(), is_inbound_open=False, is_outbound_open=False)
 
 
 @control_scenario()
-async def core_hears_nobody(day: ControlDay) -> None:
+async def core_hears_nobody(scenario_run: ControlScenarioRun) -> None:
     """The leader as often as not."""
-    victim = day.world.chance.choice([day.fleet.leader(), day.followers()[0]])
-    await day.isolate_machines(victim, is_inbound_open=False, is_outbound_open=True)
+    victim = scenario_run.world.chance.choice([scenario_run.fleet.leader(), scenario_run.followers()[0]])
+    await scenario_run.isolate_machines(victim, is_inbound_open=False, is_outbound_open=True)
 
 
 @control_scenario()
-async def core_heard_by_nobody(day: ControlDay) -> None:
-    victim = day.world.chance.choice([day.fleet.leader(), day.followers()[0]])
-    await day.isolate_machines(victim, is_inbound_open=True, is_outbound_open=False)
+async def core_heard_by_nobody(scenario_run: ControlScenarioRun) -> None:
+    victim = scenario_run.world.chance.choice([scenario_run.fleet.leader(), scenario_run.followers()[0]])
+    await scenario_run.isolate_machines(victim, is_inbound_open=True, is_outbound_open=False)
 
 
 # ---- point 2: one number, one winner ---------------------------------------------------------------------
 
 
-async def contend_through_faults(day: ControlDay, round_count: int) -> None:
+async def contend_through_faults(scenario_run: ControlScenarioRun, round_count: int) -> None:
     """Eight at once, again and again: through a new leader, a restart of all, and snapshots taken."""
-    operators, chance = day.operators, day.world.chance
+    operators, chance = scenario_run.operators, scenario_run.world.chance
     first = await operators.submit_next_change()
     for number in range(round_count):
-        round_task = day.world.loop.create_task(operators.submit_conflicting_changes())
-        await pause(day.world, chance.randrange(12 * MILLI))
-        if number == 2 and day.fleet.leader():
-            gone = day.fleet.leader()
-            day.fleet.kill(gone, loses_power=True)
-            await pause(day.world, 2 * SECOND)
-            day.fleet.start(gone)
+        round_task = scenario_run.world.loop.create_task(operators.submit_conflicting_changes())
+        await pause(scenario_run.world, chance.randrange(12 * MILLI))
+        if number == 2 and scenario_run.fleet.leader():
+            gone = scenario_run.fleet.leader()
+            scenario_run.fleet.kill(gone, loses_power=True)
+            await pause(scenario_run.world, 2 * SECOND)
+            scenario_run.fleet.start(gone)
         if number == 4:
-            await day.lose_power_everywhere()
+            await scenario_run.lose_power_everywhere()
         await round_task
     taken = operators.taken()
     if first is None or len(taken) < round_count:
-        day.breach("not led in time", f"only {len(taken)} of {round_count} rounds had a winner")
-    if not all(core.raft.log.base_index for core in day.fleet.cores.values()):
-        day.breach("not led in time", "no log was ever cut")
+        scenario_run.breach("not led in time", f"only {len(taken)} of {round_count} rounds had a winner")
+    if not all(core.raft.log.base_index for core in scenario_run.fleet.cores.values()):
+        scenario_run.breach("not led in time", "no log was ever cut")
     for change in taken:
         await operators.resend_to_all_cores(change)
 
 
 @control_scenario(digest_every=10)
-async def operators_contend(day: ControlDay) -> None:
-    await contend_through_faults(day, 8)
+async def operators_contend(scenario_run: ControlScenarioRun) -> None:
+    await contend_through_faults(scenario_run, 8)
 
 
 @control_scenario(core_count=5, digest_every=10)
-async def operators_contend_at_five_cores(day: ControlDay) -> None:
-    await contend_through_faults(day, 5)
+async def operators_contend_at_five_cores(scenario_run: ControlScenarioRun) -> None:
+    await contend_through_faults(scenario_run, 5)
 
 
 @control_scenario(digest_every=40)
-async def repeats_after_hundreds_of_changes(day: ControlDay) -> None:
+async def repeats_after_hundreds_of_changes(scenario_run: ControlScenarioRun) -> None:
     """The first ones are sent again to each member, also after a restart of all."""
-    first = await day.operators.submit_next_change()
-    others = [await day.operators.submit_next_change(is_marked=False) for _ in range(FOLLOWING_CHANGE_COUNT)]
+    first = await scenario_run.operators.submit_next_change()
+    others = [await scenario_run.operators.submit_next_change(is_marked=False) for _ in range(FOLLOWING_CHANGE_COUNT)]
     for change in [first, others[0], others[-1]]:
         if change is None:
-            day.breach("not led in time", "a change was not acknowledged")
+            scenario_run.breach("not led in time", "a change was not acknowledged")
             return
-        await day.operators.resend_to_all_cores(change)
-    await day.lose_power_everywhere()
+        await scenario_run.operators.resend_to_all_cores(change)
+    await scenario_run.lose_power_everywhere()
     if first is not None:
-        await day.operators.resend_to_all_cores(first)
+        await scenario_run.operators.resend_to_all_cores(first)
 
 
 # ---- point 3: loss upon loss -------------------------------------------------------------------------------
 
 
-async def destroy_after_planned(day: ControlDay, planned_count: int, loss_count: int) -> None:
+async def destroy_after_planned(scenario_run: ControlScenarioRun, planned_count: int, loss_count: int) -> None:
     """Planned replacements, losses with replacements 15 s later, wiped disks as soon as these are back, then power."""
     for _ in range(planned_count):
-        await day.replace_as_planned(day.world.chance.choice(sorted(day.fleet.cores)))
-    await pause(day.world, DELAY_AFTER_PLANNED_MICROS - STABILIZATION_MICROS)
-    await day.destroy_and_replace(day.world.chance.sample(sorted(day.fleet.cores), loss_count), SECOND)
-    await pause(day.world, STABILIZATION_MICROS)
-    await day.wipe(day.world.chance.sample(sorted(day.fleet.cores), loss_count))
-    await day.expect_leader("a wiped disk after a loss after a planned replacement")
-    await pause(day.world, STABILIZATION_MICROS)
-    await day.expect_leader("a wiped disk")
-    await day.lose_power_everywhere()
+        await scenario_run.replace_as_planned(scenario_run.world.chance.choice(sorted(scenario_run.fleet.cores)))
+    await pause(scenario_run.world, DELAY_AFTER_PLANNED_MICROS - STABILIZATION_MICROS)
+    await scenario_run.destroy_and_replace(
+        scenario_run.world.chance.sample(sorted(scenario_run.fleet.cores), loss_count), SECOND
+    )
+    await pause(scenario_run.world, STABILIZATION_MICROS)
+    await scenario_run.erase_disks(scenario_run.world.chance.sample(sorted(scenario_run.fleet.cores), loss_count))
+    await scenario_run.expect_leader("a wiped disk after a loss after a planned replacement")
+    await pause(scenario_run.world, STABILIZATION_MICROS)
+    await scenario_run.expect_leader("a wiped disk")
+    await scenario_run.lose_power_everywhere()
 
 
 @control_scenario()
-async def losses_after_a_planned_replacement(day: ControlDay) -> None:
-    await destroy_after_planned(day, 1, 1)
+async def losses_after_a_planned_replacement(scenario_run: ControlScenarioRun) -> None:
+    await destroy_after_planned(scenario_run, 1, 1)
 
 
 @control_scenario(core_count=5)
-async def losses_after_planned_replacements_at_five_cores(day: ControlDay) -> None:
-    await destroy_after_planned(day, 2, 2)
+async def losses_after_planned_replacements_at_five_cores(scenario_run: ControlScenarioRun) -> None:
+    await destroy_after_planned(scenario_run, 2, 2)
 
 
-async def destroy_repeatedly(day: ControlDay, loss_count: int) -> None:
+async def destroy_repeatedly(scenario_run: ControlScenarioRun, loss_count: int) -> None:
     """The next one goes at the moment when its forerunner's successor counts as back."""
-    for _ in range(ROUNDS):
-        names = day.world.chance.sample(sorted(day.fleet.cores), loss_count)
-        pause_micros = day.world.chance.choice([0, SECOND, 2 * SECOND, LONG_PAUSE_MICROS])
-        await day.destroy_and_replace(names, pause_micros)
+    for _ in range(LOSS_ROUNDS):
+        names = scenario_run.world.chance.sample(sorted(scenario_run.fleet.cores), loss_count)
+        pause_micros = scenario_run.world.chance.choice([0, SECOND, 2 * SECOND, LONG_PAUSE_MICROS])
+        await scenario_run.destroy_and_replace(names, pause_micros)
         loss_description = f"{names} were lost, and others came {pause_micros / SECOND:.0f} s later"
-        start_micros = day.world.now()
-        await day.expect_leader(loss_description)
-        await pause(day.world, max(0, start_micros + STABILIZATION_MICROS - day.world.now()))
-    await day.expect_leader("the last loss")
-    await day.lose_power_everywhere()
+        start_micros = scenario_run.world.now()
+        await scenario_run.expect_leader(loss_description)
+        await pause(scenario_run.world, max(0, start_micros + STABILIZATION_MICROS - scenario_run.world.now()))
+    await scenario_run.expect_leader("the last loss")
+    await scenario_run.lose_power_everywhere()
 
 
 @control_scenario()
-async def losses_as_soon_as_settled(day: ControlDay) -> None:
-    await destroy_repeatedly(day, 1)
+async def losses_as_soon_as_settled(scenario_run: ControlScenarioRun) -> None:
+    await destroy_repeatedly(scenario_run, 1)
 
 
 @control_scenario(core_count=5)
-async def two_losses_at_five_cores_as_soon_as_settled(day: ControlDay) -> None:
-    await destroy_repeatedly(day, 2)
+async def two_losses_at_five_cores_as_soon_as_settled(scenario_run: ControlScenarioRun) -> None:
+    await destroy_repeatedly(scenario_run, 2)
 
 
 @control_scenario()
-async def leaders_lost_or_frozen_and_replaced(day: ControlDay) -> None:
+async def leaders_lost_or_frozen_and_replaced(scenario_run: ControlScenarioRun) -> None:
     """Each time the leader: gone, or frozen and gone for good only when its successor counts as back."""
-    for number in range(ROUNDS):
-        leader = day.fleet.leader()
+    for number in range(LOSS_ROUNDS):
+        leader = scenario_run.fleet.leader()
         if not leader:
-            day.breach("not led in time", f"nobody leads in round {number}")
+            scenario_run.breach("not led in time", f"nobody leads in round {number}")
             return
         if number % 2 == 0:
-            day.fleet.freeze(leader)
-            await pause(day.world, day.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
-            day.add_replacement_core()
-            await pause(day.world, STABILIZATION_MICROS)
-            day.destroy_machine(leader)
+            scenario_run.fleet.freeze(leader)
+            await pause(scenario_run.world, scenario_run.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
+            scenario_run.add_replacement_core()
+            await pause(scenario_run.world, STABILIZATION_MICROS)
+            scenario_run.destroy_machine(leader)
         else:
-            await day.destroy_and_replace([leader], day.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
-            await pause(day.world, STABILIZATION_MICROS)
-        await day.expect_leader(f"the leader {leader} was replaced")
-    await day.lose_power_everywhere()
+            await scenario_run.destroy_and_replace(
+                [leader], scenario_run.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS])
+            )
+            await pause(scenario_run.world, STABILIZATION_MICROS)
+        await scenario_run.expect_leader(f"the leader {leader} was replaced")
+    await scenario_run.lose_power_everywhere()
 
 
 @control_scenario()
-async def survivors_of_unlike_logs(day: ControlDay) -> None:
+async def survivors_of_unlike_logs(scenario_run: ControlScenarioRun) -> None:
     """The leader goes, and of the others only one holds the last entry: it must win soon, time after time."""
     for _ in range(DIVERGENT_LOG_ROUNDS):
-        leader = day.fleet.leader()
+        leader = scenario_run.fleet.leader()
         if not leader:
-            day.breach("not led in time", "nobody leads at the start of a round")
+            scenario_run.breach("not led in time", "nobody leads at the start of a round")
             return
-        behind = day.world.chance.choice(day.followers())
-        pairs = day.fleet.cut([behind], [leader])
-        await day.operators.submit_next_change(ELECTION_LIMIT_MICROS, is_marked=False)
-        day.fleet.kill(leader, loses_power=True)
-        day.fleet.mend(pairs)
-        await day.expect_leader(f"{leader} went, and {behind} lacks its last entry")
-        day.fleet.start(leader)
-        await pause(day.world, SECOND)
+        behind = scenario_run.world.chance.choice(scenario_run.followers())
+        pairs = scenario_run.fleet.cut([behind], [leader])
+        await scenario_run.operators.submit_next_change(ELECTION_LIMIT_MICROS, is_marked=False)
+        scenario_run.fleet.kill(leader, loses_power=True)
+        scenario_run.fleet.restore_links(pairs)
+        await scenario_run.expect_leader(f"{leader} went, and {behind} lacks its last entry")
+        scenario_run.fleet.start(leader)
+        await pause(scenario_run.world, SECOND)
 
 
 @control_scenario(core_count=5)
-async def promotion_known_to_one_alone(day: ControlDay) -> None:
+async def promotion_known_to_one_alone(scenario_run: ControlScenarioRun) -> None:
     """A successor has the vote, and none but itself knows of it when the two others go that do: three of five stand."""
-    leader = day.fleet.leader()
-    lost, behind, uninformed, other = day.followers()
-    day.destroy_machine(lost)
-    successor = day.add_replacement_core()
-    await pause(day.world, SECOND)
-    pairs = day.fleet.cut([behind], [name for name in sorted(day.fleet.cores) if name != behind])
-    raft = day.fleet.cores[leader].raft
+    leader = scenario_run.fleet.leader()
+    lost, behind, uninformed, other = scenario_run.followers()
+    scenario_run.destroy_machine(lost)
+    successor = scenario_run.add_replacement_core()
+    await pause(scenario_run.world, SECOND)
+    pairs = scenario_run.fleet.cut([behind], [name for name in sorted(scenario_run.fleet.cores) if name != behind])
+    raft = scenario_run.fleet.cores[leader].raft
 
     def is_ended() -> bool:
         membership = raft.membership()
-        return day.fleet.cores[successor].identity in membership.voters and not membership.is_joint
+        return scenario_run.fleet.cores[successor].identity in membership.voters and not membership.is_joint
 
-    await day.poll_until(is_ended)
+    await scenario_run.poll_until(is_ended)
     # The entry that ends the joint change is on its way, and does not come to this one.
-    pairs += day.fleet.cut([uninformed], [name for name in sorted(day.fleet.cores) if name != uninformed])
-    await day.poll_until(lambda: raft.commit_index >= raft.membership().index)
-    day.destroy_machine(leader)
-    day.destroy_machine(other)
-    day.fleet.mend(pairs)
-    await day.expect_leader(f"two went, and only {successor} knows that it votes")
+    pairs += scenario_run.fleet.cut(
+        [uninformed], [name for name in sorted(scenario_run.fleet.cores) if name != uninformed]
+    )
+    await scenario_run.poll_until(lambda: raft.commit_index >= raft.membership().index)
+    scenario_run.destroy_machine(leader)
+    scenario_run.destroy_machine(other)
+    scenario_run.fleet.restore_links(pairs)
+    await scenario_run.expect_leader(f"two went, and only {successor} knows that it votes")
--- a/src/pearhead/testbed/simulator/fault_log.py
+++ b/src/pearhead/testbed/simulator/fault_log.py
@@ -40,7 +40,7 @@
     def is_quiet(self, at_micros: int, quiet_period_micros: int) -> bool:
         return not any(at_micros - quiet_period_micros < event <= at_micros for event in self.event_micros)
 
-    def stands(self, name: str, at_micros: int) -> bool:
+    def is_healthy(self, name: str, at_micros: int) -> bool:
         broken, cuts = self._state(at_micros)
         isolated = sum(name in pair for pair in cuts) > len(self.machine_names) // 2
         return name not in broken and not isolated
--- a/src/pearhead/testbed/simulator/fault_schedule.py
+++ b/src/pearhead/testbed/simulator/fault_schedule.py
@@ -75,20 +75,21 @@
     kind: str
     at_micros: int
     fault_duration_micros: int
-    pick: int
+    target_index: int
     is_permanent: bool = False
 
     def text(self) -> str:
-        duration_text = "for good" if self.is_permanent else f"for {self.lasts_micros / SECOND:.1f} s"
-        return f"strike {self.number}: {self.kind} ({self.pick}) at {self.at_micros / SECOND:.1f} s {lasts}"
+        duration_text = "for good" if self.is_permanent else f"for {self.fault_duration_micros / SECOND:.1f} s"
+        start_text = f"{self.at_micros / SECOND:.1f} s"
+        return f"strike {self.number}: {self.kind} ({self.target_index}) at {start_text} {duration_text}"
 
 
 class SimFaultSchedule:
     """Draws strikes that overlap as they fall; core strikes wait for one another; the last one stays on."""
 
-    def draw(self, seed: int) -> list[SimFault]:
+    def generate(self, seed: int) -> list[SimFault]:
         chance = random.Random(f"strikes/{seed}")
-        strikes: list[SimFault] = []
+        sim_faults: list[SimFault] = []
         core_free_at = 0
         for number in range(SIM_FAULT_COUNT):
             is_core = chance.random() < 0.35
@@ -103,12 +104,12 @@
                 core_free_at = at_micros + (
                     12 * SECOND if kind == "core-replaced" else fault_duration_micros + 2 * SECOND
                 )
-            strikes.append(SimFault(number, kind, at_micros, fault_duration_micros, chance.randrange(1_000)))
-        last_micros = max(s.at_micros + s.fault_duration_micros for s in strikes) + chance.randrange(
+            sim_faults.append(SimFault(number, kind, at_micros, fault_duration_micros, chance.randrange(1_000)))
+        last_micros = max(s.at_micros + s.fault_duration_micros for s in sim_faults) + chance.randrange(
             SECOND, 16 * SECOND
         )
         last_micros = max(last_micros, core_free_at)
-        strikes.append(
+        sim_faults.append(
             SimFault(
                 SIM_FAULT_COUNT,
                 chance.choice(FINAL_FAULT_KINDS),
@@ -118,4 +119,4 @@
                 is_permanent=True,
             )
         )
-        return sorted(strikes, key=lambda s: (s.at_micros, s.number))
+        return sorted(sim_faults, key=lambda s: (s.at_micros, s.number))
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -20,7 +20,7 @@
 from pearhead.rpc.wire_pb2 import Command, CommandResult, PurgeNote, Worker
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import Deployment, build_description, generate_job, tenant_key
-from pearhead.testbed.simulator.ledger import JobTrace, Ledger, Send, WorkerCommand
+from pearhead.testbed.simulator.ledger import JobTrace, Ledger, SentJob, WorkerCommand
 from pearhead.testbed.simulator.simulated_clients import (
     BackEnd,
     BackEnds,
@@ -67,7 +67,7 @@
         self.cores: dict[str, CoreProcess] = {}
         self.nodes: dict[str, NodeProcess] = {}
         self.back_ends: BackEnds = {}
-        self.paces: dict[str, WorkerSpeed] = {}
+        self.worker_speeds: dict[str, WorkerSpeed] = {}
         self.startups: dict[str, StartupConfig] = {}
         self.detected_dead: set[str] = set()
         self.job_number = 0
@@ -83,7 +83,7 @@
         self.open_jobs: set[asyncio.Task[None]] = set()
         self.description_revision = 0
         self.node_patch: Callable[[NodeProcess], None] = lambda node: None
-        self.build_core: Callable[[CoreProcess], None] = lambda core: None
+        self.core_patch: Callable[[CoreProcess], None] = lambda core: None
         core_names = [f"core-{n + 1}" for n in range(deployment.core_count)]
         self.core_addresses = [f"{name}:1" for name in core_names]
         for name in core_names:
@@ -125,7 +125,7 @@
         core.crew = machine.crew
         self._record_bumps(core)
         self._record_grants(core)
-        self.build_core(core)
+        self.core_patch(core)
         self.cores[name] = core
 
         async def start() -> None:
@@ -165,7 +165,7 @@
         machine.boot()
         address = f"{name}:2"
 
-        def watch(record: RunRecord) -> None:
+        def build_recording(record: RunRecord) -> None:
             record.at_micros = machine.to_world_micros(record.at_micros)
             self.ledger.runs.append((name, record))
 
@@ -173,10 +173,12 @@
         if name == "store":
             model = StoreModel(machine.chance)
         elif name == "desk":
-            model = ApplicationModel(machine, watch)
+            model = ApplicationModel(machine, build_recording)
         else:
-            model = WorkerModel(machine, machine.chance, SimCacheFetcher(machine, self.back_ends, "store:2"), watch)
-            model.pace = self.paces.setdefault(name, self._random_worker_speed())
+            model = WorkerModel(
+                machine, machine.chance, SimCacheFetcher(machine, self.back_ends, "store:2"), build_recording
+            )
+            model.speed = self.worker_speeds.setdefault(name, self._random_worker_speed())
         self.back_ends[address] = BackEnd(machine, model)
         self.world.note(f"starts {name}")
 
@@ -200,7 +202,7 @@
         assert isinstance(model, WorkerModel)
         return model
 
-    def _act(self, kind: str, **more: Any) -> None:
+    def _record_action(self, kind: str, **more: Any) -> None:
         self.actions.append((self.world.now(), kind, more))
 
     def cut(self, first_names: list[str], second_names: list[str], both_ways: bool = True) -> list[tuple[str, str]]:
@@ -209,12 +211,12 @@
         pairs = sorted(self.world.cuts - before)
         for pair in pairs:
             self.fault_log.begin("cut", pair, self.world.now())
-        self._act("cut", pairs=[list(pair) for pair in pairs])
+        self._record_action("cut", pairs=[list(pair) for pair in pairs])
         return pairs
 
-    def mend(self, pairs: list[tuple[str, str]]) -> None:
+    def restore_links(self, pairs: list[tuple[str, str]]) -> None:
         """Heals only these, while other cuts stand."""
-        self._act("mend", pairs=[list(pair) for pair in pairs])
+        self._record_action("mend", pairs=[list(pair) for pair in pairs])
         self.world.note(f"mends {len(pairs)} links")
         for pair in pairs:
             self.fault_log.end("cut", pair, self.world.now())
@@ -238,13 +240,13 @@
         return all(worker_name in n.keeper.view.loads for name, n in self.nodes.items() if self._is_machine_alive(name))
 
     def heal(self) -> None:
-        self._act("heal")
+        self._record_action("heal")
         for pair in sorted(self.world.cuts):
             self.fault_log.end("cut", pair, self.world.now())
         self.world.heal()
 
     def start(self, name: str) -> None:
-        self._act("start", name=name)
+        self._record_action("start", name=name)
         self.detected_dead.discard(name)
         self.fault_log.end("dead", (name,), self.world.now())
         self.fault_log.end("frozen", (name,), self.world.now())
@@ -258,7 +260,7 @@
             self.start_back_end(name)
 
     def kill(self, name: str, loses_power: bool = False) -> None:
-        self._act("power" if loses_power else "kill", name=name)
+        self._record_action("power" if loses_power else "kill", name=name)
         self.world.note(f"{'cuts the power of' if loses_power else 'kills'} {name}")
         if self._is_machine_alive(name):
             self.fault_log.begin("dead", (name,), self.world.now())
@@ -283,25 +285,25 @@
         elif name.startswith("worker-"):
             await self.mark_leaving(name)
             await pause(self.world, 3 * SECOND)
-            await self.until(lambda: not self.worker(name).running_count, f"{name} is empty")
+            await self.wait_until(lambda: not self.worker(name).running_count, f"{name} is empty")
         self.kill(name)
 
     def freeze(self, name: str) -> None:
-        self._act("freeze", name=name)
+        self._record_action("freeze", name=name)
         self.world.note(f"freezes {name}")
         if not self.world.machine(name).is_frozen:
             self.fault_log.begin("frozen", (name,), self.world.now())
         self.world.machine(name).freeze()
 
     def wake(self, name: str) -> None:
-        self._act("wake", name=name)
+        self._record_action("wake", name=name)
         self.world.note(f"wakes {name}")
         self.fault_log.end("frozen", (name,), self.world.now())
         self.world.machine(name).wake()
 
     def set_disk(self, name: str, kind: str, is_fault_active: bool) -> None:
         """Stalls or fills a disk, or ends it."""
-        self.world.note(f"the disk of {name} is {kind if is_on else 'well again'}")
+        self.world.note(f"the disk of {name} is {kind if is_fault_active else 'well again'}")
         disk = self.world.machine(name).disk
         if kind == "stalled":
             disk.is_stalled = is_fault_active
@@ -371,7 +373,7 @@
             self.start(name)
         await self.set_workers()
         await self.apply(build_description(self.deployment))
-        await self.until(self._is_ready, "the fleet is up")
+        await self.wait_until(self._is_ready, "the fleet is up")
         self._update_machine_names()
         self.fault_log.intervals.clear()
         self.fault_log.event_micros.clear()
@@ -393,7 +395,7 @@
                 return False
         return True
 
-    async def until(
+    async def wait_until(
         self, is_reached: Callable[[], bool], what: str, limit_micros: int = CONDITION_TIMEOUT_MICROS
     ) -> None:
         end_micros = self.world.now() + limit_micros
@@ -537,10 +539,10 @@
         command = Command(transaction=self.new_transaction_id())
         command.weights.line, command.weights.weights = self.deployment.line, name
         command.weights.base_revision = base
-        self._act("weights", weights=name)
+        self._record_action("weights", weights=name)
         result = await self.retry_until_decided(command)
         if result.status == "done":
-            self.ledger.namings.append((json.loads(result.body)["revision"], self.world.now(), name))
+            self.ledger.weights_changes.append((json.loads(result.body)["revision"], self.world.now(), name))
         self.world.note(f"weights {name}: {result.status}")
         return result.status
 
@@ -557,7 +559,7 @@
 
     def start_load(self, jobs_per_second: float) -> None:
         self.ledger.is_loaded = True
-        self.background_tasks.append(self.world.loop.create_task(self._call_on(jobs_per_second)))
+        self.background_tasks.append(self.world.loop.create_task(self._generate_load(jobs_per_second)))
 
     async def end_load(self) -> None:
         for load_task in self.background_tasks + self.burst_tasks:
@@ -568,7 +570,7 @@
         self.ledger.end_micros = self.world.now()
         for name, since_micros in self.leaving_since.items():
             self.ledger.leaving_intervals.append((name, since_micros, self.world.now()))
-        await self.until(lambda: bool(self.leader()), "a leader at the end")
+        await self.wait_until(lambda: bool(self.leader()), "a leader at the end")
         if self.leader():
             last_fleet = self.cores[self.leader()].fleet
             self.ledger.last_revisions = {item["revision"] for item in last_fleet.history}
@@ -578,14 +580,14 @@
             self.ledger.retry_count += node.budget.retry_count
             self.ledger.budgeted_job_count += node.budget.job_count
 
-    async def _call_on(self, jobs_per_second: float) -> None:
+    async def _generate_load(self, jobs_per_second: float) -> None:
         while True:
             await pause(self.world, round(self.world.chance.expovariate(jobs_per_second) * SECOND))
-            call_task = self.world.loop.create_task(self._call())
+            call_task = self.world.loop.create_task(self._send_random_job())
             self.open_jobs.add(call_task)
             call_task.add_done_callback(self.open_jobs.discard)
 
-    async def _call(self) -> None:
+    async def _send_random_job(self) -> None:
         self.job_number += 1
         tenant, job = generate_job(self.deployment, self.world.chance, self.job_number)
         choices = [n for n in sorted(self.nodes) if n not in self.detected_dead and self._is_open(n)]
@@ -638,9 +640,9 @@
     def _record_send(self, node_name: str, upstream_id: str, worker: str) -> None:
         """The first byte of a job leaves its node."""
         view = self.nodes[node_name].keeper.view
-        self.ledger.sends[upstream_id] = Send(
+        self.ledger.sends[upstream_id] = SentJob(
             node_name,
-            self.world.machine(node_name).life,
+            self.world.machine(node_name).boot_count,
             self.world.now(),
             upstream_id.split(".")[0],
             worker,
--- a/src/pearhead/testbed/simulator/history.py
+++ b/src/pearhead/testbed/simulator/history.py
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Order:
+class ChangeAttempt:
     """One attempt of an operator at one core. An open one has seen no answer yet."""
 
     change: Change
@@ -36,7 +36,7 @@
     start_micros: int
     end_micros: int = 0
     status: str = NO_ANSWER
-    told_number: int = 0
+    reported_number: int = 0
 
 
 @dataclass(frozen=True)
@@ -53,12 +53,12 @@
 
 @dataclass
 class History:
-    orders: list[Order] = field(default_factory=list)
+    change_attempts: list[ChangeAttempt] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
 
     def find_faults(self) -> list[str]:
         return [
-            *self._find_doubles(),
+            *self._find_conflicting_contents(),
             *self._find_wrong_answers(),
             *self._find_wrong_refusals(),
             *self._find_lost_changes(),
@@ -75,10 +75,10 @@
 
     def taken(self) -> set[Change]:
         """Those acknowledged; and those read, where number and content were asked for on one base only."""
-        found = {order.change for order in self.orders if order.status == DONE}
+        found = {attempt.change for attempt in self.change_attempts if attempt.status == DONE}
         asked: dict[tuple[int, str], set[Change]] = {}
-        for order in self.orders:
-            asked.setdefault((order.change.number, order.change.content), set()).add(order.change)
+        for attempt in self.change_attempts:
+            asked.setdefault((attempt.change.number, attempt.change.content), set()).add(attempt.change)
         for read in self.reads:
             changes = asked.get((read.number, read.content), set())
             if len(changes) == 1:
@@ -86,60 +86,64 @@
         return found
 
     def _observations(self) -> Iterator[tuple[int, str, str]]:
-        for order in self.orders:
-            if order.status == DONE:
-                yield order.change.number, order.change.content, f"an answer of {order.core} at {order.end_micros}"
+        for attempt in self.change_attempts:
+            if attempt.status == DONE:
+                yield (
+                    attempt.change.number,
+                    attempt.change.content,
+                    f"an answer of {attempt.core} at {attempt.end_micros}",
+                )
         for read in self.reads:
             if read.number:
                 yield read.number, read.content, f"a read at {read.core} at {read.end_micros}"
 
-    def _find_doubles(self) -> list[str]:
+    def _find_conflicting_contents(self) -> list[str]:
         first_contents = self.first_contents()
         return [
-            f"number {number} holds {winners[number]!r}, and {content!r} by {source}"
+            f"number {number} holds {first_contents[number]!r}, and {content!r} by {source}"
             for number, content, source in self._observations()
             if content != first_contents[number]
         ]
 
     def _find_wrong_answers(self) -> list[str]:
         return [
-            f"{order.core} acknowledged {order.told_number} where {order.change.number} was asked"
-            for order in self.orders
-            if order.status == DONE and order.told_number != order.change.number
+            f"{attempt.core} acknowledged {attempt.reported_number} where {attempt.change.number} was asked"
+            for attempt in self.change_attempts
+            if attempt.status == DONE and attempt.reported_number != attempt.change.number
         ]
 
     def _find_wrong_refusals(self) -> list[str]:
         """A clear refusal, before or after, of what was taken; or nothing but answers that it was not run."""
         taken = self.taken()
         faults = []
-        attempts: dict[Change, list[Order]] = {}
-        for order in self.orders:
-            is_taken = order.change in taken
-            if is_taken and order.status in DEFINITE_REFUSALS:
+        attempts: dict[Change, list[ChangeAttempt]] = {}
+        for attempt in self.change_attempts:
+            is_taken = attempt.change in taken
+            if is_taken and attempt.status in DEFINITE_REFUSALS:
                 faults.append(
-                    f"{order.core} told {order.status} of {order.change.number} {order.change.content!r} at "
-                    f"{order.end_micros}, which is taken"
+                    f"{attempt.core} told {attempt.status} of {attempt.change.number} {attempt.change.content!r} at "
+                    f"{attempt.end_micros}, which is taken"
                 )
             if is_taken:
-                attempts.setdefault(order.change, []).append(order)
-        for change, orders in attempts.items():
-            if all(order.status in NOT_RUN for order in orders):
+                attempts.setdefault(attempt.change, []).append(attempt)
+        for change, change_attempts in attempts.items():
+            if all(attempt.status in NOT_RUN for attempt in change_attempts):
                 faults.append(f"{change.number} {change.content!r} is taken, and each answer was that it did not run")
         return faults
 
     def _find_lost_changes(self) -> list[str]:
-        acknowledged = sorted((o for o in self.orders if o.status == DONE), key=lambda o: o.end_micros)
+        acknowledged = sorted((o for o in self.change_attempts if o.status == DONE), key=lambda o: o.end_micros)
         faults = []
         for read in self.reads:
-            for order in acknowledged:
-                if order.end_micros >= read.start_micros:
+            for attempt in acknowledged:
+                if attempt.end_micros >= read.start_micros:
                     break
-                change = order.change
+                change = attempt.change
                 is_missing = change.is_marked and change.content not in read.marks
                 if read.number < change.number or is_missing:
                     faults.append(
                         f"a read at {read.core} at {read.start_micros} saw {read.number} without "
-                        f"{change.number} {change.content!r}, acknowledged at {order.end_micros}"
+                        f"{change.number} {change.content!r}, acknowledged at {attempt.end_micros}"
                     )
                     break
         return faults
@@ -163,9 +167,9 @@
     def _find_unrequested(self) -> list[str]:
         """Nothing is in force that nobody had asked for by then."""
         first_request_micros: dict[tuple[int, str], int] = {}
-        for order in self.orders:
-            key = (order.change.number, order.change.content)
-            first_request_micros[key] = min(first_request_micros.get(key, order.start_micros), order.start_micros)
+        for attempt in self.change_attempts:
+            key = (attempt.change.number, attempt.change.content)
+            first_request_micros[key] = min(first_request_micros.get(key, attempt.start_micros), attempt.start_micros)
         return [
             f"a read at {read.core} saw {read.number} {read.content!r}, which nobody had asked for"
             for read in self.reads
--- a/src/pearhead/testbed/simulator/interleaving_explorer.py
+++ b/src/pearhead/testbed/simulator/interleaving_explorer.py
@@ -1,4 +1,4 @@
-"""Explorer (§9.10): runs all interleavings of a few tasks over the real code, under a checker.
+"""InterleavingExplorer (§9.10): runs all interleavings of a few tasks over the real code, under a checker.
 
 A task gives way where it awaits. The explorer owns the loop's ready queue: at each step it picks which
 of the ready callbacks runs next, and goes through every order of picks, depth first.
@@ -34,8 +34,8 @@
     def __init__(self, schedule_choices: list[int]) -> None:
         super().__init__(_NoWaitSelector())
         self.schedule_choices = schedule_choices
-        self.widths: list[int] = []
-        self.turn = 0
+        self.ready_counts: list[int] = []
+        self.step_index = 0
 
     def _run_once(self) -> None:
         ready: Any = self._ready  # type: ignore[attr-defined]
@@ -46,7 +46,7 @@
             ready.append(timers.pop(0))
         if not ready:
             raise RuntimeError("every task waits for ever")
-        if self.turn > SCHEDULE_STEP_LIMIT:
+        if self.step_index > SCHEDULE_STEP_LIMIT:
             raise EndlessScheduleError("a schedule does not end: a task spins")
         for position, handle in enumerate(ready):
             if not _is_task_step(handle):
@@ -56,9 +56,9 @@
                     handle._run()
                 return
         width = len(ready)
-        pick = self.schedule_choices[self.turn] if self.turn < len(self.schedule_choices) else 0
-        self.widths.append(width)
-        self.turn += 1
+        pick = self.schedule_choices[self.step_index] if self.step_index < len(self.schedule_choices) else 0
+        self.ready_counts.append(width)
+        self.step_index += 1
         ready.rotate(-pick)
         handle = ready.popleft()
         ready.rotate(pick)
@@ -66,7 +66,7 @@
             handle._run()
 
 
-class StepClock:
+class TimerDrivenClock:
     """A clock for stories: it moves only when a timer fires, as nothing else could happen before."""
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
 
 
 class InterleavingExplorer:
-    def explore(self, story: TaskScenario, schedule_limit: int = SCHEDULE_LIMIT) -> ExplorationResult:
+    def explore(self, task_scenario: TaskScenario, schedule_limit: int = SCHEDULE_LIMIT) -> ExplorationResult:
         """Runs the story under every schedule; it raises where its checker finds a fault."""
         exploration = ExplorationResult()
         schedule_choices: list[int] = []
@@ -107,13 +107,13 @@
             loop = _ScheduledLoop(schedule_choices)
             asyncio.set_event_loop(loop)
             try:
-                loop.run_until_complete(story())
+                loop.run_until_complete(task_scenario())
             except EndlessScheduleError:
                 raise
             except Exception as fault:  # noqa: BLE001 - whatever ends a story early is a fault of that schedule
-                exploration.faults.append(f"{fault!r} under {picks}")
+                exploration.faults.append(f"{fault!r} under {schedule_choices}")
             finally:
-                widths = list(loop.widths)
+                ready_counts = list(loop.ready_counts)
                 for task in asyncio.all_tasks(loop):
                     task.cancel()
                 loop.schedule_choices = []
@@ -121,7 +121,7 @@
                 loop.close()
                 asyncio.set_event_loop(None)
             exploration.schedule_count += 1
-            next_schedule_choices = self._next(schedule_choices, widths)
+            next_schedule_choices = self._next(schedule_choices, ready_counts)
             if next_schedule_choices is None:
                 return exploration
             if exploration.schedule_count >= schedule_limit:
@@ -129,10 +129,10 @@
                 return exploration
             schedule_choices = next_schedule_choices
 
-    def _next(self, schedule_choices: list[int], widths: list[int]) -> list[int] | None:
+    def _next(self, schedule_choices: list[int], ready_counts: list[int]) -> list[int] | None:
         """The last pick that can still move moves; those after it begin anew."""
-        taken = schedule_choices + [0] * (len(widths) - len(schedule_choices))
-        for turn in range(len(widths) - 1, -1, -1):
-            if taken[turn] + 1 < widths[turn]:
-                return [*taken[:turn], taken[turn] + 1]
+        taken = schedule_choices + [0] * (len(ready_counts) - len(schedule_choices))
+        for step_index in range(len(ready_counts) - 1, -1, -1):
+            if taken[step_index] + 1 < ready_counts[step_index]:
+                return [*taken[:step_index], taken[step_index] + 1]
         return None
--- a/src/pearhead/testbed/simulator/ledger.py
+++ b/src/pearhead/testbed/simulator/ledger.py
@@ -16,10 +16,10 @@
 from pearhead.testbed.workermodel import RunRecord
 
 CONFIG_PROPAGATION_LIMIT_MICROS = 2_300 * MILLI
-LEAVING_MICROS = 3 * SECOND
-RECOVERY_MICROS = 12 * SECOND
+DRAIN_START_LIMIT_MICROS = 3 * SECOND
+RECOVERY_LIMIT_MICROS = 12 * SECOND
 RETRY_SHARE = 0.1
-ANSWER_MICROS = 200 * MILLI
+ANSWER_DELAY_LIMIT_MICROS = 200 * MILLI
 PLANNED_REFUSAL_SHARE = 0.005
 
 
@@ -37,11 +37,11 @@
 
 
 @dataclass
-class Send:
+class SentJob:
     """The first byte of a job left a node, which held this view."""
 
     node: str
-    node_life: int
+    node_boot_count: int
     at_micros: int
     job_id: str
     worker: str
@@ -63,7 +63,7 @@
     deployment: Deployment
     jobs: dict[str, JobTrace] = field(default_factory=dict)
     runs: list[tuple[str, RunRecord]] = field(default_factory=list)
-    sends: dict[str, Send] = field(default_factory=dict)
+    sends: dict[str, SentJob] = field(default_factory=dict)
     fault_log: FaultLog = field(default_factory=FaultLog)
     core_names: set[str] = field(default_factory=set)
     node_names: set[str] = field(default_factory=set)
@@ -76,7 +76,7 @@
     reads: list[tuple[int, int, int]] = field(default_factory=list)
     withdrawals: list[tuple[str, int]] = field(default_factory=list)
     changes: list[tuple[str, int, int]] = field(default_factory=list)
-    namings: list[tuple[int, int, str]] = field(default_factory=list)
+    weights_changes: list[tuple[int, int, str]] = field(default_factory=list)
     leaving_intervals: list[tuple[str, int, int]] = field(default_factory=list)
     bumps: list[tuple[str, int, str, int]] = field(default_factory=list)
     commands: list[WorkerCommand] = field(default_factory=list)
@@ -171,7 +171,7 @@
         start_times = self._start_times()
         for upstream_id, send in self.sends.items():
             begin_micros = start_times[upstream_id]
-            key = (send.node, send.node_life)
+            key = (send.node, send.node_boot_count)
             if send.description_revision < latest.get(key, 0):
                 faults.append(f"{send.node} went back to {send.description_revision}")
             latest[key] = max(latest.get(key, 0), send.description_revision)
@@ -209,7 +209,7 @@
 
     def _check_weights(self) -> list[str]:
         faults = []
-        order = {name: revision for revision, _, name in self.namings}
+        order = {name: revision for revision, _, name in self.weights_changes}
         first_start_micros: dict[int, int] = {}
         for worker, record in self.runs:
             if "@" not in record.loaded_model:
@@ -219,11 +219,11 @@
             first_start_micros[loaded_revision] = min(
                 first_start_micros.get(loaded_revision, begin_micros), begin_micros
             )
-            for revision, ack_micros, name in self.namings:
+            for revision, ack_micros, name in self.weights_changes:
                 limit_micros = ack_micros + self.deployment.weights_limit_micros
                 if begin_micros > limit_micros and loaded_revision < revision:
                     faults.append(f"{record.upstream_id} began on {record.loaded_model} long after {name}")
-        for revision, ack_micros, name in self.namings:
+        for revision, ack_micros, name in self.weights_changes:
             limit_micros = ack_micros + self.deployment.weights_limit_micros
             is_served = any(r >= revision and at <= limit_micros for r, at in first_start_micros.items())
             if self.is_loaded and not is_served and self._was_healthy(ack_micros, limit_micros):
@@ -250,7 +250,7 @@
             for run_worker, record in self.runs:
                 if run_worker != worker:
                     continue
-                if ack_micros + LEAVING_MICROS < self.begin_micros(worker, record) < end_micros:
+                if ack_micros + DRAIN_START_LIMIT_MICROS < self.begin_micros(worker, record) < end_micros:
                     faults.append(f"{record.upstream_id} began on leaving {worker}")
         return faults
 
@@ -309,7 +309,7 @@
         ]
 
     def _must_succeed(self, trace: JobTrace) -> bool:
-        quiet_period_micros = RECOVERY_MICROS + trace.end_micros - trace.sent_micros
+        quiet_period_micros = RECOVERY_LIMIT_MICROS + trace.end_micros - trace.sent_micros
         is_quiet = trace.outcome != "open" and self.fault_log.is_quiet(trace.end_micros, quiet_period_micros)
         return is_quiet and self._has_healthy_target(trace)
 
@@ -317,7 +317,7 @@
         """At a sound node, or at none, as none took connections while some should have."""
         if self.fault_log.is_overloaded(trace.sent_micros):
             return False
-        if trace.job["kind"] == "notice" and not self.fault_log.stands("desk", trace.sent_micros):
+        if trace.job["kind"] == "notice" and not self.fault_log.is_healthy("desk", trace.sent_micros):
             return False  # There is one application worker.
         healthy_nodes = self.healthy_nodes(trace.sent_micros)
         return trace.node in healthy_nodes or (not trace.node and bool(healthy_nodes))
@@ -332,7 +332,9 @@
             for r, _ in self.acknowledged_applies
             if r not in self.last_revisions and r >= from_revision
         ]
-        faults += [f"weights {n} were acknowledged and are gone" for r, _, n in self.namings if r > self.last_weights]
+        faults += [
+            f"weights {n} were acknowledged and are gone" for r, _, n in self.weights_changes if r > self.last_weights
+        ]
         for volume, part, _, revision in self.bumps:
             if self.last_parts.get(volume, {}).get(part, 1) < revision:
                 faults.append(f"{volume} part {part} lost revision {revision}")
@@ -388,7 +390,7 @@
         faults = []
         for trace in self.jobs.values():
             for tenant, ack_micros in self.withdrawals:
-                known_micros = ack_micros + CONFIG_PROPAGATION_LIMIT_MICROS + ANSWER_MICROS
+                known_micros = ack_micros + CONFIG_PROPAGATION_LIMIT_MICROS + ANSWER_DELAY_LIMIT_MICROS
                 is_late = trace.sent_micros < ack_micros and trace.is_refused and trace.end_micros > known_micros
                 if (
                     trace.tenant == tenant
@@ -403,7 +405,7 @@
 
     def _check_retries(self) -> list[str]:
         if self.retry_count > RETRY_SHARE * self.budgeted_job_count:
-            return [f"{self.retry_count} retries for {self.carried_count} jobs"]
+            return [f"{self.retry_count} retries for {self.budgeted_job_count} jobs"]
         return []
 
     def _is_withdrawn(self, trace: JobTrace) -> bool:
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -275,7 +275,7 @@
     return dict(figures)
 
 
-def spread(rows: list[Figures]) -> list[str]:
+def summary_rows(rows: list[Figures]) -> list[str]:
     lines = []
     for label in rows[0]:
         values = [row[label] for row in rows]
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -27,11 +27,11 @@
 
 
 def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
-    def keep(prepare: MutationPatch) -> MutationPatch:
+    def register(prepare: MutationPatch) -> MutationPatch:
         MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
         return prepare
 
-    return keep
+    return register
 
 
 def _patch_nodes(fleet: SimFleet, change: Callable[[NodeProcess], None]) -> None:
@@ -171,7 +171,7 @@
 
         core._take_leadership = take  # type: ignore[method-assign]
 
-    fleet.build_core = change
+    fleet.core_patch = change
 
 
 @mutation("bumps-race", "bumps")
@@ -218,7 +218,7 @@
 
         core.start = start  # type: ignore[method-assign]
 
-    fleet.build_core = change
+    fleet.core_patch = change
 
 
 @mutation("planned-restarts", "planned")
@@ -395,4 +395,4 @@
 
         core._make_join_result = join  # type: ignore[method-assign]
 
-    fleet.build_core = change
+    fleet.core_patch = change
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -16,13 +16,13 @@
     DONE,
     NO_ANSWER,
     Change,
-    Order,
+    ChangeAttempt,
     Read,
 )
 from pearhead.testbed.simulator.world import pause
 
 REQUEST_TIMEOUT_MICROS = SECOND
-AGAIN_MICROS = 100 * MILLI
+RETRY_PAUSE_MICROS = 100 * MILLI
 READ_PAUSE_MICROS = (150 * MILLI, 400 * MILLI)
 READER_COUNT = 1
 MARKER_TENANT_PREFIX = "mark-"
@@ -51,10 +51,12 @@
         self.content_number += 1
         return f"c{self.content_number}"
 
-    async def ask(self, change: Change, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS) -> Order:
+    async def ask(
+        self, change: Change, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS
+    ) -> ChangeAttempt:
         """One attempt. Without an answer in time the operator goes on, and the order may yet be run."""
-        order = Order(change, core_name, self.world.now())
-        self.history.orders.append(order)
+        attempt = ChangeAttempt(change, core_name, self.world.now())
+        self.history.change_attempts.append(attempt)
 
         async def work() -> CommandResult:
             return await self.fleet.cores[core_name].execute(build_command(change))
@@ -62,16 +64,16 @@
         given = await self.world.run_on_machine(
             self.world.machine(core_name), EXTERNAL_HOST, work, request_timeout_micros
         )
-        order.end_micros = self.world.now()
+        attempt.end_micros = self.world.now()
         if not isinstance(given, Err):
             result: CommandResult = given.ok_value
-            order.status = result.status
+            attempt.status = result.status
             body = json.loads(result.body or b"{}")
-            order.told_number = body.get("number", 0)
-        if order.status == DONE:
+            attempt.reported_number = body.get("number", 0)
+        if attempt.status == DONE:
             self.number = max(self.number, change.number)
-            self.fleet.ledger.acknowledged_applies.append((body["revision"], order.end_micros))
-        return order
+            self.fleet.ledger.acknowledged_applies.append((body["revision"], attempt.end_micros))
+        return attempt
 
     async def retry_until_decided(
         self, change: Change, limit_micros: int = 30 * SECOND, first_timeout_micros: int = 0
@@ -81,11 +83,11 @@
         request_timeout_micros = first_timeout_micros or REQUEST_TIMEOUT_MICROS
         while self.world.now() < end_micros:
             core_name = self.world.chance.choice(sorted(self.fleet.cores))
-            order = await self.ask(change, core_name, request_timeout_micros)
-            if order.status in (DONE, *DEFINITE_REFUSALS):
-                return order.status
+            attempt = await self.ask(change, core_name, request_timeout_micros)
+            if attempt.status in (DONE, *DEFINITE_REFUSALS):
+                return attempt.status
             request_timeout_micros = REQUEST_TIMEOUT_MICROS
-            await pause(self.world, AGAIN_MICROS)
+            await pause(self.world, RETRY_PAUSE_MICROS)
         return NO_ANSWER
 
     async def submit_next_change(self, limit_micros: int = 30 * SECOND, is_marked: bool = True) -> Change | None:
@@ -167,5 +169,6 @@
 
     def taken(self) -> list[Change]:
         return sorted(
-            {order.change for order in self.history.orders if order.status == DONE}, key=lambda change: change.number
+            {attempt.change for attempt in self.history.change_attempts if attempt.status == DONE},
+            key=lambda change: change.number,
         )
--- a/src/pearhead/testbed/simulator/recording.py
+++ b/src/pearhead/testbed/simulator/recording.py
@@ -90,11 +90,11 @@
         for event in recording.events:
             await pause(world, max(0, start_micros + event["at"] - world.now()))
             if event["kind"] == "job":
-                call_task = world.loop.create_task(_call(fleet, event))
+                call_task = world.loop.create_task(_replay_job(fleet, event))
                 fleet.open_jobs.add(call_task)
                 call_task.add_done_callback(fleet.open_jobs.discard)
             elif with_faults:
-                await _act(fleet, event)
+                await _apply_action(fleet, event)
         await fleet.end_load()
         nodes = fleet.nodes.values()
         return Replay(
@@ -108,11 +108,11 @@
     return replay_result
 
 
-async def _call(fleet: SimFleet, event: dict[str, Any]) -> None:
+async def _replay_job(fleet: SimFleet, event: dict[str, Any]) -> None:
     await fleet.call(event["node"], event["tenant"], event["job"])
 
 
-async def _act(fleet: SimFleet, event: dict[str, Any]) -> None:
+async def _apply_action(fleet: SimFleet, event: dict[str, Any]) -> None:
     kind, name = event["kind"], event.get("name", "")
     if kind in ("kill", "power"):
         fleet.kill(name, loses_power=kind == "power")
@@ -149,7 +149,7 @@
     return lines
 
 
-def plan(recording: Recording, description: dict[str, Any]) -> list[str]:
+def preview_description(recording: Recording, description: dict[str, Any]) -> list[str]:
     """What a description would do with a recorded load, beside the one that the example ships."""
     present = replay(recording, build_description(DEPLOYMENTS[recording.deployment]), with_faults=False)
     planned = replay(recording, description, with_faults=False)
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -60,7 +60,7 @@
     }
 
 
-def run_nodes(node_count: int) -> Row:
+def measure_node_scaling(node_count: int) -> Row:
     """Ten quiet seconds, one apply and one bump in a fleet of so many nodes."""
 
     async def play(world: World) -> Row:
@@ -151,7 +151,7 @@
     return row
 
 
-def table(rows: list[Row]) -> list[str]:
+def markdown_table(rows: list[Row]) -> list[str]:
     names = list(rows[0])
     lines = ["| " + " | ".join(names) + " |", "| " + " | ".join("---" for _ in names) + " |"]
     return lines + ["| " + " | ".join(f"{row[n]:.4g}" for n in names) + " |" for row in rows]
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -15,25 +15,25 @@
 from pearhead.testbed.simulator.control_scenarios import CONTROL_SCENARIOS, NODE_COUNT, WORKER_COUNT
 from pearhead.testbed.simulator.fault_injector import SimFaultInjector
 from pearhead.testbed.simulator.fleet import SimFleet
-from pearhead.testbed.simulator.ledger import RECOVERY_MICROS, Ledger
+from pearhead.testbed.simulator.ledger import RECOVERY_LIMIT_MICROS, Ledger
 from pearhead.testbed.simulator.recording import build_recording
 from pearhead.testbed.simulator.simulated_clients import COMMAND_CONNECTION, JOB_CONNECTION, SimCacheFetcher
 from pearhead.testbed.simulator.world import Machine, World, pause, run_in_virtual_time
 from pearhead.testbed.workermodel import ApplicationModel, StoreModel
 
 JOBS_PER_SECOND = 25.0
-Play = Callable[[SimFleet], Awaitable[None]]
-SCENARIOS: dict[str, Play] = {}
+ScenarioBody = Callable[[SimFleet], Awaitable[None]]
+SCENARIOS: dict[str, ScenarioBody] = {}
 
 
-def scenario(play: Play) -> Play:
+def scenario(play: ScenarioBody) -> ScenarioBody:
     SCENARIOS[play.__name__.replace("_", "-")] = play
     return play
 
 
-async def settle(fleet: SimFleet) -> None:
+async def wait_for_recovery(fleet: SimFleet) -> None:
     """What comes from 12 s after the last fault came or went must be served, while it stands and after."""
-    await pause(fleet.world, RECOVERY_MICROS + 3 * SECOND)
+    await pause(fleet.world, RECOVERY_LIMIT_MICROS + 3 * SECOND)
 
 
 def expect_no_node_serves(fleet: SimFleet) -> None:
@@ -44,26 +44,26 @@
 @scenario
 async def calm(fleet: SimFleet) -> None:
     await pause(fleet.world, 5 * SECOND)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
 async def leader_killed(fleet: SimFleet) -> None:
     name = fleet.leader()
     fleet.kill(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
 async def node_killed(fleet: SimFleet) -> None:
     fleet.kill("node-1")
     fleet.kill("node-2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.start("node-1")
     fleet.start("node-2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -75,7 +75,7 @@
     await pause(fleet.world, 2 * SECOND)
     for name in names:
         fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -91,7 +91,7 @@
     for name in names:
         fleet.start(name)
         await pause(fleet.world, SECOND // len(names))
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -105,7 +105,7 @@
     await pause(fleet.world, 3 * SECOND)
     for name in names:
         fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -117,9 +117,9 @@
     await fleet.apply(fleet.marked_description("a"))
     await pause(fleet.world, 5 * SECOND)
     await fleet.name_weights("w2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.heal()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -132,9 +132,9 @@
     description["tenants"] = [t for t in description["tenants"] if t["name"] != withdrawn]
     await fleet.apply(description)
     fleet.ledger.withdrawals.append((withdrawn, fleet.world.now()))
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.heal()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 async def withdraw_tenant_key(fleet: SimFleet, tenant_name: str, description: dict[str, Any] | None = None) -> None:
@@ -162,14 +162,14 @@
     """Keys, workers and weights go while connections stand that no byte has left by."""
     names = sorted(fleet.nodes)[: len(fleet.nodes) // 2]
     caught = freeze_nodes_on_connect(fleet, JOB_CONNECTION, names)
-    await fleet.until(lambda: len(caught) == len(names), "all are caught as they connect")
+    await fleet.wait_until(lambda: len(caught) == len(names), "all are caught as they connect")
     await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.mark_leaving(*sorted({worker for _, worker in caught if worker != "desk"})[:2])
     await fleet.name_weights("w2")
     for name in names:
         await pause(fleet.world, 4 * SECOND)
         fleet.wake(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -179,12 +179,12 @@
     names = sorted(fleet.nodes, key=lambda name: (-len(fleet.nodes[name].holder.holds), name))
     caught = freeze_nodes_on_connect(fleet, COMMAND_CONNECTION, names[: len(names) - 2])
     await fleet.name_weights("w2")
-    await fleet.until(lambda: bool(caught), "a holder is caught as it commands")
+    await fleet.wait_until(lambda: bool(caught), "a holder is caught as it commands")
     await pause(fleet.world, fleet.world.chance.randrange(5 * SECOND, 10 * SECOND))
     fleet.world.connect_hooks.clear()
     for name, _ in caught:
         fleet.wake(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -212,7 +212,7 @@
     await fleet.apply(description)
     await pause(fleet.world, 4 * SECOND)
     fleet.end_bursts()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -224,9 +224,9 @@
     await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.mark_leaving("worker-1", "worker-2")
     await fleet.name_weights("w2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.heal()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -237,7 +237,7 @@
     await pause(fleet.world, 6 * SECOND)
     expect_no_node_serves(fleet)
     fleet.heal()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -246,12 +246,12 @@
     name = f"worker-{fleet.world.chance.randrange(fleet.worker_count) + 1}"
     fleet.world.machine(name).kernel_accepts_connections = fleet.world.chance.random() < 0.7
     fleet.freeze(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.wake(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
-def register_final_fault(kind: str, strike: Callable[[SimFleet, str], None]) -> None:
+def register_final_fault(kind: str, inject_fault: Callable[[SimFleet, str], None]) -> None:
     """A day that ends with one last fault: it is never healed, and the rest serves on."""
 
     async def play(fleet: SimFleet) -> None:
@@ -266,18 +266,18 @@
             "core": sorted(fleet.cores),
             "area": list(fleet.deployment.areas),
         }[kind.split("-")[0]]
-        strike(fleet, names[number % len(names)])
-        await settle(fleet)
+        inject_fault(fleet, names[number % len(names)])
+        await wait_for_recovery(fleet)
 
     SCENARIOS[f"ends-on-{kind}"] = play
 
 
-def members_of(fleet: SimFleet, area: str) -> list[str]:
+def machines_in_area(fleet: SimFleet, area: str) -> list[str]:
     return [n for n in sorted(fleet.world.machines) if fleet.area_of(n) == area]
 
 
 def cut_area_power(fleet: SimFleet, area: str) -> None:
-    for name in members_of(fleet, area):
+    for name in machines_in_area(fleet, area):
         fleet.kill(name, loses_power=True)
 
 
@@ -297,7 +297,7 @@
 register_final_fault("core-disk-stalled", lambda fleet, name: fleet.set_disk(name, "stalled", True))
 register_final_fault("core-disk-full", lambda fleet, name: fleet.set_disk(name, "full", True))
 register_final_fault("area-lost", cut_area_power)
-register_final_fault("area-cut-off", lambda fleet, area: isolate_machines(fleet, members_of(fleet, area)))
+register_final_fault("area-cut-off", lambda fleet, area: isolate_machines(fleet, machines_in_area(fleet, area)))
 
 
 @scenario
@@ -305,9 +305,9 @@
     """A one-way loss: answers of workers don't reach one node."""
     workers = [n for n in sorted(fleet.world.machines) if n.startswith("worker-")]
     fleet.cut(workers, ["node-4"], both_ways=False)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.heal()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -319,7 +319,7 @@
         await pause(fleet.world, 3 * SECOND)
         fleet.start(name)
         await pause(fleet.world, 2 * SECOND)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -332,7 +332,7 @@
         name = fleet.leader()
         fleet.destroy_core(name)
         fleet.add_core(f"core-{number + 4}")
-        await fleet.until(
+        await fleet.wait_until(
             lambda: (
                 len(fleet.cores) == 3
                 and all(
@@ -343,7 +343,7 @@
             f"core-{number + 4} replaces {name}",
             20 * SECOND,
         )
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -358,7 +358,7 @@
         fleet.world.machine(name).disk.empty()
         await pause(fleet.world, fleet.world.chance.randrange(300 * MILLI, 4 * SECOND))
         fleet.start(name)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(
                 hasattr(c, "raft") and c.raft.voters().keys() == {o.identity for o in fleet.cores.values()}
                 for c in fleet.cores.values()
@@ -368,7 +368,7 @@
         )
         if fleet.ledger.breaches:
             return  # The next disk would be lost beside this one, which no core survives.
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -387,7 +387,7 @@
     for name in sorted(fleet.cores):
         if not fleet.world.machine(name).is_alive:
             fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -400,7 +400,7 @@
     await fleet.name_weights("w4")
     await pause(fleet.world, 4 * SECOND)
     fleet.start("worker-2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -414,8 +414,8 @@
         await fleet.name_weights(f"w{number + 2}")
         await pause(fleet.world, chance.randrange(4 * SECOND, 8 * SECOND))
         if number == 1:
-            fleet.mend(pairs)
-    await settle(fleet)
+            fleet.restore_links(pairs)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -423,7 +423,7 @@
     fleet.set_datagram_loss(0.3, 0.1)
     await fleet.name_weights("w2")
     await pause(fleet.world, 12 * SECOND)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -433,10 +433,10 @@
         fleet.freeze(name)
     await pause(fleet.world, 1 * SECOND)
     await fleet.name_weights("w2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     for name in (leader, "node-5", "worker-1"):
         fleet.wake(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -446,13 +446,13 @@
         name = fleet.leader()
         fleet.set_disk(name, kind, True)
         await fleet.apply(fleet.marked_description(mark))
-        await settle(fleet)
+        await wait_for_recovery(fleet)
         fleet.set_disk(name, kind, False)
         await pause(fleet.world, SECOND)
     for core_name in sorted(fleet.cores):
         fleet.world.machine(core_name).disk.slowness = 20
     await fleet.apply(fleet.marked_description("c"))
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -465,7 +465,7 @@
     fleet.start("worker-3")
     fleet.start("worker-1")
     await fleet.clear_leaving("worker-1", "worker-2", "worker-4")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -482,7 +482,7 @@
     if sorted([await first, await second]) != ["conflict", "done"]:
         fleet.ledger.breaches.append("two operators named weights at once, and both were told done")
     list_task.cancel()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 async def resend_worker_list(fleet: SimFleet) -> None:
@@ -503,12 +503,12 @@
     holder = fleet.world.chance.choice(sorted(fleet.nodes)[1:])
     fleet.freeze(holder)
     await pause(fleet.world, 6 * SECOND)
-    fleet.mend(pairs)
+    fleet.restore_links(pairs)
     fleet.wake(holder)
     await pause(fleet.world, 12 * SECOND)
     fleet.kill(fleet.leader(), loses_power=True)
     await fleet.apply({**fleet.marked_description("a"), "tenants": fleet.marked_description("a")["tenants"][1:]})
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -517,16 +517,16 @@
     fleet.ledger.planned_count += 1
     for number, name in enumerate(fleet.current_workers()):
         new_name = await fleet.add_worker()
-        await fleet.until(lambda new_name=new_name: fleet.is_loaded(new_name), f"{new_name} is loaded")  # type: ignore[misc]
+        await fleet.wait_until(lambda new_name=new_name: fleet.is_loaded(new_name), f"{new_name} is loaded")  # type: ignore[misc]
         await fleet.mark_leaving(name)
         await pause(fleet.world, 3 * SECOND)
-        await fleet.until(lambda name=name: not fleet.worker(name).running_count, f"{name} is empty")  # type: ignore[misc]
+        await fleet.wait_until(lambda name=name: not fleet.worker(name).running_count, f"{name} is empty")  # type: ignore[misc]
         fleet.kill(name)
         fleet.removed_workers.add(name)
         await fleet.set_workers()
         if number % 3 == 1:
             await fleet.name_weights(f"w{number + 1}")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -555,7 +555,7 @@
         for bump_task in bump_tasks:
             await bump_task
         await pause(fleet.world, 2 * SECOND)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -567,7 +567,7 @@
         await pause(fleet.world, 1 * SECOND)
         fleet.start(name)
         await pause(fleet.world, 1 * SECOND)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -575,10 +575,10 @@
     names = [f"worker-{n + 1}" for n in range(fleet.worker_count - 2)]
     for name in names:
         fleet.kill(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     for name in names:
         fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -588,18 +588,18 @@
     fleet.world.chance.shuffle(names)
     for name in names[: len(names) // 2]:
         fleet.kill(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     for name in names[: len(names) // 2]:
         fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
 async def store_goes_and_comes_empty(fleet: SimFleet) -> None:
     fleet.kill("store")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     fleet.start("store")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -623,7 +623,7 @@
     if None in given_results:
         fleet.ledger.breaches.append(f"{given_results.count(None)} bumps were never answered")
     fleet.set_datagram_loss(0.0)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -640,7 +640,7 @@
             await fleet.apply(fleet.marked_description("a"))
         if number == 5:
             await fleet.name_weights("w2")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -656,7 +656,7 @@
     await pause(fleet.world, 5 * SECOND)
     fleet.end_bursts()
     end_micros = fleet.world.now()
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     others = [
         t
         for t in fleet.ledger.jobs.values()
@@ -687,7 +687,7 @@
         fleet.ledger.breaches.append("a large description was not taken")
     await pause(fleet.world, 4 * SECOND)
     await fleet.apply({**fleet.marked_description("b"), "lines": []})
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -704,7 +704,7 @@
     fleet.start(behind)
     if fleet.cores[fleet.leader()].raft.log.base_index == 0:
         fleet.ledger.breaches.append("no log was ever cut")
-    await fleet.until(
+    await fleet.wait_until(
         lambda: (
             hasattr(fleet.cores[behind], "raft")
             and bool(fleet.leader())
@@ -712,7 +712,7 @@
         ),
         f"{behind} is level again",
     )
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     restored_fleet, leader_fleet = fleet.cores[behind].fleet, fleet.cores[fleet.leader()].fleet
     if restored_fleet.parts != leader_fleet.parts:
         fleet.ledger.breaches.append(f"{behind} holds other part revisions than the leader")
@@ -726,7 +726,7 @@
     fleet.kill(gone)
     # In another area the old one would rightly vote again once it is level: votes are spread over the areas.
     fleet.add_core("core-4", like=gone)
-    await fleet.until(
+    await fleet.wait_until(
         lambda: (
             fleet.leader() != ""
             and gone_identity not in fleet.cores[fleet.leader()].raft.voters()
@@ -742,7 +742,7 @@
     raft = fleet.cores[fleet.leader()].raft
     if gone_identity in raft.voters() or raft.term != epoch:
         fleet.ledger.breaches.append(f"the old disk had a say: epoch {epoch} to {raft.term}")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -753,7 +753,7 @@
     await pause(fleet.world, 4 * SECOND)
     if not fleet.nodes["node-10"].keeper.is_current():
         fleet.ledger.breaches.append("a new node did not come in by the new seeds")
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -764,7 +764,7 @@
     await pause(fleet.world, 8 * SECOND)
     for number in range(fleet.worker_count):
         fleet.worker(f"worker-{number + 1}").log.is_silent = False
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 async def report_changed_parts(fleet: SimFleet, limit_micros: int) -> list[str]:
@@ -777,11 +777,11 @@
         holding_workers = [t for t in reporting_workers if key in t.cache] or reporting_workers
         first, late = holding_workers[0], holding_workers[-1]
         for _ in range(chance.choice([1, 2])):
-            first.log.tell("changed", key)
+            first.log.append_event("changed", key)
         store = fleet.back_ends["store:2"].model
         assert isinstance(store, StoreModel)
-        fleet.world.loop.call_later(chance.uniform(0.1, 1.5), store.log.tell, "changed", key)
-        fleet.world.loop.call_later(chance.uniform(2.0, 4.0), late.log.tell, "changed", key)
+        fleet.world.loop.call_later(chance.uniform(0.1, 1.5), store.log.append_event, "changed", key)
+        fleet.world.loop.call_later(chance.uniform(2.0, 4.0), late.log.append_event, "changed", key)
         fleet.ledger.changes.append((key, fleet.world.now(), limit_micros))
     if not keys:
         fleet.ledger.breaches.append("no part was in use that could change")
@@ -806,7 +806,7 @@
         fleet.wake(name)
     await pause(fleet.world, 40 * SECOND)
     fleet.set_datagram_loss(0.0)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
     volumes = fleet.cores[fleet.leader()].fleet.parts.values()
     if not any(revision > 1 for parts in volumes for revision in parts.values()):
         fleet.ledger.breaches.append("no report ever raised a revision")
@@ -820,7 +820,7 @@
             assert isinstance(link, SimCacheFetcher)
             link.slowness = 50
     await pause(fleet.world, 6 * SECOND)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -833,7 +833,7 @@
     expect_no_node_serves(fleet)
     for name in names:
         fleet.start(name)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -856,11 +856,11 @@
     fleet.start(left)
     fleet.add_core("core-4")
     fleet.add_core("core-5")
-    await fleet.until(
+    await fleet.wait_until(
         lambda: fleet.leader() != "" and len(fleet.cores[fleet.leader()].raft.voters()) == 3, "three vote again"
     )
     await fleet.apply(fleet.marked_description("b"))
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
@@ -893,14 +893,14 @@
             fleet.set_datagram_loss(chance.choice([0.0, 0.1, 0.3]))
         await pause(fleet.world, chance.randrange(200 * MILLI, 3 * SECOND))
     fleet.set_datagram_loss(0.0)
-    await settle(fleet)
+    await wait_for_recovery(fleet)
 
 
 @scenario
 async def overlapping_faults(fleet: SimFleet) -> None:
     """Fourteen strikes of all kinds that overlap, and a last one that stays on."""
-    await SimFaultInjector(fleet).play()
-    await settle(fleet)
+    await SimFaultInjector(fleet).inject_all()
+    await wait_for_recovery(fleet)
 
 
 for control_name, control_scenario in CONTROL_SCENARIOS.items():
--- a/src/pearhead/testbed/simulator/simulated_clients.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -1,4 +1,4 @@
-"""SimCarrier, SimLink, SimFetch (§9.5): the HTTP edges of the real fleet, replaced one for one."""
+"""SimUpstreamClient, SimWorkerClient, SimCacheFetcher (§9.5): HTTP edges of the real fleet, replaced one for one."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 COMMAND_CONNECTION = "command"
 
 
-def open_connection(
+def simulate_connect(
     node: Machine,
     worker: Machine,
     purpose: str,
@@ -71,7 +71,7 @@
 
     def send_reply(action: Callable[[], None]) -> None:
         if not world.is_cut(worker.name, node.name):
-            world.loop.call_later(world.link_micros() / SECOND, node.gate(settle(action)))
+            world.loop.call_later(world.link_micros() / SECOND, node.guard_callback(settle(action)))
 
     def arrive() -> None:
         if world.is_cut(node.name, worker.name):
@@ -89,11 +89,11 @@
 
 
 class SimUpstreamClient:
-    def __init__(self, machine: Machine, back_ends: BackEnds, watch: Callable[[str, str], None]) -> None:
+    def __init__(self, machine: Machine, back_ends: BackEnds, observer: Callable[[str, str], None]) -> None:
         self.machine = machine
         self.world = machine.world
         self.back_ends = back_ends
-        self.watch = watch
+        self.observer = observer
 
     async def carry(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
@@ -121,7 +121,7 @@
                         world.loop.call_later(RESEND_MICROS / SECOND, flush_replies)
                     return
                 last_arrival = max(last_arrival + 1, world.now() + world.link_micros())
-                deliver = node.gate(functools.partial(events.put_nowait, unsent.pop(0)))
+                deliver = node.guard_callback(functools.partial(events.put_nowait, unsent.pop(0)))
                 world.loop.call_later((last_arrival - world.now()) / SECOND, deliver)
 
         async def run() -> None:
@@ -146,23 +146,23 @@
             if not may_begin():
                 events.put_nowait(JobTransportError(WITHDRAWN, "it may not begin any more"))
                 return
-            self.watch(upstream_job.upstream_id, worker.name)
-            worker_life = worker.life
+            self.observer(upstream_job.upstream_id, worker.name)
+            worker_boot_count = worker.boot_count
 
             def arrive() -> None:
                 if world.is_cut(node.name, worker.name):
                     return
-                if not worker.is_alive or worker.life != worker_life:
+                if not worker.is_alive or worker.boot_count != worker_boot_count:
                     queue_reply(JobTransportError(CUT, "reset"))
                     return
-                worker.gate(lambda: run_tasks.append(worker.crew.start(run())))()
+                worker.guard_callback(lambda: run_tasks.append(worker.crew.start(run())))()
 
             world.loop.call_later(world.link_micros() / SECOND, arrive)
 
         def fail(why: str) -> None:
             events.put_nowait(JobTransportError(NOT_SENT, why))
 
-        open_connection(node, worker, JOB_CONNECTION, upstream_job.limit_micros, send, fail)
+        simulate_connect(node, worker, JOB_CONNECTION, upstream_job.limit_micros, send, fail)
         node.after(upstream_job.limit_micros, lambda: events.put_nowait(JobTransportError(CUT, "deadline")))
         try:
             while True:
@@ -183,7 +183,7 @@
 
             def arrive_close() -> None:
                 if not world.is_cut(node.name, worker.name):
-                    worker.gate(stop_runs)()
+                    worker.guard_callback(stop_runs)()
 
             world.loop.call_later(2 * LINK_LATENCY_MICROS[1] / SECOND, arrive_close)
 
@@ -191,11 +191,11 @@
 class SimWorkerClient:
     """Commands and reports, noted with the node that gave them."""
 
-    def __init__(self, machine: Machine, back_ends: BackEnds, watch: Callable[[str, str, int, int], None]) -> None:
+    def __init__(self, machine: Machine, back_ends: BackEnds, observer: Callable[[str, str, int, int], None]) -> None:
         self.machine = machine
         self.world = machine.world
         self.back_ends = back_ends
-        self.watch = watch
+        self.observer = observer
 
     async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
         return await self._command(address, fence, lambda model: model.claim(fence), SECOND, may_begin)
@@ -221,7 +221,7 @@
         async def work() -> dict[str, Any]:
             model = self.back_ends[address].model
             assert isinstance(model, WorkerModel)
-            self.watch(self.machine.name, back_end.machine.name, fence, sent_micros)
+            self.observer(self.machine.name, back_end.machine.name, fence, sent_micros)
             return await command(model)
 
         begin_future: asyncio.Future[str] = self.world.loop.create_future()
@@ -240,7 +240,7 @@
                 settle("not within its term any more")
 
         result_future: asyncio.Future[Result[dict[str, Any], str]] = self.world.loop.create_future()
-        open_connection(self.machine, back_end.machine, COMMAND_CONNECTION, limit_micros, begin, settle)
+        simulate_connect(self.machine, back_end.machine, COMMAND_CONNECTION, limit_micros, begin, settle)
         why = await begin_future
         return Err(why) if why else await result_future
 
@@ -268,7 +268,7 @@
             if not result_future.done():
                 result_future.set_result(given_result)
 
-        self.machine.gate(settle)()
+        self.machine.guard_callback(settle)()
 
 
 class SimCacheFetcher:
--- a/src/pearhead/testbed/simulator/sweep.py
+++ b/src/pearhead/testbed/simulator/sweep.py
@@ -19,10 +19,10 @@
 RunMany = Callable[[list[RunSpec]], Iterable[RunResult]]
 
 
-def run_as_completed(orders: list[RunSpec]) -> Iterator[RunResult]:
+def run_as_completed(specs: list[RunSpec]) -> Iterator[RunResult]:
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(mp_context=context) as pool:
-        for future in concurrent.futures.as_completed([pool.submit(run_spec, order) for order in orders]):
+        for future in concurrent.futures.as_completed([pool.submit(run_spec, spec) for spec in specs]):
             yield future.result()
 
 
@@ -37,60 +37,60 @@
         self.run_many = run_many
 
     def minimize_failure(self, failed: RunResult) -> RunResult:
-        if failed.order.scenario != OVERLAPPING_FAULTS_SCENARIO:
+        if failed.spec.scenario != OVERLAPPING_FAULTS_SCENARIO:
             return failed
-        numbers = [s.number for s in SimFaultSchedule().draw(failed.order.seed)]
+        numbers = [s.number for s in SimFaultSchedule().generate(failed.spec.seed)]
         wanted = failed_checks(failed)
         minimal_result = failed
         is_shorter = True
         while is_shorter:
             is_shorter = False
-            left = [n for n in numbers if n not in minimal_result.order.excluded_faults]
+            left = [n for n in numbers if n not in minimal_result.spec.excluded_faults]
             tries = [
-                replace(minimal_result.order, excluded_faults=minimal_result.order.excluded_faults | {n}) for n in left
+                replace(minimal_result.spec, excluded_faults=minimal_result.spec.excluded_faults | {n}) for n in left
             ]
             still_failing = [r for r in self.run_many(tries) if failed_checks(r) & wanted]
             if still_failing:
                 # The one that needs the least time is the easiest to read.
-                minimal_result = min(still_failing, key=lambda r: (r.virtual_seconds, sorted(r.order.excluded_faults)))
+                minimal_result = min(still_failing, key=lambda r: (r.virtual_seconds, sorted(r.spec.excluded_faults)))
                 is_shorter = True
         return minimal_result
 
 
 class Sweep:
-    def __init__(self, journal_path: Path | None, run_many: RunMany, tell: Callable[[str], None]) -> None:
+    def __init__(self, journal_path: Path | None, run_many: RunMany, report_line: Callable[[str], None]) -> None:
         self.journal_path = journal_path
         self.run_many = run_many
-        self.tell = tell
+        self.report_line = report_line
 
-    def run(self, orders: list[RunSpec]) -> int:
+    def run(self, specs: list[RunSpec]) -> int:
         """How many of the orders broke a rule, now or in the journal; one line for each that did."""
         done = self._read_journal()
-        failed_count = sum(int(done.get(o.command(), {}).get("breaches", 0)) > 0 for o in orders)
-        pending_specs = [o for o in orders if o.command() not in done]
-        self.tell(f"{len(orders)} runs, {len(orders) - len(open_)} in the journal")
+        failed_count = sum(int(done.get(o.command(), {}).get("breaches", 0)) > 0 for o in specs)
+        pending_specs = [o for o in specs if o.command() not in done]
+        self.report_line(f"{len(specs)} runs, {len(specs) - len(pending_specs)} in the journal")
         failures: list[RunResult] = []
         for result in self.run_many(pending_specs):
-            self._note(result)
+            self._append_to_journal(result)
             if result.breaches:
                 failures.append(result)
-                self.tell(f"{result.order.command()}: {result.breaches[0].splitlines()[-1][:200]}")
+                self.report_line(f"{result.spec.command()}: {result.breaches[0].splitlines()[-1][:200]}")
         for failure in failures:
             minimal_result = FailureMinimizer(self.run_many).minimize_failure(failure)
             if minimal_result is not failure:
-                self.tell("shortened:")
-                self.tell(minimal_result.failure())
-        for line in self.summary(orders):
-            self.tell(line)
+                self.report_line("shortened:")
+                self.report_line(minimal_result.failure())
+        for line in self.summary(specs):
+            self.report_line(line)
         return failed_count + len(failures)
 
-    def summary(self, orders: list[RunSpec]) -> list[str]:
+    def summary(self, specs: list[RunSpec]) -> list[str]:
         """A row a scenario and deployment, of all seeds asked for: how long service took to come back."""
         done = self._read_journal()
         rows: dict[tuple[str, str], list[dict[str, Any]]] = {}
-        for order in orders:
-            if order.command() in done:
-                rows.setdefault((order.scenario, order.deployment), []).append(done[order.command()])
+        for spec in specs:
+            if spec.command() in done:
+                rows.setdefault((spec.scenario, spec.deployment), []).append(done[spec.command()])
         lines = ["| scenario | deployment | runs | broke a rule | back after, s: mean | worst | retries |"]
         lines += ["| --- | --- | --- | --- | --- | --- | --- |"] if rows else []
         for (scenario, deployment), group in sorted(rows.items()):
@@ -114,11 +114,11 @@
                 continue  # The sweep was stopped while it wrote this one.
         return rows
 
-    def _note(self, result: RunResult) -> None:
+    def _append_to_journal(self, result: RunResult) -> None:
         if self.journal_path is None:
             return
         row = {
-            "command": result.order.command(),
+            "command": result.spec.command(),
             "breaches": len(result.breaches),
             "checks": sorted(failed_checks(result)),
             "recoveryMicros": result.recovery_micros,
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -37,7 +37,7 @@
         self.is_frozen = False
         # A stopped process's kernel still takes connections for it; a stopped machine's does not.
         self.kernel_accepts_connections = True
-        self.life = 0
+        self.boot_count = 0
         self.deferred_actions: list[Action] = []
         self.crew = BackgroundTaskGroup(name)
         self.disk = SimDisk(self)
@@ -53,13 +53,15 @@
         return self.clock_rate_set_at + round((own_micros - self.clock_base) / self.clock_rate)
 
     def after(self, delay_micros: int, callback: Action) -> Timer:
-        return self.world.loop.call_later(max(delay_micros, 0) / self.clock_rate / SECOND, self.gate(callback))
+        return self.world.loop.call_later(
+            max(delay_micros, 0) / self.clock_rate / SECOND, self.guard_callback(callback)
+        )
 
-    def gate(self, action: Action) -> Action:
-        life = self.life
+    def guard_callback(self, action: Action) -> Action:
+        boot_count = self.boot_count
 
         def run_unless_frozen() -> None:
-            if not self.is_alive or self.life != life:
+            if not self.is_alive or self.boot_count != boot_count:
                 return
             if self.is_frozen:
                 self.deferred_actions.append(run_unless_frozen)
@@ -69,7 +71,7 @@
         return run_unless_frozen
 
     def boot(self) -> None:
-        self.life += 1
+        self.boot_count += 1
         self.is_alive, self.is_frozen = True, False
         self.deferred_actions = []
         self.crew = BackgroundTaskGroup(self.name)
@@ -240,7 +242,7 @@
                 pair = (source.name, target.name)
                 arrival_micros = max(arrival_micros, self.last_arrivals.get(pair, 0) + 1)
                 self.last_arrivals[pair] = arrival_micros
-            deliver = target.gate(lambda: target_net.receiver(frame_bytes))
+            deliver = target.guard_callback(lambda: target_net.receiver(frame_bytes))
 
             def arrive(deliver: Action = deliver) -> None:
                 # A cut that began underway loses it too.
@@ -289,7 +291,7 @@
             if not target.is_alive:
                 send_reply(Err("refused"))
                 return
-            target.gate(lambda: discard_result(target.crew.start(run())))()
+            target.guard_callback(lambda: discard_result(target.crew.start(run())))()
 
         self.loop.call_later(self.link_micros() / SECOND, arrive)
         limit_timer = self.loop.call_later(limit_micros / SECOND, settle, Err("timeout"))
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -15,7 +15,7 @@
 from pearhead.runtime.clock import MILLI, Clock, rest
 
 PREFILL_MICROS_PER_TOKEN = 100
-LINE_MICROS = 15 * MILLI
+LINE_INTERVAL_MICROS = 15 * MILLI
 LINE_COUNT = 6
 LOAD_MICROS = 1_500 * MILLI
 EVENT_LIMIT = 5_000
@@ -75,8 +75,8 @@
     """How fast a worker is, and whether it lets running jobs end before it loads."""
 
     prefill_micros: int = PREFILL_MICROS_PER_TOKEN
-    line_micros: int = LINE_MICROS
-    long_line_micros: int = LINE_MICROS
+    line_micros: int = LINE_INTERVAL_MICROS
+    long_line_micros: int = LINE_INTERVAL_MICROS
     load_micros: int = LOAD_MICROS
     drains_before_load: bool = True
 
@@ -90,7 +90,7 @@
         self.events: list[tuple[int, str, str]] = []
         self.is_silent = False
 
-    def tell(self, kind: str, key: str) -> None:
+    def append_event(self, kind: str, key: str) -> None:
         self.sequence += 1
         self.events.append((self.sequence, kind, key))
         del self.events[:-EVENT_LIMIT]
@@ -115,11 +115,11 @@
         clock: Clock,
         chance: random.Random,
         link: CacheFetcher,
-        watch: Callable[[RunRecord], None] = lambda record: None,
+        on_run: Callable[[RunRecord], None] = lambda record: None,
     ) -> None:
         self.clock = clock
         self.link = link
-        self.watch = watch
+        self.on_run = on_run
         self.log = CacheEventLog(chance.randbytes(8).hex())
         self.loaded_model = ""
         self.loading_model = ""
@@ -131,7 +131,7 @@
         self.prefill_free_at = 0
         self.runs: list[RunRecord] = []
         self.cut_after_lines: int | None = None
-        self.pace = WorkerSpeed()
+        self.speed = WorkerSpeed()
         self.load_fault = ""
 
     async def run(self, request: dict[str, Any], upstream_id: str) -> AsyncGenerator[dict[str, Any], None]:
@@ -164,10 +164,10 @@
                 record.foreign.append(f"salt {kept.salt} for {salt}")
             if kept.tenant != record.tenant and kept.tenant not in record.shared_with:
                 record.shared_with.append(kept.tenant)
-        self.watch(record)
+        self.on_run(record)
         missed_tokens = sum(int(p["tokens"]) for p in prefix[reused_count:])
         # One prefill at a time: a worker that all jobs are sent to makes them wait.
-        own_micros = missed_tokens * self.pace.prefill_micros
+        own_micros = missed_tokens * self.speed.prefill_micros
         self.prefill_free_at = end_micros = max(self.clock.now(), self.prefill_free_at) + own_micros
         try:
             await rest(self.clock, end_micros - self.clock.now())
@@ -177,9 +177,11 @@
             raise
         for part in prefix[reused_count:]:
             if part["key"]:
-                await self._keep(part["key"], CachedPart(self.loaded_model, salt, record.tenant, int(part["tokens"])))
+                await self._cache_part(
+                    part["key"], CachedPart(self.loaded_model, salt, record.tenant, int(part["tokens"]))
+                )
         line_count = expected_lines(request["prompt"])
-        line_micros = self.pace.line_micros if line_count < LINE_COUNT else self.pace.long_line_micros
+        line_micros = self.speed.line_micros if line_count < LINE_COUNT else self.speed.long_line_micros
         for line_number in range(line_count):
             await rest(self.clock, line_micros * max(1, self.running_count // BATCH_SIZE))
             if self.loaded_model != record.loaded_model or self.load_count != load_count:
@@ -219,7 +221,7 @@
             if kept is None:
                 break
             token_count += kept.tokens
-            await self._keep(part["key"], kept)
+            await self._cache_part(part["key"], kept)
         return self.clock.now() - start_micros, token_count
 
     def _count_cached_parts(self, prefix: list[dict[str, Any]], salt: str) -> int:
@@ -230,12 +232,12 @@
             self.cache.move_to_end(part["key"])
         return len(prefix)
 
-    async def _keep(self, key: str, kept: CachedPart) -> None:
+    async def _cache_part(self, key: str, kept: CachedPart) -> None:
         self.cache[key] = kept
-        self.log.tell("kept", key)
+        self.log.append_event("kept", key)
         while len(self.cache) > CACHE_KEY_LIMIT:
             evicted_key, _ = self.cache.popitem(last=False)
-            self.log.tell("dropped", evicted_key)
+            self.log.append_event("dropped", evicted_key)
         await self.link.write_to_store(key, kept)
 
     async def claim(self, fence: int) -> dict[str, Any]:
@@ -260,9 +262,9 @@
         if self.loaded_model != model:
             self.loading_model = model
             try:
-                while self.running_count and self.pace.drains_before_load:
+                while self.running_count and self.speed.drains_before_load:
                     await rest(self.clock, 20 * MILLI)
-                await rest(self.clock, self.pace.load_micros)
+                await rest(self.clock, self.speed.load_micros)
                 while self.load_fault == "hangs":
                     await rest(self.clock, 100 * MILLI)
                 if self.load_fault == "fails":
@@ -272,11 +274,11 @@
             finally:
                 self.loading_model = ""
         self.cache.clear()
-        self.log.tell("cleared", "")
+        self.log.append_event("cleared", "")
         return {"life": self.log.life, "sequence": self.log.sequence, "model": model}
 
     def events(self, life: str, after: int) -> dict[str, Any]:
-        waiting_tokens = max(0, self.prefill_free_at - self.clock.now()) // self.pace.prefill_micros
+        waiting_tokens = max(0, self.prefill_free_at - self.clock.now()) // self.speed.prefill_micros
         load = {"running": self.running_count, "waiting_tokens": waiting_tokens}
         if self.log.is_silent:
             return {
@@ -300,7 +302,7 @@
 
     def put(self, key: str, kept: CachedPart) -> None:
         if key not in self.kept:
-            self.log.tell("kept", key)
+            self.log.append_event("kept", key)
         self.kept[key] = kept
 
     def get(self, key: str) -> CachedPart | None:
@@ -313,16 +315,16 @@
 class ApplicationModel:
     """The small application service: it answers plain jobs without any model."""
 
-    def __init__(self, clock: Clock, watch: Callable[[RunRecord], None] = lambda record: None) -> None:
+    def __init__(self, clock: Clock, on_run: Callable[[RunRecord], None] = lambda record: None) -> None:
         self.clock = clock
-        self.watch = watch
+        self.on_run = on_run
         self.runs: list[RunRecord] = []
         self.line_micros = 2 * MILLI
 
     async def run(self, request: dict[str, Any], upstream_id: str) -> AsyncGenerator[dict[str, Any], None]:
         record = RunRecord(upstream_id, request["user"], request["model"], request["model"], self.clock.now())
         self.runs.append(record)
-        self.watch(record)
+        self.on_run(record)
         line_count = expected_lines(request["prompt"])
         for line_number in range(line_count):
             await rest(self.clock, self.line_micros)
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -7,7 +7,7 @@
 
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.deployment import KLIPPVIK
-from pearhead.testbed.simulator.control_scenarios import CONTROL_SCENARIOS, ControlDay
+from pearhead.testbed.simulator.control_scenarios import CONTROL_SCENARIOS, ControlScenarioRun
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.history import CONFLICT, DONE, NO_ANSWER, Change
 from pearhead.testbed.simulator.mutations import MUTATIONS
@@ -17,11 +17,11 @@
 CHECKS = {"orders", "late answer", "not in step", "disturbed", "old configuration", "not led in time"}
 
 
-def run_day(play: Callable[[ControlDay], Awaitable[None]]) -> None:
+def run_day(play: Callable[[ControlScenarioRun], Awaitable[None]]) -> None:
     async def play_all(world: World) -> None:
-        day = ControlDay(SimFleet(world, KLIPPVIK, 1, 2))
-        await day.fleet.up()
-        await play(day)
+        scenario_run = ControlScenarioRun(SimFleet(world, KLIPPVIK, 1, 2))
+        await scenario_run.fleet.up()
+        await play(scenario_run)
 
     run_in_virtual_time(1, play_all)
 
@@ -43,34 +43,34 @@
         self.assertEqual(found, CHECKS)
 
     def test_an_answer_given_up_is_none_and_the_repeat_elsewhere_is_acknowledged(self) -> None:
-        async def play(day: ControlDay) -> None:
+        async def play(scenario_run: ControlScenarioRun) -> None:
             change = Change(0, 1, "a")
-            leader, other = day.fleet.leader(), day.followers()[0]
-            lost = await day.operators.ask(change, leader, 1 * MILLI)
-            again = await day.operators.ask(change, other)
-            foreign = await day.operators.ask(Change(0, 1, "b"), other)
+            leader, other = scenario_run.fleet.leader(), scenario_run.followers()[0]
+            lost = await scenario_run.operators.ask(change, leader, 1 * MILLI)
+            again = await scenario_run.operators.ask(change, other)
+            foreign = await scenario_run.operators.ask(Change(0, 1, "b"), other)
             self.assertEqual([o.status for o in (lost, again, foreign)], [NO_ANSWER, DONE, CONFLICT])
-            self.assertEqual(again.told_number, 1)
-            read = await day.operators.read(other)
+            self.assertEqual(again.reported_number, 1)
+            read = await scenario_run.operators.read(other)
             assert read is not None
             self.assertEqual((read.number, read.content, read.marks), (1, "a", frozenset("a")))
-            self.assertEqual(day.operators.history.find_faults(), [])
+            self.assertEqual(scenario_run.operators.history.find_faults(), [])
             foreign.status = DONE
-            self.assertTrue(day.operators.history.find_faults())
+            self.assertTrue(scenario_run.operators.history.find_faults())
 
         run_day(play)
 
     def test_an_order_that_nobody_answers_and_a_day_without_a_leader_are_told(self) -> None:
-        async def play(day: ControlDay) -> None:
-            silent = day.followers()[0]
-            day.fleet.freeze(silent)
-            await day._request_at(silent)
-            self.assertIn("late answer", day.fleet.ledger.breaches[0])
-            for name in day.fleet.live_cores():
-                day.fleet.kill(name)
-            start_micros = day.world.now()
-            await day.expect_leader("all were killed")
-            self.assertIn("not led in time", day.fleet.ledger.breaches[1])
-            self.assertLess(day.world.now() - start_micros, 3 * SECOND)
+        async def play(scenario_run: ControlScenarioRun) -> None:
+            silent = scenario_run.followers()[0]
+            scenario_run.fleet.freeze(silent)
+            await scenario_run._request_at(silent)
+            self.assertIn("late answer", scenario_run.fleet.ledger.breaches[0])
+            for name in scenario_run.fleet.live_cores():
+                scenario_run.fleet.kill(name)
+            start_micros = scenario_run.world.now()
+            await scenario_run.expect_leader("all were killed")
+            self.assertIn("not led in time", scenario_run.fleet.ledger.breaches[1])
+            self.assertLess(scenario_run.world.now() - start_micros, 3 * SECOND)
 
         run_day(play)
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -169,7 +169,7 @@
                 await fleet.apply(fleet.marked_description("b"))
                 for name in names:
                     fleet.kill(name, loses_power=True)
-                fleet.mend(pairs)
+                fleet.restore_links(pairs)
                 fleet.world.machine(wiped).disk.empty()
                 for name in (leader, short):
                     fleet.start(name)
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -87,7 +87,7 @@
                     else [pair for name in others for pair in fleet.cut([name], [leader], both_ways=False)]
                 )
                 await self.led_by_another(fleet, leader, 2.6)
-                fleet.mend(pairs)
+                fleet.restore_links(pairs)
                 await pause(fleet.world, SECOND)
 
             with self.subTest(hears=hears):
@@ -101,7 +101,7 @@
             await self.led_by_another(fleet, leader, 1.3)
             await pause(fleet.world, 2 * SECOND)
             self.assertFalse(fleet.cores[leader].raft.is_leader())
-            fleet.mend(pairs)
+            fleet.restore_links(pairs)
 
         self.play(play)
 
@@ -171,7 +171,7 @@
             await pause(fleet.world, 4 * SECOND)
             for name in [leader, *others]:
                 fleet.set_disk(name, "full", False)
-            fleet.mend(pairs)
+            fleet.restore_links(pairs)
             self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 2.0)
 
         self.play(play, core_counts=(3,), seeds=3)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -12,8 +12,8 @@
     UNAVAILABLE,
     UNKNOWN,
     Change,
+    ChangeAttempt,
     History,
-    Order,
     Read,
 )
 
@@ -22,16 +22,18 @@
 SECOND = Change(1, 2, "c")
 
 
-def order(change: Change, start: int, end: int, status: str = DONE, told_number: int | None = None) -> Order:
-    number = change.number if told_number is None else told_number
-    return Order(change, "core-1", start, end, status, number if status == DONE else 0)
+def order(
+    change: Change, start: int, end: int, status: str = DONE, reported_number: int | None = None
+) -> ChangeAttempt:
+    number = change.number if reported_number is None else reported_number
+    return ChangeAttempt(change, "core-1", start, end, status, number if status == DONE else 0)
 
 
 def read(start: int, end: int, number: int, content: str, *marks: str) -> Read:
     return Read("core-2", start, end, number, content, frozenset(marks))
 
 
-def sound_orders() -> list[Order]:
+def sound_orders() -> list[ChangeAttempt]:
     return [
         order(FIRST, 10, 20, NO_ANSWER),
         order(LOSER, 11, 30, CONFLICT),
@@ -54,11 +56,11 @@
 
 
 class HistoryTest(unittest.TestCase):
-    def check(self, wanted: str, *orders: Order, reads: tuple[Read, ...] = ()) -> None:
+    def check(self, wanted: str, *change_attempts: ChangeAttempt, reads: tuple[Read, ...] = ()) -> None:
         """These break the rule, and nothing before they came did."""
         history = History(sound_orders(), sound_reads())
         self.assertEqual(history.find_faults(), [])
-        history.orders.extend(orders)
+        history.change_attempts.extend(change_attempts)
         history.reads.extend(reads)
         self.assertTrue(any(wanted in fault for fault in history.find_faults()), history.find_faults())
 
@@ -73,11 +75,11 @@
 
     def test_the_same_content_under_another_number_is_another_change(self) -> None:
         history = History(sound_orders(), sound_reads())
-        history.orders.append(order(Change(0, 3, "a"), 36, 37, CONFLICT))
-        history.orders.append(order(Change(2, 3, "a"), 100, 110))
+        history.change_attempts.append(order(Change(0, 3, "a"), 36, 37, CONFLICT))
+        history.change_attempts.append(order(Change(2, 3, "a"), 100, 110))
         history.reads.append(read(120, 130, 3, "a", "a", "c"))
         self.assertEqual(history.find_faults(), [])
-        history.orders.append(order(Change(2, 3, "a"), 140, 150, CONFLICT))
+        history.change_attempts.append(order(Change(2, 3, "a"), 140, 150, CONFLICT))
         self.assertIn("which is taken", history.find_faults()[0])
 
     def test_an_acknowledgement_of_another_order(self) -> None:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -45,8 +45,8 @@
 from pearhead.testbed.simulator.interleaving_explorer import (
     ExplorationResult,
     InterleavingExplorer,
-    StepClock,
     TaskScenario,
+    TimerDrivenClock,
 )
 from tests.test_front import NoLink, ScriptedCarrier, make_view
 
@@ -91,7 +91,7 @@
 
 
 def make_node(carrier: ScriptedCarrier) -> NodeProcess:
-    node = NodeProcess(STARTUP, StepClock(), FakeRuntime(), carrier, NoLink(), random.Random(1))
+    node = NodeProcess(STARTUP, TimerDrivenClock(), FakeRuntime(), carrier, NoLink(), random.Random(1))
     node.keeper.view = make_view()
     node.keeper.is_current = lambda: True  # type: ignore[method-assign]
     return node
@@ -110,7 +110,7 @@
         delta = ViewDelta(index=index, hash=hash_sections(sections))
         delta.section.append(Section(name="workers", index=index, body=sections["workers"][1]))
         views[index] = delta
-    clock, bench = StepClock(), FakeRuntime()
+    clock, bench = TimerDrivenClock(), FakeRuntime()
     courier = RpcEndpoint("me", "a:1", bench, clock)
     directory = Directory(Record(identity="me"), ["s:1"], courier, clock, random.Random(1))
     keeper = ViewReplica(courier, directory, clock, random.Random(1), BackgroundTaskGroup("t"), SECOND)
@@ -191,7 +191,7 @@
 
 
 async def bump_against_retransmission_and_leader_change() -> None:
-    log, clock = SharedLog(), StepClock()
+    log, clock = SharedLog(), TimerDrivenClock()
     benches = {name: FakeRuntime() for name in ("old", "new")}
     crew = BackgroundTaskGroup("t")
     serializers = {}
@@ -239,7 +239,7 @@
         return Ok((index, self.outcomes[index - 1]))
 
 
-def make_core(clock: StepClock) -> CoreProcess:
+def make_core(clock: TimerDrivenClock) -> CoreProcess:
     core = CoreProcess(STARTUP, clock, FakeRuntime(), YieldingDisk(), random.Random(1), lambda reason: None)
     core.raft = LogRaft(core.fleet, core)  # type: ignore[assignment]
     workers = Command(workers=SetWorkers(worker=[Worker(name="w", address="w:1", service="s")]))
@@ -249,7 +249,7 @@
 
 async def holder_takeover() -> None:
     """One holder renews late, another asks from the moment that the term may be over."""
-    clock = StepClock()
+    clock = TimerDrivenClock()
     core = make_core(clock)
     ends: dict[str, int] = {}
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -262,7 +262,7 @@
             fleet.start("core-9")
             now = [n for n in names if n != gone] + ["core-9"]
             await seconds_until(fleet, lambda: all_agree(fleet, now))
-            fleet.mend(pairs)
+            fleet.restore_links(pairs)
             await pause(fleet.world, 5 * SECOND)
             members = fleet.cores[fleet.leader()].raft.members()
             self.assertEqual({m.address: m.voter for m in members.member}[f"{gone}:1"], False)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -6,7 +6,7 @@
 import unittest
 
 from pearhead.testbed.deployment import KLIPPVIK, build_description
-from pearhead.testbed.simulator.recording import plan, read_recording, replay
+from pearhead.testbed.simulator.recording import preview_description, read_recording, replay
 from pearhead.testbed.simulator.scenarios import run_scenario
 
 
@@ -23,7 +23,7 @@
         self.assertLess(len(changed), 0.03 * len(recorded), "the same faults at the same times")
         description = build_description(KLIPPVIK)
         description["entries"] = [e for e in description["entries"] if e["name"] != "notice"]
-        lines = plan(recording, description)
+        lines = preview_description(recording, description)
         notice_lines = [x for x in lines if " notice " in x]
         self.assertTrue(notice_lines)
         self.assertTrue(all("done=" in x and "unknown_kind=" in x for x in notice_lines), notice_lines)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -40,9 +40,9 @@
     def test_each_checker_finds_a_broken_build(self) -> None:
         orders = [RunSpec(m.scenario, "klippvik", 1, name, 3) for name, m in MUTATIONS.items()]
         for result in run_specs(orders):
-            wanted = MUTATIONS[result.order.mutation].wanted
+            wanted = MUTATIONS[result.spec.mutation].wanted
             found_checks = {breach.split(":")[0] for breach in result.breaches}
-            with self.subTest(result.order.mutation):
+            with self.subTest(result.spec.mutation):
                 self.assertIn(wanted, found_checks, result.breaches[:3])
 
     def test_a_seed_gives_the_same_run(self) -> None:
--- a/tests/test_simulator_explore.py
+++ b/tests/test_simulator_explore.py
@@ -1,4 +1,4 @@
-"""Explorer: it finds the one order of steps that loses an update."""
+"""InterleavingExplorer: it finds the one order of steps that loses an update."""
 
 from __future__ import annotations
 
--- a/tests/test_simulator_strikes.py
+++ b/tests/test_simulator_strikes.py
@@ -1,4 +1,4 @@
-"""StrikePlan: the faults that a seed draws."""
+"""SimFaultSchedule: the faults that a seed draws."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     def test_core_strikes_never_overlap_and_others_do(self) -> None:
         overlap_count = 0
         for seed in range(200):
-            strikes = SimFaultSchedule().draw(seed)
-            self.assertEqual(strikes, SimFaultSchedule().draw(seed))
+            strikes = SimFaultSchedule().generate(seed)
+            self.assertEqual(strikes, SimFaultSchedule().generate(seed))
             self.assertTrue(strikes[-1].is_permanent)
             cores = [s for s in strikes if s.kind in CORE_FAULT_KINDS]
             for first, second in zip(cores, cores[1:], strict=False):
--- a/tests/test_simulator_sweep.py
+++ b/tests/test_simulator_sweep.py
@@ -33,7 +33,7 @@
             ran.clear()
             self.assertEqual(Sweep(journal_path, run_many, said.append).run(orders), 1)
             self.assertEqual(ran[0], orders[1], "the first one stood in the journal")
-            drawn = {s.number for s in SimFaultSchedule().draw(2)}
+            drawn = {s.number for s in SimFaultSchedule().generate(2)}
             self.assertEqual(drawn - ran[-1].excluded_faults - {3, 5}, set())
             self.assertEqual(Sweep(journal_path, run_many, said.append).run(orders), 1, "a failure is not forgotten")
             self.assertIn("| overlapping-faults | academy | 2 | 1 | 0.0 | 0.0 | 0.0% |", said)
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -345,7 +345,7 @@
         self.machine = fleet.world.machine(name)
         self.machine.boot()
         machine, address = self.machine, f"{name}:1"
-        chance = random.Random(f"{fleet.world.seed} {name} {machine.life}")
+        chance = random.Random(f"{fleet.world.seed} {name} {machine.boot_count}")
         self.identity = chance.randbytes(12).hex()
         self.courier = RpcEndpoint(self.identity, address, SimNetwork(machine, address), machine)
         record = Record(identity=self.identity, address=address, role="router")
