--- a/src/pearhead/config/dataclass_parser.py
+++ b/src/pearhead/config/dataclass_parser.py
@@ -1,4 +1,4 @@
-"""read_checked (§3.3): data into dataclasses, checked by dacite, with every fault and its path."""
+"""parse_dataclass (§3.3): data into dataclasses, checked by dacite, with every fault and its path."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def parse_dataclass(dataclass_type: type[AnyT], data: object) -> Result[AnyT, list[str]]:
-    """Builds a dataclass `shape` from `data`, or lists every fault, each with its path."""
+    """Builds a dataclass `dataclass_type` from `data`, or lists every fault, each with its path."""
     faults: list[str] = []
     _find_field_errors(dataclass_type, data, "", faults)
     if faults:
--- a/src/pearhead/config/description.py
+++ b/src/pearhead/config/description.py
@@ -189,13 +189,13 @@
 def _with_consistency_errors(checked: Result[Description, list[str]]) -> Result[Description, list[str]]:
     if isinstance(checked, Err):
         return checked
-    faults = find_faults(checked.ok_value)
+    faults = find_description_errors(checked.ok_value)
     return Err(faults) if faults else checked
 
 
 def _parse(description_bytes: bytes) -> Result[Any, list[str]]:
     if len(description_bytes) > MAX_DESCRIPTION_BYTES:
-        return Err([f"file: over {MAXIMUM_DESCRIPTION} bytes"])
+        return Err([f"file: over {MAX_DESCRIPTION_BYTES} bytes"])
     try:
         data: Any = json.loads(description_bytes)
     except ValueError as fault:
@@ -226,7 +226,7 @@
         self.names: set[str] = set()
         self.prefixes: dict[tuple[str, str], str] = {}
 
-    def find(self, path: str, route: Route) -> list[str]:
+    def check_route(self, path: str, route: Route) -> list[str]:
         """The faults of one route, which `path` names in each message."""
         faults = []
         if not route.name:
@@ -253,16 +253,16 @@
         return faults
 
 
-def find_faults(description: Description, allow_any_name: bool = False) -> list[str]:
-    """Every fault between items. `any_names`: operators of another manner name items as they like (§5.4)."""
+def find_description_errors(description: Description, allow_any_name: bool = False) -> list[str]:
+    """Every fault between items. `allow_any_name`: operators of another manner name items as they like (§5.4)."""
     faults: list[str] = []
     line_names = _check_names("lines", (x.name for x in description.lines), faults, allow_any_name)
     service_names = _check_names("services", (x.name for x in description.services), faults, allow_any_name)
     tenant_names = _check_names("tenants", (x.name for x in description.tenants), faults, allow_any_name)
     _check_names("entries", (x.name for x in description.entries), faults, allow_any_name)
-    route_check = RouteValidator({s.name: s.role for s in description.services})
+    route_validator = RouteValidator({s.name: s.role for s in description.services})
     for position, route in enumerate(description.routes):
-        faults.extend(route_check.find(f"routes[{position}]", route))
+        faults.extend(route_validator.check_route(f"routes[{position}]", route))
     for position, line in enumerate(description.lines):
         if not line.weights:
             faults.append(f"lines[{position}].weights: must not be empty")
--- a/src/pearhead/config/startup.py
+++ b/src/pearhead/config/startup.py
@@ -1,4 +1,4 @@
-"""Startup (§3.3): a process learns its place from a file, flags over it, checked as a whole."""
+"""StartupConfig (§3.3): a process learns its place from a file, flags over it, checked as a whole."""
 
 from __future__ import annotations
 
--- a/src/pearhead/config/view.py
+++ b/src/pearhead/config/view.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True)
-class WeightsFact:
+class WeightsRecord:
     """The weights named for a line, and the revision of that naming."""
 
     weights: str
@@ -186,9 +186,9 @@
         return {n: LoadRecord.read(fact) for n, fact in self._section("loads").items()}
 
     @cached_property
-    def weights(self) -> dict[str, WeightsFact]:
+    def weights(self) -> dict[str, WeightsRecord]:
         """The named weights by line."""
-        return {n: WeightsFact(**w) for n, w in self._section("weights").items()}
+        return {n: WeightsRecord(**w) for n, w in self._section("weights").items()}
 
     @cached_property
     def tenant_by_hash(self) -> dict[str, Tenant]:
@@ -197,7 +197,7 @@
 
     @cached_property
     def entry_by_match(self) -> dict[tuple[str, str, str], CapabilityEntry]:
-        """The entries by line, tenant (or `EVERY_TENANT`) and kind."""
+        """The entries by line, tenant (or `ANY_TENANT`) and kind."""
         return {(e.line, t, k): e for e in self.description.entries for t in e.tenants for k in e.kinds}
 
     @cached_property
--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -19,7 +19,7 @@
 from pearhead.consensus.snapshot_store import SnapshotLimits
 from pearhead.consensus.wal import Wal
 from pearhead.control_plane.description_change import ChangeChecker, decode_route, hash_change, to_json
-from pearhead.control_plane.fleet_state import Fleet, UnknownCommandError, encode_canonical_json
+from pearhead.control_plane.fleet_state import FleetState, UnknownCommandError, encode_canonical_json
 from pearhead.control_plane.membership_controller import MembershipController
 from pearhead.control_plane.view_service import ViewService
 from pearhead.discovery.directory import Directory
@@ -43,16 +43,16 @@
 from pearhead.runtime.net import Net
 
 LOGGER = logging.getLogger("pearhead")
-COMMAND_MICROS = 5 * SECOND
+COMMAND_TIMEOUT_MICROS = 5 * SECOND
 # Operators go on to another core after a second without an answer, later where bodies are large.
-RELAY_MICROS = SECOND
+RELAY_BASE_TIMEOUT_MICROS = SECOND
 RELAY_BYTES_PER_SECOND = 500_000
 DESCRIPTION_READ_TIMEOUT_MICROS = 2 * SECOND
 LEADER_POLL_MICROS = 50 * MILLI
-PAUSED_MICROS = SECOND
+MAX_STALL_MICROS = SECOND
 IDENTITY_FILE = "identity"
 FOUNDERS_FILE = "founders"
-FULL_RETRY_MICROS = 500 * MILLI
+DISK_FULL_RETRY_MICROS = 500 * MILLI
 EVENT_TYPES = {
     "apply": "description.applied",
     "change": "description.applied",
@@ -69,7 +69,7 @@
 
 def relay_timeout_micros(command_bytes: int) -> int:
     """For how long a relayed command of this size waits for the leader's answer."""
-    return RELAY_MICROS + command_bytes * SECOND // RELAY_BYTES_PER_SECOND
+    return RELAY_BASE_TIMEOUT_MICROS + command_bytes * SECOND // RELAY_BYTES_PER_SECOND
 
 
 class CoreProcess:
@@ -89,8 +89,8 @@
         self.chance = chance
         self.fail = fail
         self.task_group = BackgroundTaskGroup("control_plane")
-        self.fleet = Fleet()
-        self.hold_seen: dict[str, tuple[int, int]] = {}
+        self.fleet = FleetState()
+        self.hold_last_seen: dict[str, tuple[int, int]] = {}
         self.leader_since = 0
         self.identity = ""
         self.founders = startup.founders
@@ -118,7 +118,7 @@
             self.identity,
             Wal(self.disk),
             self,
-            self._tell,
+            self._send_to_member,
             self.clock,
             self.chance,
             self.task_group,
@@ -137,8 +137,8 @@
             self.fail,
         )
         self.view_service = ViewService(self.identity, self.raft, self.fleet)
-        self.raft.watch_leadership(self._take_leadership)
-        self.raft.watch_members(self._take_members)
+        self.raft.watch_leadership(self._on_leadership_change)
+        self.raft.watch_members(self._on_members_change)
         self.serializer = RevisionSequencer(
             self, self.rpc_endpoint, self.directory, self.clock, self.task_group, self.startup.tableLifetimeMicros
         )
@@ -162,7 +162,7 @@
         self.raft.start()
         self.task_group.start(self.directory.run())
         self.task_group.start(self.membership.run())
-        self.task_group.start(self.membership.care())
+        self.task_group.start(self.membership.reconcile())
         LOGGER.info("control_plane: Listens. core=%s address=%s", self.identity[:8], self.startup.address)
 
     def stop(self) -> None:
@@ -173,7 +173,7 @@
         """Gives vote and leadership to others before it stops (§4.9)."""
         await self.membership.leave()
 
-    def _tell(self, address: str, body_name: str, body: Message) -> None:
+    def _send_to_member(self, address: str, body_name: str, body: Message) -> None:
         self.rpc_endpoint.send_message(address, body_name, body)
 
     async def _load_or_create_identity(self) -> str:
@@ -199,7 +199,7 @@
                 if disk_error.errno != errno.ENOSPC:
                     raise
                 LOGGER.error("control_plane: The disk is full.")
-                await sleep_for(self.clock, FULL_RETRY_MICROS)
+                await sleep_for(self.clock, DISK_FULL_RETRY_MICROS)
 
     def _load_founders(self) -> list[str]:
         if self.startup.founders or FOUNDERS_FILE not in self.disk.names():
@@ -218,7 +218,7 @@
         command = Command.FromString(command_bytes)
         body_name = command.WhichOneof("body")
         if body_name == "hold" and outcome["status"] == "done":
-            self.hold_seen[command.hold.worker] = (outcome["fence"], self.clock.now())
+            self.hold_last_seen[command.hold.worker] = (outcome["fence"], self.clock.now())
         elif body_name in ("apply", "change") and outcome["status"] == "done":
             self._register_volumes()
         if body_name in EVENT_TYPES and outcome["status"] == "done" and self.raft.is_leader():
@@ -231,7 +231,7 @@
     def load_digest(self, digest_bytes: bytes) -> None:
         self.fleet.load_digest(digest_bytes)
         # How long a hold was seen is not known, so it counts from now (§7.2).
-        self.hold_seen = {w: (h["fence"], self.clock.now()) for w, h in self.fleet.holds.items()}
+        self.hold_last_seen = {w: (h["fence"], self.clock.now()) for w, h in self.fleet.holds.items()}
 
     def _register_volumes(self) -> None:
         if hasattr(self, "serializer"):
@@ -317,10 +317,10 @@
             if isinstance(checked, Err):
                 return CommandResult(status="refused", body=encode_canonical_json({"faults": checked.err_value}))
         elif command.WhichOneof("body") == "change":
-            judged = await self._precheck_change(command)
-            if judged is not None:
-                return judged
-        if self.clock.now() - arrived_micros > COMMAND_MICROS:
+            rejection = await self._precheck_change(command)
+            if rejection is not None:
+                return rejection
+        if self.clock.now() - arrived_micros > COMMAND_TIMEOUT_MICROS:
             # Who asked has given up, and may have said something else since (§4.2).
             return unavailable_result("the command waited too long")
         outcome = await self.raft.propose(command.SerializeToString())
@@ -369,10 +369,10 @@
         if held is None:
             return
         now_micros = self.clock.now()
-        seen_fence, seen_micros = self.hold_seen.get(worker, (0, now_micros))
+        seen_fence, seen_micros = self.hold_last_seen.get(worker, (0, now_micros))
         if held["holder"] == command.hold.holder:
             if held["fence"] == command.hold.renew_fence:
-                self.hold_seen[worker] = (held["fence"], now_micros)
+                self.hold_last_seen[worker] = (held["fence"], now_micros)
             return
         since_micros = now_micros - max(seen_micros, self.leader_since)
         if seen_fence == held["fence"] and since_micros > self.startup.holdMicros:
@@ -380,7 +380,7 @@
             command.hold.renew_fence = held["fence"]
 
     async def _make_command_result(self, identity: str, address: str, ask: CommandAsk) -> CommandResult:
-        if self.clock.now() - self.raft.ticked_micros > PAUSED_MICROS:
+        if self.clock.now() - self.raft.ticked_micros > MAX_STALL_MICROS:
             # This process stood still, so it is not known for how long the command waited (§4.2).
             return unavailable_result("this core stood still")
         return await self.execute(Command.FromString(ask.command), relayed=ask.relayed)
@@ -390,14 +390,14 @@
     async def _make_join_result(self, identity: str, address: str, ask: JoinAsk) -> JoinResult:
         return await self.membership.make_join_result(identity, address, ask)
 
-    def _take_members(self, index: int, members: Members) -> None:
+    def _on_members_change(self, index: int, members: Members) -> None:
         voters = [m.address for m in members.member if m.voter]
         self.publish_event("members.changed", index, {"voters": voters})
 
-    def _take_leadership(self, leads: bool) -> None:
+    def _on_leadership_change(self, leads: bool) -> None:
         self.leader_since = self.clock.now()
-        self.membership.take_leadership(leads)
-        self.view_service.take_leadership(leads)
+        self.membership.on_leadership_change(leads)
+        self.view_service.on_leadership_change(leads)
 
     # ---- what operators are told -------------------------------------------------------------------
 
--- a/src/pearhead/control_plane/data_folder_inspector.py
+++ b/src/pearhead/control_plane/data_folder_inspector.py
@@ -1,4 +1,4 @@
-"""FolderReader (§10.4): looks at a core's data folder without a running core, and changes nothing."""
+"""DataFolderInspector (§10.4): looks at a core's data folder without a running core, and changes nothing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pearhead.consensus.log import KIND_COMMAND, KIND_MEMBERS
 from pearhead.consensus.wal import Wal, WalCorruptError
-from pearhead.control_plane.fleet_state import Fleet, UnknownCommandError
+from pearhead.control_plane.fleet_state import FleetState, UnknownCommandError
 from pearhead.rpc.wire_pb2 import Members
 
 
@@ -64,7 +64,7 @@
         except (WalCorruptError, ValueError) as fault:
             report.faults.append(str(fault))
             return report
-        fleet, members = Fleet(), Members()
+        fleet, members = FleetState(), Members()
         epochs = [e.epoch for e in recovered.entries]
         if epochs != sorted(epochs):
             report.faults.append("epochs of the entries go down")
--- a/src/pearhead/control_plane/description_change.py
+++ b/src/pearhead/control_plane/description_change.py
@@ -29,7 +29,7 @@
     Split,
     Tenant,
     description_from_checked_data,
-    find_faults,
+    find_description_errors,
 )
 from pearhead.rpc.wire_pb2 import ChangeDescription, Item
 
@@ -160,19 +160,19 @@
 class ChangeChecker:
     """Looks at a change in pieces, as the leader does before it goes into the log."""
 
-    def __init__(self, breathe: YieldToLoop) -> None:
-        self.breathe = breathe
+    def __init__(self, yield_to_loop: YieldToLoop) -> None:
+        self.yield_to_loop = yield_to_loop
 
     async def check(self, change: ChangeDescription, present: Json, held: EncodedRoutes) -> Result[None, list[str]]:
         """Every fault of the description that would come of the change, each with its path. Routes inside the
         document are moved out of it."""
         if change.ByteSize() > MAX_CHANGE_BYTES:
-            return Err([f"document: over {MAXIMUM_CHANGE} bytes"])
+            return Err([f"document: over {MAX_CHANGE_BYTES} bytes"])
         try:
             document: Any = json.loads(change.document)
         except (ValueError, RecursionError) as fault:
             return Err([f"document: can't be read: {type(fault).__name__}"])
-        await self.breathe()
+        await self.yield_to_loop()
         faults = self._find_schema_errors(document, change.by_name)
         if faults:
             return Err(faults)
@@ -180,10 +180,10 @@
             extract_routes(change, document)
         except (KeyError, TypeError, ValueError, AttributeError):
             return Err(["routes: each must be an object with a name, and a text as its source"])
-        await self.breathe()
+        await self.yield_to_loop()
         merged = merge_document(present, document, change.by_name)
-        faults = find_faults(description_from_checked_data(merged), allow_any_name=True)
-        await self.breathe()
+        faults = find_description_errors(description_from_checked_data(merged), allow_any_name=True)
+        await self.yield_to_loop()
         faults.extend(await self._find_route_errors(change, merge_routes(held, change, document), merged))
         return Err(faults) if faults else Ok(None)
 
@@ -209,11 +209,11 @@
     async def _find_route_errors(self, change: ChangeDescription, routes: EncodedRoutes, merged: Json) -> list[str]:
         faults = [f"routes: {name!r} is named twice" for name in _find_doubles([item.name for item in change.route])]
         put = {item.name for item in change.route}
-        route_check = RouteValidator({s["name"]: s["role"] for s in merged.get("services", [])})
+        route_validator = RouteValidator({s["name"]: s["role"] for s in merged.get("services", [])})
         for position, (name, (shown, _)) in enumerate(routes.items()):
             path = f"routes[{position}]"
             if position % CHUNK_SIZE == CHUNK_SIZE - 1:
-                await self.breathe()
+                await self.yield_to_loop()
             try:
                 data: Any = json.loads(shown)
             except (ValueError, RecursionError):
@@ -227,7 +227,7 @@
                 if data["name"] != name:
                     faults.append(f"{path}.name: is {name!r} beside it")
             route = Route(**{**data, "splits": [Split(**split) for split in data["splits"]]})
-            faults.extend(route_check.find(path, route))
+            faults.extend(route_validator.check_route(path, route))
         return faults
 
 
--- a/src/pearhead/control_plane/event_publisher.py
+++ b/src/pearhead/control_plane/event_publisher.py
@@ -1,4 +1,4 @@
-"""EventTeller (§10.5): CloudEvents for changes, by the library, bounded, best-effort, in nobody's way."""
+"""EventPublisher (§10.5): CloudEvents for changes, by the library, bounded, best-effort, in nobody's way."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
         self.post = post
         self.waiting: deque[CloudEvent] = deque(maxlen=QUEUE_LIMIT)
         self.wake = asyncio.Event()
-        self.told_count = 0
+        self.delivered_count = 0
         self.lost_count = 0
 
-    def tell(self, type_name: str, index: int, data: dict[str, Any]) -> None:
+    def publish(self, type_name: str, index: int, data: dict[str, Any]) -> None:
         if len(self.waiting) == QUEUE_LIMIT:
             self.lost_count += 1
         attributes = {"id": f"{type_name}-{index}", "type": f"pearhead.{type_name}", "source": SOURCE}
@@ -62,6 +62,6 @@
             self.wake.clear()
             while self.waiting:
                 message = to_structured_event(self.waiting.popleft())
-                is_told = await self.post(dict(message.headers), message.body)
-                self.told_count += is_told
-                self.lost_count += not is_told
+                is_delivered = await self.post(dict(message.headers), message.body)
+                self.delivered_count += is_delivered
+                self.lost_count += not is_delivered
--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -1,4 +1,4 @@
-"""Fleet (§4.2): the state that the cores agree on. It sees no clock and no chance."""
+"""FleetState (§4.2): the state that the cores agree on. It sees no clock and no chance."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
     """The log holds what only a later release can apply: this core must stop."""
 
 
-class Fleet:
+class FleetState:
     def __init__(self) -> None:
         self.index = 0
         self.description: Outcome = {}
@@ -227,7 +227,7 @@
             # The file names the weights that a line begins with; later ones are named apart (§7.1).
             self.weights.setdefault(line["name"], {"weights": line["weights"], "revision": index})
         self._set_description_sections(index)
-        self._show("weights", index, self.weights)
+        self._set_section("weights", index, self.weights)
         return {"status": "done", "revision": index}
 
     def _apply_change(self, index: int, command: ChangeDescription) -> Outcome:
@@ -256,7 +256,7 @@
         for line in self.description.get("lines", []):
             self.weights.setdefault(line["name"], {"weights": line["weights"], "revision": index})
         self._set_description_sections(index)
-        self._show("weights", index, self.weights)
+        self._set_section("weights", index, self.weights)
         return {"status": "done", "revision": index, "number": command.number}
 
     def has_applied_change(self, command: ChangeDescription) -> bool:
@@ -295,8 +295,8 @@
                 self.workers[name] = {**self.workers[name], "leaving": is_leaving}
         for gone_name in set(self.loads) - set(self.workers):
             del self.loads[gone_name]
-        self._show("workers", index, self.workers)
-        self._show("loads", index, self.loads)
+        self._set_section("workers", index, self.workers)
+        self._set_section("loads", index, self.loads)
         return {"status": "done", "revision": index}
 
     def _apply_weights(self, index: int, command: NameWeights) -> Outcome:
@@ -309,7 +309,7 @@
         if command.rising and _is_not_newer_version(command.weights, present):
             return {"status": "done", "revision": revision}
         self.weights[command.line] = {"weights": command.weights, "revision": index}
-        self._show("weights", index, self.weights)
+        self._set_section("weights", index, self.weights)
         return {"status": "done", "revision": index}
 
     def _apply_bump(self, index: int, command: BumpPart) -> Outcome:
@@ -346,7 +346,7 @@
             "sequence": command.sequence,
             "weights": command.weights,
         }
-        self._show("loads", index, self.loads)
+        self._set_section("loads", index, self.loads)
         return {"status": "done", "revision": index}
 
     def _set_description_sections(self, index: int) -> None:
@@ -357,13 +357,13 @@
         shown = {"revision": index, "description": head}
         if self.description_number:
             shown["number"] = self.description_number
-        self._show("description", index, shown)
+        self._set_section("description", index, shown)
         buckets: list[list[Any]] = [[] for _ in ENTRY_SECTIONS]
         for entry in self.description.get("entries", []):
             buckets[bucket_index(entry["name"])].append(entry)
         for name, entries in zip(ENTRY_SECTIONS, buckets, strict=True):
             if entries or self.sections[name][1] != EMPTY_BODY:
-                self._show(name, index, entries)
+                self._set_section(name, index, entries)
         for name, body in self._route_bodies().items():
             if body is not None or self.sections[name][1] != EMPTY_BODY:
                 self._set_section_body(name, index, body or b"[]")
@@ -377,7 +377,7 @@
             for name, pieces in zip(ROUTE_SECTIONS, buckets, strict=True)
         }
 
-    def _show(self, name: str, index: int, value: Any) -> None:
+    def _set_section(self, name: str, index: int, value: Any) -> None:
         self._set_section_body(name, index, encode_canonical_json(value))
 
     def _set_section_body(self, name: str, index: int, body: bytes) -> None:
--- a/src/pearhead/control_plane/main.py
+++ b/src/pearhead/control_plane/main.py
@@ -62,9 +62,9 @@
         print(f"control_plane: can't start: {fault}", file=sys.stderr)
         return 2
     if startup.eventSink:
-        teller = EventPublisher(http_post(startup.eventSink))
-        core.publish_event = teller.tell
-        core.task_group.start(teller.run())
+        publisher = EventPublisher(http_post(startup.eventSink))
+        core.publish_event = publisher.publish
+        core.task_group.start(publisher.run())
 
     async def drain() -> None:
         await server.drain_with_process(clock, startup.drainMicros, core.drain)
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -31,13 +31,13 @@
 RECONCILE_INTERVAL_MICROS = 100 * MILLI
 JOIN_RETRY_MICROS = 300 * MILLI
 JOIN_REQUEST_TIMEOUT_MICROS = 600 * MILLI
-ALONE_MICROS = 2 * SECOND
-ANSWER_MICROS = 400 * MILLI
+MAX_LEADER_SILENCE_MICROS = 2 * SECOND
+RESPONSIVE_WITHIN_MICROS = 400 * MILLI
 FOUNDING_GRACE_MICROS = (1_500 * MILLI, 8 * SECOND)
 # A silent voter is exchanged for a level learner after this; the other way round it costs nothing but two entries.
 EXCHANGE_MICROS = 1_500 * MILLI
-LEAVE_MICROS = 1_500 * MILLI
-LEAVING_MICROS = 10 * SECOND
+LEAVE_TIMEOUT_MICROS = 1_500 * MILLI
+VOTER_EXCLUSION_MICROS = 10 * SECOND
 MEMBER_REMOVAL_FACTOR = 3
 MIN_VOTERS = 3
 NEVER_CAUGHT_UP_INDEX = 2**62
@@ -95,7 +95,7 @@
         """A member by its own log may have been let go since: then nobody leads it any more."""
         if self.raft.is_leader():
             return True
-        was_heard = self.clock.now() - self.raft.heard_leader_micros <= ALONE_MICROS
+        was_heard = self.clock.now() - self.raft.heard_leader_micros <= MAX_LEADER_SILENCE_MICROS
         return was_heard and self.identity in self.raft.membership().addresses
 
     async def _bootstrap_cluster(self) -> None:
@@ -142,7 +142,7 @@
             # Who else was at this address is gone for good, and its disk with it.
             staying = [m for m in members.member if m.address != ask.address]
             learner = Member(identity=identity, address=ask.address, zone=ask.zone)
-            if await self._change([*staying, learner]):
+            if await self._submit_membership([*staying, learner]):
                 LOGGER.info("control_plane: Takes in a core as a learner. core=%s", identity[:8])
                 return JoinResult(taken=True)
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
@@ -175,7 +175,7 @@
             is_awaiting_members and leading_micros < FOUNDING_GRACE_MICROS[1]
         )
 
-    def take_leadership(self, leads: bool) -> None:
+    def on_leadership_change(self, leads: bool) -> None:
         """What a former leader knew of others counts no more."""
         self.leader_since = self.clock.now()
         self.caught_up_index = NEVER_CAUGHT_UP_INDEX
@@ -189,7 +189,7 @@
             await self._release_vote(self.identity)
         elif self.raft.leader_address():
             await self.rpc_endpoint.call(
-                self.raft.leader_address(), "leave_ask", LeaveAsk(), LEAVE_MICROS + JOIN_REQUEST_TIMEOUT_MICROS
+                self.raft.leader_address(), "leave_ask", LeaveAsk(), LEAVE_TIMEOUT_MICROS + JOIN_REQUEST_TIMEOUT_MICROS
             )
         if self.raft.transfer_leadership():
             end_micros = self.clock.now() + 2 * SECOND
@@ -201,8 +201,8 @@
         return LeaveResult(left=await self._release_vote(identity))
 
     async def _release_vote(self, identity: str) -> bool:
-        end_micros = self.clock.now() + LEAVE_MICROS
-        self.leaving_until[identity] = self.clock.now() + LEAVING_MICROS
+        end_micros = self.clock.now() + LEAVE_TIMEOUT_MICROS
+        self.leaving_until[identity] = self.clock.now() + VOTER_EXCLUSION_MICROS
         while self.raft.is_leader() and self.clock.now() < end_micros:
             if identity not in self.raft.voters():
                 return True
@@ -210,14 +210,16 @@
             if not any(self._may_vote(m) for m in learners):
                 return False
             replacement_voter = self._choose_replacement_voter(identity)
-            if replacement_voter is not None and await self._exchange(VoterReplacement(identity, replacement_voter)):
+            if replacement_voter is not None and await self._replace_voter(
+                VoterReplacement(identity, replacement_voter)
+            ):
                 return True
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
         return False
 
     # ---- looking after the members -----------------------------------------------------------------------
 
-    async def care(self) -> None:
+    async def reconcile(self) -> None:
         """As long as this core leads: one agreed change after the other until nothing is left to do."""
         while True:
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
@@ -241,11 +243,11 @@
         if replacement_voter is not None and len(voters) < target:
             return await self._set_votes({replacement_voter: True})
         if replacement_voter is not None and lost:
-            return await self._exchange(VoterReplacement(lost[0], replacement_voter))
+            return await self._replace_voter(VoterReplacement(lost[0], replacement_voter))
         if replacement_voter is not None and (
             overrepresented := self._overrepresented_voter(voters, replacement_voter)
         ):
-            return await self._exchange(VoterReplacement(overrepresented, replacement_voter))
+            return await self._replace_voter(VoterReplacement(overrepresented, replacement_voter))
         return await self._remove_unresponsive_member(voters)
 
     async def _remove_unresponsive_member(self, voters: list[Member]) -> bool:
@@ -255,24 +257,24 @@
             may_go = not member.voter or len(voters) > MIN_VOTERS
             if may_go and self._micros_since_heard(member.identity) > limit_micros:
                 LOGGER.info("control_plane: Lets go of a core. core=%s", member.identity[:8])
-                return await self._change([m for m in self.raft.members().member if m != member])
+                return await self._submit_membership([m for m in self.raft.members().member if m != member])
         return False
 
     async def _set_votes(self, votes: dict[str, bool]) -> bool:
         for identity, is_voter in votes.items():
             LOGGER.info("control_plane: Changes a vote. core=%s votes=%s", identity[:8], is_voter)
-        return await self._change(
+        return await self._submit_membership(
             [
                 Member(identity=m.identity, address=m.address, zone=m.zone, voter=votes.get(m.identity, m.voter))
                 for m in self.raft.members().member
             ]
         )
 
-    async def _exchange(self, exchange: VoterReplacement) -> bool:
+    async def _replace_voter(self, replacement: VoterReplacement) -> bool:
         """One joint change: at no moment are more members needed than before it (§4.1)."""
-        return await self._set_votes({exchange.outgoing: False, exchange.incoming: True})
+        return await self._set_votes({replacement.outgoing: False, replacement.incoming: True})
 
-    async def _change(self, changed: Iterable[Member]) -> bool:
+    async def _submit_membership(self, changed: Iterable[Member]) -> bool:
         outcome = await self.raft.change_members(Members(member=changed, wanted=self.target_voter_count()))
         return not isinstance(outcome, Err)
 
@@ -315,4 +317,4 @@
         follower = self.raft.followers.get(identity)
         if follower is None or not follower.has_answered:
             return False
-        return self.clock.now() - follower.heard_micros < ANSWER_MICROS
+        return self.clock.now() - follower.heard_micros < RESPONSIVE_WITHIN_MICROS
--- a/src/pearhead/control_plane/quorum_loss_recovery.py
+++ b/src/pearhead/control_plane/quorum_loss_recovery.py
@@ -1,4 +1,4 @@
-"""Rescue (§4.6): the last resort after two of three cores are lost. It can't be run by accident."""
+"""QuorumLossRecovery (§4.6): the last resort after two of three cores are lost. It can't be run by accident."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     async def run(self, identity: str, address: str, consent: str) -> Result[int, str]:
         if consent != REQUIRED_CONSENT:
-            return Err(f"say --consent '{CONSENT}', and mean it")
+            return Err(f"say --consent '{REQUIRED_CONSENT}', and mean it")
         if "identity" not in self.disk.names():
             return Err("no core ever ran in this folder")
         if self.disk.read("identity").decode() != identity:
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -4,7 +4,7 @@
 
 from pearhead.consensus.log import KIND_COMMAND
 from pearhead.consensus.raft import RaftMember
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.rpc.delta_compression import DeltaCompressor
 from pearhead.rpc.wire_pb2 import Entry, TermAsk, TermResult
 
@@ -12,14 +12,14 @@
 class ViewService:
     """Answers nodes from this core's log and state alone; that the answer is current, a majority of cores shows."""
 
-    def __init__(self, identity: str, raft: RaftMember, fleet: Fleet) -> None:
+    def __init__(self, identity: str, raft: RaftMember, fleet: FleetState) -> None:
         self.identity = identity
         self.raft = raft
         self.fleet = fleet
         self.packer = DeltaCompressor()
         self.view_changes_by_position: dict[tuple[int, int], bool] = {}
 
-    def take_leadership(self, leads: bool) -> None:
+    def on_leadership_change(self, leads: bool) -> None:
         """What was packed for an earlier leader's nodes goes."""
         self.packer = DeltaCompressor()
 
@@ -33,13 +33,13 @@
 
     def _touches_view(self, entry: Entry) -> bool:
         """Each node asks three times a second, and a command may be large: it is read once."""
-        place = (entry.epoch, entry.index)
-        if place not in self.view_changes_by_position:
+        position = (entry.epoch, entry.index)
+        if position not in self.view_changes_by_position:
             self.view_changes_by_position = {
                 p: t for p, t in self.view_changes_by_position.items() if p[1] > self.raft.applied_index
             }
-            self.view_changes_by_position[place] = Fleet.changes_view(entry.payload)
-        return self.view_changes_by_position[place]
+            self.view_changes_by_position[position] = FleetState.changes_view(entry.payload)
+        return self.view_changes_by_position[position]
 
     async def make_term_result(self, identity: str, address: str, ask: TermAsk) -> TermResult:
         """The members, the last visible index, and what the node lacks, where it asks for that."""
--- a/src/pearhead/pearheadctl/operator_command.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -83,7 +83,7 @@
             status, given_result = self._call("/apply", body)
             if not (partial and base < 0 and given_result.get("status") == "conflict"):
                 break
-        self._end(status, given_result, f"apply id {body['applyId']}")
+        self._report_result(status, given_result, f"apply id {body['applyId']}")
 
     def diff(self, file: str) -> None:
         """Shows what applying a whole file would change."""
@@ -104,7 +104,7 @@
     def outcome(self, apply_id: str) -> None:
         """Asks what became of an apply whose acknowledgement was lost."""
         status, given_result = self._call(f"/outcome/{apply_id}", None)
-        self._end(status, given_result, "")
+        self._report_result(status, given_result, "")
 
     def weights(self, line: str, name: str, base: int = -1, apply_id: str = "") -> None:
         """Names new weights for a model line; refused if other ones were named since --base, or since now."""
@@ -116,7 +116,7 @@
             "applyId": apply_id or secrets.token_hex(12),
         }
         status, given_result = self._call("/weights", body)
-        self._end(status, given_result, f"apply id {body['applyId']}")
+        self._report_result(status, given_result, f"apply id {body['applyId']}")
 
     def workers(
         self, file: str = "", leaving: str = "", staying: str = "", removed: str = "", base: int = 0, apply_id: str = ""
@@ -136,7 +136,7 @@
         for field, name in (("leaving", leaving), ("staying", staying), ("removed", removed)):
             body[field] = [name] if name else []
         status, given_result = self._call("/workers", body)
-        self._end(status, given_result, f"apply id {body['applyId']}")
+        self._report_result(status, given_result, f"apply id {body['applyId']}")
 
     def cores(self) -> None:
         """Shows what each core says of itself; one that does not answer is said so."""
@@ -166,7 +166,7 @@
             except OSError as fault:
                 last_error = f"{address}: {fault}"
                 if body is not None and not isinstance(getattr(fault, "reason", fault), ConnectionRefusedError):
-                    raise OperatorError(f"{last_fault}; the outcome is not known") from fault
+                    raise OperatorError(f"{last_error}; the outcome is not known") from fault
                 continue
             if given_result.get("status") != "unavailable":
                 return status, given_result
@@ -186,7 +186,7 @@
             with fault:
                 return fault.code, json.loads(fault.read() or b"{}")
 
-    def _end(self, status: int, given_result: dict[str, Any], note: str) -> None:
+    def _report_result(self, status: int, given_result: dict[str, Any], note: str) -> None:
         if given_result.get("status") == "done":
             print(f"done, revision {given_result['revision']}" + (f", {note}" if note else ""))
             return
--- a/src/pearhead/pearheadctl/query_command.py
+++ b/src/pearhead/pearheadctl/query_command.py
@@ -25,32 +25,34 @@
 
     def read(self, path: str) -> tuple[dict[str, Row], dict[str, str]]:
         """Answers by address, and why others did not answer."""
-        given_results, silent = self._ask(self.start_addresses, "/inspect")
+        given_results, silent = self._fetch_all(self.start_addresses, "/inspect")
         found: dict[str, str] = {}
         for given_result in given_results.values():
             for record in given_result.get("directory", []):
                 found[record["httpAddress"]] = record["role"]
         more = [a for a in found if a not in given_results and a not in silent]
-        more_results, more_silent = self._ask(more, "/inspect")
+        more_results, more_silent = self._fetch_all(more, "/inspect")
         given_results.update(more_results)
         silent.update(more_silent)
         if path == "/inspect":
             return given_results, silent
         cores = [a for a, given_result in given_results.items() if given_result.get("kind") == "core"]
-        return self._ask(cores, path)
+        return self._fetch_all(cores, path)
 
-    def _ask(self, addresses: list[str], path: str) -> tuple[dict[str, Row], dict[str, str]]:
+    def _fetch_all(self, addresses: list[str], path: str) -> tuple[dict[str, Row], dict[str, str]]:
         given_results: dict[str, Row] = {}
         silent: dict[str, str] = {}
         with concurrent.futures.ThreadPoolExecutor(16) as pool:
-            for address, outcome in zip(addresses, pool.map(lambda a: self._ask_one(a, path), addresses), strict=True):
+            for address, outcome in zip(
+                addresses, pool.map(lambda a: self._fetch_one(a, path), addresses), strict=True
+            ):
                 if isinstance(outcome, str):
                     silent[address] = outcome
                 else:
                     given_results[address] = outcome
         return given_results, silent
 
-    def _ask_one(self, address: str, path: str) -> Row | str:
+    def _fetch_one(self, address: str, path: str) -> Row | str:
         headers = {"Authorization": f"Bearer {self.key}"} if self.key else {}
         request = urllib.request.Request(f"http://{address}{path}", headers=headers)
         try:
@@ -85,12 +87,12 @@
                     "identity": given_result["identity"][:8],
                 }
             )
-        self._show(rows, silent)
+        self._print_rows(rows, silent)
 
     def cores(self) -> None:
         """Epoch, role, commit index, voters and disk of each core."""
         given_results, silent = self._read("core")
-        self._show(
+        self._print_rows(
             [
                 {
                     "http": a,
@@ -110,7 +112,7 @@
     def revisions(self) -> None:
         """The revisions in force by node, and whether each node may serve by them."""
         given_results, silent = self._read("node")
-        self._show(
+        self._print_rows(
             [
                 {
                     "http": a,
@@ -129,7 +131,7 @@
     def placements(self, node: str = "", last: int = 20) -> None:
         """The last jobs of each node: where they were placed, and why."""
         given_results, silent = self._read("node")
-        self._show(
+        self._print_rows(
             [
                 {"http": a, **placement}
                 for a, x in sorted(given_results.items())
@@ -142,12 +144,16 @@
     def volumes(self) -> None:
         """Freshness by node and volume: epoch, index, time left of the table, parts changing."""
         given_results, silent = self._read("node")
-        self._show([{"http": a, **volume} for a, x in sorted(given_results.items()) for volume in x["volumes"]], silent)
+        self._print_rows(
+            [{"http": a, **volume} for a, x in sorted(given_results.items()) for volume in x["volumes"]], silent
+        )
 
     def index(self) -> None:
         """How many kept prefixes each node knows of each worker, and whether they are tied."""
         given_results, silent = self._read("node")
-        self._show([{"http": a, **copies} for a, x in sorted(given_results.items()) for copies in x["copies"]], silent)
+        self._print_rows(
+            [{"http": a, **copies} for a, x in sorted(given_results.items()) for copies in x["copies"]], silent
+        )
 
     def holds(self) -> None:
         """Who holds each worker, by the core's leader, and what each node says it holds."""
@@ -164,12 +170,12 @@
             if x["kind"] == "node"
             for w, fence in sorted(x["holds"].items())
         ]
-        self._show(rows, silent)
+        self._print_rows(rows, silent)
 
     def soundness(self) -> None:
         """Jobs, outcomes, retries and reuse by node; unsound workers as each node sees them."""
         given_results, silent = self._read("node")
-        self._show(
+        self._print_rows(
             [
                 {
                     "http": a,
@@ -196,7 +202,7 @@
         given_results, silent = self._reader.read("/inspect")
         return {a: x for a, x in given_results.items() if not kind or x["kind"] == kind}, silent
 
-    def _show(self, rows: list[Row], silent: dict[str, str]) -> None:
+    def _print_rows(self, rows: list[Row], silent: dict[str, str]) -> None:
         if self._is_json:
             print(json.dumps({"rows": rows, "silent": silent}, indent=2))
             return
--- a/src/pearhead/testbed/capacity/change_costs.py
+++ b/src/pearhead/testbed/capacity/change_costs.py
@@ -1,6 +1,6 @@
 """What one change of the configuration costs three members as the log grows: `python -m ...change_costs small`.
 
-The product's own RaftMember, Wal and Fleet run in one process over links that deliver at once and disks in memory.
+The product's own RaftMember, Wal and FleetState run in one process over links that deliver at once and disks in memory.
 Time stands, but for the ticks to the next heartbeat, so what is counted is the change's own. Processor time is the
 process's own, for all three members together, the leader's check of the configuration left out.
 """
@@ -21,7 +21,7 @@
 
 from pearhead.consensus.raft import TICK_MICROS, RaftMember
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.rpc.wire_pb2 import Command, ElectNow, Item, Member, Members
 from pearhead.runtime.background_task_group import BackgroundTaskGroup
 from pearhead.runtime.clock import Timer
@@ -114,7 +114,7 @@
         self.task_group = BackgroundTaskGroup("change_costs")
         self.clock = StepClock()
         self.disks = [CountingDisk() for _ in range(MEMBER_COUNT)]
-        self.fleets = [Fleet() for _ in range(MEMBER_COUNT)]
+        self.fleets = [FleetState() for _ in range(MEMBER_COUNT)]
         self.told_bytes = 0
         self.told_count = 0
         self.members = [self._build_member(number) for number in range(MEMBER_COUNT)]
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -19,7 +19,7 @@
 from multiprocessing import get_context
 
 from pearhead.config.view import LoadRecord, View
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.channel import CHANNEL_COUNT
 from pearhead.invalidation.revision_listener import RevisionListener
@@ -267,7 +267,7 @@
 
 def measure_state(workers: int) -> Row:
     """The cores' state for so many workers, all held and loaded, and what one confirmed load sends a node."""
-    fleet, index = Fleet(), 0
+    fleet, index = FleetState(), 0
     before = _resident()
 
     def run(command: Command) -> None:
@@ -343,7 +343,7 @@
     }
 
 
-def _delta(fleet: Fleet, index: int, held_hash: str) -> ViewDelta:
+def _delta(fleet: FleetState, index: int, held_hash: str) -> ViewDelta:
     delta = fleet.delta_since(index, held_hash)
     assert delta is not None
     return delta
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -17,7 +17,7 @@
 from pearhead.control_plane import fleet_state as fleet_module
 from pearhead.control_plane import membership_controller
 from pearhead.control_plane.core_process import CoreProcess
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.control_plane.membership_controller import MEMBER_REMOVAL_FACTOR, MembershipController
 from pearhead.router.node_process import NodeProcess
 from pearhead.rpc.wire_pb2 import ChangeDescription, Members, TermResult, VoteAsk, VoteResult
@@ -50,32 +50,32 @@
 @mutation("operators-contend", "orders")
 def second_content_taken(fleet: SimFleet) -> None:
     """Only the leader's look before the log keeps two apart, which both may pass at once."""
-    real_change = Fleet._apply_change
+    real_change = FleetState._apply_change
 
-    def apply(self: Fleet, index: int, command: ChangeDescription) -> dict[str, Any]:
+    def apply(self: FleetState, index: int, command: ChangeDescription) -> dict[str, Any]:
         if not self.has_applied_change(command):
             self.description_number = command.base_number = command.number - 1
             command.checked_revision = self.description_revision
         return real_change(self, index, command)
 
-    Fleet._apply_change = apply  # type: ignore[method-assign]
+    FleetState._apply_change = apply  # type: ignore[method-assign]
 
 
 @mutation("operators-contend", "orders")
 def repeats_refused(fleet: SimFleet) -> None:
-    Fleet.has_applied_change = lambda self, command: False  # type: ignore[method-assign]
+    FleetState.has_applied_change = lambda self, command: False  # type: ignore[method-assign]
 
 
 @mutation("operators-contend", "orders")
 def taken_changes_left_out_of_digests(fleet: SimFleet) -> None:
     """A member that started from a digest knows no repeat of what came before it."""
-    real_load = Fleet.load_digest
+    real_load = FleetState.load_digest
 
-    def load(self: Fleet, digest_bytes: bytes) -> None:
+    def load(self: FleetState, digest_bytes: bytes) -> None:
         real_load(self, digest_bytes)
         self.taken = OrderedDict()
 
-    Fleet.load_digest = load  # type: ignore[method-assign]
+    FleetState.load_digest = load  # type: ignore[method-assign]
 
 
 @mutation("leader-cut-off", "orders")
@@ -191,7 +191,7 @@
 @mutation("repeats-after-hundreds-of-changes", "orders")
 def few_changes_remembered(fleet: SimFleet) -> None:
     vars(fleet_module)["TAKEN_LIMIT"] = 256
-    Fleet.is_beyond_retained_changes = lambda self, command: False  # type: ignore[method-assign]
+    FleetState.is_beyond_retained_changes = lambda self, command: False  # type: ignore[method-assign]
 
 
 @mutation("survivors-of-unlike-logs", "not led in time")
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -11,7 +11,7 @@
 
 from pearhead.config.view import View, WorkerRecord
 from pearhead.control_plane.core_process import CoreProcess
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.invalidation.cache_keys import cache_salt, chain_keys
 from pearhead.router import job_scheduler
 from pearhead.router.job import Job
@@ -121,9 +121,9 @@
 @mutation("operators-race", "force")
 def base_unchecked(fleet: SimFleet) -> None:
     """A losing configuration is refused, and yet put in force."""
-    real_apply = Fleet._apply_apply
+    real_apply = FleetState._apply_apply
 
-    def apply(self: Fleet, index: int, command: Any) -> dict[str, Any]:
+    def apply(self: FleetState, index: int, command: Any) -> dict[str, Any]:
         is_conflicting = command.base_revision != self.description_revision
         if is_conflicting:
             held, self.description = self.description, json.loads(command.description)
@@ -131,7 +131,7 @@
             self.description = held
         return real_apply(self, index, command)
 
-    Fleet._apply_apply = apply  # type: ignore[method-assign]
+    FleetState._apply_apply = apply  # type: ignore[method-assign]
 
 
 @mutation("weights-under-load", "weights")
@@ -163,40 +163,40 @@
     """A new leader begins its numbers anew."""
 
     def change(core: CoreProcess) -> None:
-        real_take = core._take_leadership
+        real_take = core._on_leadership_change
 
         def take(leads: bool) -> None:
             core.fleet.parts = {}
             real_take(leads)
 
-        core._take_leadership = take  # type: ignore[method-assign]
+        core._on_leadership_change = take  # type: ignore[method-assign]
 
     fleet.core_patch = change
 
 
 @mutation("bumps-race", "bumps")
 def transactions_forgotten(fleet: SimFleet) -> None:
-    real_apply = Fleet.apply
+    real_apply = FleetState.apply
 
-    def apply(self: Fleet, index: int, command_bytes: bytes) -> dict[str, Any]:
+    def apply(self: FleetState, index: int, command_bytes: bytes) -> dict[str, Any]:
         command = Command.FromString(command_bytes)
         if command.HasField("bump"):
             return self._apply_bump(index, BumpPart.FromString(command.bump.SerializeToString()))
         return real_apply(self, index, command_bytes)
 
-    Fleet.apply = apply  # type: ignore[method-assign]
+    FleetState.apply = apply  # type: ignore[method-assign]
 
 
 @mutation("weights-under-load", "commands")
 def holds_for_all(fleet: SimFleet) -> None:
-    def hold(self: Fleet, index: int, command: TakeHold) -> dict[str, Any]:
+    def hold(self: FleetState, index: int, command: TakeHold) -> dict[str, Any]:
         held = self.holds.get(command.worker, {})
         if held.get("holder") == command.holder:
             return {"status": "done", "fence": held["fence"]}
         self.holds[command.worker] = {"holder": command.holder, "fence": index}
         return {"status": "done", "fence": index}
 
-    Fleet._apply_hold = hold  # type: ignore[method-assign]
+    FleetState._apply_hold = hold  # type: ignore[method-assign]
 
     def change(node: NodeProcess) -> None:
         node.holder._is_first = lambda name: True  # type: ignore[method-assign]
@@ -343,25 +343,25 @@
 @mutation("platform-against-operators", "leaving")
 def marks_overwritten(fleet: SimFleet) -> None:
     """The platform's list is taken as it is, and takes operators' marks away."""
-    real_workers = Fleet._apply_workers
+    real_workers = FleetState._apply_workers
 
-    def apply(self: Fleet, index: int, command: Any) -> dict[str, Any]:
+    def apply(self: FleetState, index: int, command: Any) -> dict[str, Any]:
         if not command.partial:
             self.workers = {}
         return real_workers(self, index, command)
 
-    Fleet._apply_workers = apply  # type: ignore[method-assign]
+    FleetState._apply_workers = apply  # type: ignore[method-assign]
 
 
 @mutation("platform-against-operators", "two operators named weights at once, and both were told done")
 def weights_base_unchecked(fleet: SimFleet) -> None:
-    real_weights = Fleet._apply_weights
+    real_weights = FleetState._apply_weights
 
-    def apply(self: Fleet, index: int, command: Any) -> dict[str, Any]:
+    def apply(self: FleetState, index: int, command: Any) -> dict[str, Any]:
         command.base_revision = 0
         return real_weights(self, index, command)
 
-    Fleet._apply_weights = apply  # type: ignore[method-assign]
+    FleetState._apply_weights = apply  # type: ignore[method-assign]
 
 
 @mutation("parts-change", "changes")
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -19,7 +19,7 @@
 from pearhead.consensus.wal import Wal
 from pearhead.control_plane.core_process import CoreProcess
 from pearhead.control_plane.description_change import ChangeChecker, encode_route, to_json
-from pearhead.control_plane.fleet_state import TAKEN_LIMIT, Fleet
+from pearhead.control_plane.fleet_state import TAKEN_LIMIT, FleetState
 from pearhead.control_plane.membership_controller import MembershipController
 from pearhead.control_plane.operator_api import build_operator_api
 from pearhead.rpc.wire_pb2 import ApplyDescription, Command, CommandResult, Entry, Member, Members, NameWeights
@@ -279,7 +279,7 @@
         is_gone = [changed.route_of("a.example", path) is None for path in ("/a/", "/z/", "/a/b/")]
         self.assertEqual(is_gone, [True, False, False])
         self.assertIs(changed.route_of("a.example", "/a/b/"), view.route_of("a.example", "/a/b/"), "read anew")
-        copy = Fleet()
+        copy = FleetState()
         copy.load_digest(fleet.take_digest())
         self.assertEqual((copy.sections, copy.take_digest()), (fleet.sections, fleet.take_digest()))
 
@@ -290,7 +290,7 @@
         self.assertEqual(fleet.full_description(), {"services": data["services"], "routes": data["routes"]})
         old = {name: value for name, value in fleet.read().items() if name != "description_number"}
         old.update(parts={}, transactions=[], sections={}, description={})
-        copy = Fleet()
+        copy = FleetState()
         copy.load_digest(to_json(old))
         self.assertEqual((copy.description_revision, copy.description_number, copy.routes), (1, 0, {}))
 
@@ -300,14 +300,14 @@
             command.change.route.append(encode_route(route(f"r{number}", f"/{number}/")))
         breaths = 0
 
-        async def breathe() -> None:
+        async def yield_to_loop() -> None:
             nonlocal breaths
             breaths += 1
 
-        checked = await ChangeChecker(breathe).check(command.change, {}, {})
+        checked = await ChangeChecker(yield_to_loop).check(command.change, {}, {})
         self.assertEqual((checked, breaths), (Ok(None), 8))
         over = change(0, 1, b" " * (16 << 20))
-        self.assertIn("over", (await ChangeChecker(breathe).check(over.change, {}, {})).unwrap_err()[0])
+        self.assertIn("over", (await ChangeChecker(yield_to_loop).check(over.change, {}, {})).unwrap_err()[0])
 
 
 class OperatorCallsTest(AsyncHTTPTestCase):
@@ -372,7 +372,7 @@
 class LogBytesTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_storm_of_large_changes_leaves_a_small_folder(self) -> None:
         disk = CountedDisk()
-        fleet = Fleet()
+        fleet = FleetState()
         task_group = BackgroundTaskGroup("test")
         member = RaftMember(
             "one",
@@ -404,7 +404,7 @@
         recovered = RaftMember(
             "one",
             Wal(disk),
-            Fleet(),
+            FleetState(),
             lambda address, name, body: None,
             BootClock(),
             random.Random(1),
@@ -418,7 +418,7 @@
         member = RaftMember(
             "one",
             Wal(CountedDisk()),
-            Fleet(),
+            FleetState(),
             lambda address, name, body: None,
             BootClock(),
             random.Random(1),
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from pearhead.config.view import WorkerRecord
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.invalidation.revision_sequencer import RevisionSequencer
@@ -31,7 +31,7 @@
     """`RevisionStore` over the product's own state, committed at once."""
 
     def __init__(self) -> None:
-        self.fleet = Fleet()
+        self.fleet = FleetState()
         self.index = 1
 
     def is_leader(self) -> bool:
--- a/tests/test_config_checked.py
+++ b/tests/test_config_checked.py
@@ -1,4 +1,4 @@
-"""read_checked: every fault of an operator's file is listed with its path."""
+"""parse_dataclass: every fault of an operator's file is listed with its path."""
 
 from __future__ import annotations
 
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -14,7 +14,7 @@
 from pearhead.consensus.membership import Membership, end_joint, make_joint
 from pearhead.consensus.raft import RaftMember
 from pearhead.consensus.wal import Wal
-from pearhead.control_plane.fleet_state import TAKEN_LIMIT, Fleet
+from pearhead.control_plane.fleet_state import TAKEN_LIMIT, FleetState
 from pearhead.router.command_session import CommandSession
 from pearhead.rpc.rpc_endpoint import RpcEndpoint, reply_name
 from pearhead.rpc.wire_pb2 import (
@@ -348,7 +348,7 @@
 
 class SessionsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.fleet = Fleet()
+        self.fleet = FleetState()
         workers = Command(workers=SetWorkers(worker=[Worker(name="w", address="w:1", service="s")]))
         self.fleet.apply(1, workers.SerializeToString())
         self.session = CommandSession("n1")
@@ -374,7 +374,7 @@
         command = self.hold()
         first = self.apply(command)
         self.assertEqual(self.apply(command), first)
-        behind = Fleet()
+        behind = FleetState()
         behind.load_digest(self.fleet.take_digest())
         self.assertEqual(behind.apply(99, command.SerializeToString()), first)
 
--- a/tests/test_control_plane_events.py
+++ b/tests/test_control_plane_events.py
@@ -1,4 +1,4 @@
-"""EventTeller: a slow sink loses the oldest events and blocks nobody."""
+"""EventPublisher: a slow sink loses the oldest events and blocks nobody."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
             return len(posted) != 1
 
         async def tell() -> EventPublisher:
-            teller = EventPublisher(post)
+            publisher = EventPublisher(post)
             for index in range(QUEUE_LIMIT + 5):
-                teller.tell("weights.named", index, {"line": "l"})
-            run_task = asyncio.ensure_future(teller.run())
-            while teller.waiting:
+                publisher.publish("weights.named", index, {"line": "l"})
+            run_task = asyncio.ensure_future(publisher.run())
+            while publisher.waiting:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
             run_task.cancel()
-            return teller
+            return publisher
 
-        teller = asyncio.run(tell())
-        self.assertEqual((teller.told_count, teller.lost_count), (QUEUE_LIMIT - 1, 6))
+        publisher = asyncio.run(tell())
+        self.assertEqual((publisher.delivered_count, publisher.lost_count), (QUEUE_LIMIT - 1, 6))
         self.assertIn(b'"id": "weights.named-5"', posted[0])
         self.assertIn(b'"type": "pearhead.weights.named"', posted[0])
--- a/tests/test_control_plane_fleet.py
+++ b/tests/test_control_plane_fleet.py
@@ -1,11 +1,11 @@
-"""Fleet: repeated, concurrent and unknown commands, and its digests."""
+"""FleetState: repeated, concurrent and unknown commands, and its digests."""
 
 from __future__ import annotations
 
 import unittest
 from typing import Any
 
-from pearhead.control_plane.fleet_state import Fleet, Outcome, UnknownCommandError
+from pearhead.control_plane.fleet_state import FleetState, Outcome, UnknownCommandError
 from pearhead.rpc.wire_pb2 import (
     ApplyDescription,
     BumpPart,
@@ -20,7 +20,7 @@
 
 class FleetTest(unittest.TestCase):
     def test_a_later_releases_field_is_kept_and_its_command_stops_the_core(self) -> None:
-        fleet = Fleet()
+        fleet = FleetState()
         weights = Command(transaction=b"a")
         weights.workers.SetInParent()
         later_field = b"\xfa\x3f\x03new"  # Field 1023, which this release does not know.
@@ -32,7 +32,7 @@
         self.assertEqual(fleet.take_digest(), before, "nothing was applied")
 
     def test_a_mark_outlasts_the_platforms_list_and_a_base_tells_of_races(self) -> None:
-        fleet = Fleet()
+        fleet = FleetState()
         index = 0
 
         def run(transaction: bytes = b"", **body: Any) -> Outcome:
@@ -64,7 +64,7 @@
         self.assertEqual(fleet.weights["l"]["weights"], "w2")
 
     def test_repeats_races_and_digests(self) -> None:
-        fleet = Fleet()
+        fleet = FleetState()
 
         def run(index: int, transaction: bytes, **body: Any) -> Outcome:
             return fleet.apply(index, Command(transaction=transaction, **body).SerializeToString())
@@ -81,7 +81,7 @@
         run(7, b"", workers=SetWorkers(worker=[Worker(name="w", address="x", service="s")]))
         self.assertEqual(run(8, b"", hold=TakeHold(worker="w", holder="n1"))["fence"], 8)
         self.assertEqual(run(9, b"", hold=TakeHold(worker="w", holder="n2"))["status"], "held")
-        other = Fleet()
+        other = FleetState()
         other.load_digest(fleet.take_digest())
         anew = Command(hold=TakeHold(worker="w", holder="n1")).SerializeToString()
         self.assertEqual(other.apply(10, anew), {"status": "done", "fence": 10}, "back with a later fence")
@@ -89,7 +89,7 @@
         self.assertEqual(taken, {"status": "done", "fence": 10})
         stale = ConfirmLoad(worker="w", fence=8, weights_revision=1)
         self.assertEqual(run(11, b"", confirm=stale)["status"], "refused")
-        copy = Fleet()
+        copy = FleetState()
         copy.load_digest(fleet.take_digest())
         self.assertEqual(copy.take_digest(), fleet.take_digest())
         self.assertEqual(copy.raised_part_revisions("tenant:t/l"), [(7, 3)])
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -16,7 +16,7 @@
 from pearhead.config.view import View, hash_sections
 from pearhead.consensus.wal import Wal
 from pearhead.control_plane.core_process import CoreProcess
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.revision_sequencer import RevisionSequencer
 from pearhead.router.job import JobRequest
@@ -158,7 +158,7 @@
     """What two leaders in turn commit to: one order, as the core's log gives it."""
 
     def __init__(self) -> None:
-        self.fleet = Fleet()
+        self.fleet = FleetState()
         self.index = 0
         self.leader = "old"
 
@@ -221,7 +221,7 @@
 class LogRaft:
     """Commits in order after giving way, as a raft of one would."""
 
-    def __init__(self, fleet: Fleet, core: CoreProcess) -> None:
+    def __init__(self, fleet: FleetState, core: CoreProcess) -> None:
         self.core = core
         self.payloads: list[bytes] = []
         self.outcomes: list[Any] = []
@@ -370,23 +370,23 @@
         self.check(cancel_against_carry, self.swap(admit_module.AdmissionController, "admit", admit), 3)
 
     def test_bump_against_retransmission_and_leader_change(self) -> None:
-        real_apply = Fleet.apply
+        real_apply = FleetState.apply
 
-        def apply(self: Fleet, index: int, command_bytes: bytes) -> Any:
+        def apply(self: FleetState, index: int, command_bytes: bytes) -> Any:
             self.transactions.clear()
             return real_apply(self, index, command_bytes)
 
-        self.check(bump_against_retransmission_and_leader_change, self.swap(Fleet, "apply", apply), 20)
+        self.check(bump_against_retransmission_and_leader_change, self.swap(FleetState, "apply", apply), 20)
 
     def test_holder_takeover(self) -> None:
         real_judge = CoreProcess._check_hold_expiry
 
         def judge(self: CoreProcess, command: Command) -> None:
-            seen = dict(self.hold_seen)
+            seen = dict(self.hold_last_seen)
             real_judge(self, command)
-            self.hold_seen = seen
+            self.hold_last_seen = seen
 
-        self.check(holder_takeover, self.swap(CoreProcess, "_judge_hold", judge), 20)
+        self.check(holder_takeover, self.swap(CoreProcess, "_check_hold_expiry", judge), 20)
 
     def test_drain_against_accept(self) -> None:
         async def drain(self: NodeProcess) -> None:
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -277,7 +277,7 @@
     def test_it_reads_in_pieces_what_is_read_whole(self) -> None:
         breaths = 0
 
-        async def breathe() -> None:
+        async def yield_to_loop() -> None:
             nonlocal breaths
             breaths += 1
 
@@ -291,7 +291,7 @@
             '{"a":1,"a":2}',
         ]
         for text in texts:
-            found = asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(breathe))
+            found = asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(yield_to_loop))
             self.assertEqual(found, json.loads(text.lstrip("\ufeff")))
         self.assertGreater(breaths, 5)
         for text in (
@@ -312,7 +312,7 @@
             '{"a":{"b":1}',
         ):
             with self.assertRaises(ConfigFormatError, msg=text):
-                asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(breathe))
+                asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(yield_to_loop))
             with self.assertRaises(ConfigFormatError, msg=text):
                 read_json(text.encode())
 
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -202,13 +202,13 @@
 }
 # What a connection, or the reading of one body, holds while it lasts: these classes are made anew for each.
 PASSING = {
-    "control.py": {"ControlHandler"},
-    "front.py": {"ReadinessHandler"},
-    "workers.py": {"_Answer"},
-    "translation.py": {"JsonReader"},
+    "config_api.py": {"ControlHandler"},
+    "request_dialect.py": {"ReadinessHandler"},
+    "platform_worker_client.py": {"_BufferedResponse"},
+    "config_translation.py": {"YieldingJsonReader"},
 }
 # The one thing of a process's life: connections kept open to stores, workers and the list, told by their address.
-KEPT_CONNECTIONS = {"kept_streams"}
+KEPT_CONNECTIONS = {"idle_connections"}
 
 
 def words_in(source: str) -> list[str]:
@@ -414,14 +414,14 @@
             "class A:\n    @classmethod\n    def f(cls):\n        cls.n = 1",
             "class A:\n    def f(self):\n        self.a, self.b = 1, 2",
             "def f():\n    n = 0\n    def g():\n        nonlocal n\n        n += 1",
-            "class PlatformWorkers:\n    def f(self, a):\n        self.last[a] = 1",
+            "class PlatformWorkerClient:\n    def f(self, a):\n        self.last[a] = 1",
         ):
             self.assertTrue(kept_state(source), source)
         self.assertTrue(made_once("READER = _Reader({})", {"_Reader"}))
         for source in (
             "class A:\n    def __init__(self):\n        self.n = 1",
             "LIMIT = 3\ndef f(a):\n    a.n = LIMIT",
-            "class PlatformWorkers:\n    def f(self, a):\n        self.kept_streams.pop(a)",
+            "class PlatformWorkerClient:\n    def f(self, a):\n        self.idle_connections.pop(a)",
             "def f():\n    found = {}\n    found['a'] = 1",
         ):
             self.assertEqual(kept_state(source), [], source)
--- a/tests/test_platform_workers.py
+++ b/tests/test_platform_workers.py
@@ -1,4 +1,4 @@
-"""PlatformWorkers against a server of the test's own: what it asks, what it reads, and that garbage is an Err."""
+"""PlatformWorkerClient against a server of the test's own: what it asks, what it reads, and that garbage is an Err."""
 
 from __future__ import annotations
 
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -294,7 +294,7 @@
                 elif strike == "lead":
                     # A new leader knows fences from its log, and not since when (§7.2).
                     fleet.core.leader_since = fleet.world.now()
-                    fleet.core.hold_seen = {
+                    fleet.core.hold_last_seen = {
                         w: (h["fence"], fleet.world.now()) for w, h in fleet.core.fleet.holds.items()
                     }
                 elif strike == "name":
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -6,7 +6,7 @@
 import unittest
 
 from pearhead.config.description import CapabilityEntry, Description, Limits, ModelLine, Service, Tenant
-from pearhead.config.view import LoadRecord, View, WeightsFact, WorkerRecord
+from pearhead.config.view import LoadRecord, View, WeightsRecord, WorkerRecord
 from pearhead.discovery.directory import Directory
 from pearhead.invalidation.cache_keys import chain_keys
 from pearhead.invalidation.revision_listener import RevisionListener
@@ -43,7 +43,7 @@
             workers={n: WorkerRecord(n, n, "z", "models", False) for n in names}
             | {"store": WorkerRecord("store", "store", "z", "kept", False)},
             loads={n: LoadRecord("l", f"life-{n}", 1, 5, 10, "x") for n in names},
-            weights={"l": WeightsFact("x", 5)},
+            weights={"l": WeightsRecord("x", 5)},
         )
         keeper.view = self.view
         self.know(True)
@@ -147,14 +147,14 @@
         self.assertEqual(self.nominator.nominate(job).unwrap_err().kind, ErrorKind.OVERLOADED)
 
     def test_old_weights_serve_only_a_while_and_only_where_the_roll_out_was_seen(self) -> None:
-        self.view.__dict__["weights"] = {"l": WeightsFact("y", 6)}
+        self.view.__dict__["weights"] = {"l": WeightsRecord("y", 6)}
         self.assertEqual(self.nominator.nominate(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER)
         keeper = self.nominator.keeper
         keeper.first_seen["l", 6] = keeper.named_after["l", 6] = self.bench.now()
         self.assertEqual(self.place().worker.name, "w3", "the first wave is left alone")
         self.assertEqual(self.place().weights_name, "x")
         self.bench.now_micros += 6 * SECOND
-        self.view.__dict__["weights"] = {"l": WeightsFact("z", 7)}
+        self.view.__dict__["weights"] = {"l": WeightsRecord("z", 7)}
         keeper.first_seen["l", 7] = keeper.named_after["l", 7] = self.bench.now()
         self.assertEqual(self.place().weights_name, "x")
         self.bench.now_micros += 2 * SECOND
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -14,7 +14,7 @@
 
 from pearhead.config.view import View
 from pearhead.control_plane.core_process import CoreProcess
-from pearhead.control_plane.fleet_state import Fleet
+from pearhead.control_plane.fleet_state import FleetState
 from pearhead.discovery.directory import Directory
 from pearhead.router.prefix_cache_poller import PrefixCachePoller
 from pearhead.router.roster_publisher import RosterPublisher
@@ -242,9 +242,9 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.fleet = Fleet()
+        self.fleet = FleetState()
         self.index = 0
-        self.hold_seen: dict[str, tuple[int, int]] = {}
+        self.hold_last_seen: dict[str, tuple[int, int]] = {}
         self.leader_since = 0
         self.startup = SimpleNamespace(holdMicros=HOLD_MICROS)
         self.clock = world
@@ -263,7 +263,7 @@
         self.index += 1
         outcome = self.fleet.apply(self.index, command.SerializeToString())
         if name == "hold" and outcome["status"] == "done":
-            self.hold_seen[command.hold.worker] = (outcome["fence"], self.world.now())
+            self.hold_last_seen[command.hold.worker] = (outcome["fence"], self.world.now())
         delta = self.fleet.delta_since(self.view.index, self.view.hash)
         if delta is not None:
             self.view = View().with_delta(self.fleet.delta_since(0, "") or delta) or self.view
