--- a/src/pearhead/router/core_command_client.py
+++ b/src/pearhead/router/core_command_client.py
@@ -1,4 +1,4 @@
-"""CoreCommander (§4.5): asks the cores to take a command; the one that answered last goes first."""
+"""CoreCommandClient (§4.5): asks the cores to take a command; the one that answered last goes first."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ViewSource(Protocol):
-    """What this file's users need of a `TermKeeper` (§5.3)."""
+    """What this file's users need of a `ViewReplica` (§5.3)."""
 
     @property
     def view(self) -> View: ...
@@ -34,8 +34,8 @@
 
 
 class CoreCommandClient:
-    def __init__(self, keeper: ViewSource, rpc_endpoint: RpcEndpoint, chance: random.Random) -> None:
-        self.keeper = keeper
+    def __init__(self, view_source: ViewSource, rpc_endpoint: RpcEndpoint, chance: random.Random) -> None:
+        self.view_source = view_source
         self.rpc_endpoint = rpc_endpoint
         self.chance = chance
         self.preferred_core = ""
@@ -43,7 +43,7 @@
 
     async def command(self, command: Command) -> Result[CommandResult, str]:
         self.session.assign_number(command)
-        addresses = self.keeper.core_addresses()
+        addresses = self.view_source.core_addresses()
         if not addresses:
             return Err("no core is known")
         if self.preferred_core not in addresses:
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """`serve_on_micros`: how long a node serves by a view that it could not confirm since (§5.5).
+    """`max_view_age_micros`: how long a node serves by a view that it could not confirm since (§5.5).
 
     `key_trust_micros`: how long it accepts tenants' keys by such a view, where a key that was taken away must end in a
     time of its own at every node, also one that hears of no core; 0: as long as it serves.
@@ -102,15 +102,15 @@
             httpAddress=startup.httpAddress,
         )
         self.directory = Directory(record, startup.seeds, self.rpc_endpoint, clock, chance)
-        self.keeper = ViewReplica(self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros)
+        self.view_replica = ViewReplica(self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros)
         self.listener = RevisionListener(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
         )
         self.node_count_tracker = NodeCountTracker(clock, settings.max_view_age_micros)
         self.loads = WorkerLoadTracker(clock)
         self.index = PrefixCacheIndex()
-        self.versions = WorkerVersionTable(clock)
-        self.weights = WeightsGracePeriod(clock, self.keeper, startup.oldWeightsMicros)
+        self.version_table = WorkerVersionTable(clock)
+        self.weights_grace_period = WeightsGracePeriod(clock, self.view_replica, startup.oldWeightsMicros)
         self.rosters = RosterSynchronizer(
             self.identity,
             self.rpc_endpoint,
@@ -122,8 +122,8 @@
             settings.list_interval_micros,
             self.invariants,
         )
-        self.rosters.watchers.append(self.versions.apply_roster)
-        self.gatherer = PrefixCachePoller(
+        self.rosters.watchers.append(self.version_table.apply_roster)
+        self.cache_poller = PrefixCachePoller(
             self.identity,
             self.rpc_endpoint,
             self.directory,
@@ -131,16 +131,16 @@
             self.task_group,
             control,
             self.rosters,
-            self.keeper,
+            self.view_replica,
             self.index,
-            spread=self._relay_cache_note,
+            relay_callback=self._relay_cache_note,
             min_part_tokens=settings.min_cached_part_tokens,
         )
         self.relay = Relay(
-            self.identity, startup.area, self.rpc_endpoint, self.directory, clock, self.loads, self.gatherer.apply_note
+            self.identity, startup.area, self.rpc_endpoint, self.directory, clock, self.loads, self.cache_poller.apply_note
         )
-        command_client = CoreCommandClient(self.keeper, self.rpc_endpoint, chance)
-        self.recorder = RosterPublisher(self.rosters, self.keeper, command_client, clock)
+        command_client = CoreCommandClient(self.view_replica, self.rpc_endpoint, chance)
+        self.publisher = RosterPublisher(self.rosters, self.view_replica, command_client, clock)
         self.roll_out = WeightsRollout(
             self.identity,
             self.rpc_endpoint,
@@ -149,9 +149,9 @@
             self.task_group,
             control,
             self.rosters,
-            self.keeper,
+            self.view_replica,
             command_client,
-            self.versions,
+            self.version_table,
             startup.holdMicros,
         )
         self.pool = UpstreamPool(clock)
@@ -159,11 +159,11 @@
             clock,
             startup.area,
             lambda: self.rosters.roster,
-            self.versions,
+            self.version_table,
             self.index,
             self.loads,
             CacheSaltBuilder(self.listener),
-            self.weights.may_use,
+            self.weights_grace_period.may_use,
             self._sample,
             self.relay.is_active,
         )
@@ -194,11 +194,11 @@
     def start(self) -> None:
         for work in (
             self.directory.run(),
-            self.keeper.run(),
+            self.view_replica.run(),
             self.listener.run(),
             self.rosters.run(),
-            self.recorder.run(),
-            self.gatherer.run(),
+            self.publisher.run(),
+            self.cache_poller.run(),
             self.roll_out.run(),
             self._announce_use(),
             self.relay.run(),
@@ -228,27 +228,27 @@
 
     def view(self) -> View | None:
         """What is in force as last known: serves on for a bounded time without the cores (§5.5)."""
-        keeper = self.keeper
-        if not keeper.has_view or keeper.view.number == 0:
+        view_replica = self.view_replica
+        if not view_replica.has_view or view_replica.view.number == 0:
             return None
-        is_known = self.clock.now() - keeper.current_at <= self.settings.max_view_age_micros
-        return keeper.view if is_known else None
+        is_known = self.clock.now() - view_replica.current_at <= self.settings.max_view_age_micros
+        return view_replica.view if is_known else None
 
     def trusts_keys(self) -> bool:
         """Whether a key that the view holds is surely in force, or was until so lately that it may still be used."""
         bound_micros = self.settings.key_trust_micros
-        return not bound_micros or self.clock.now() - self.keeper.current_at <= bound_micros
+        return not bound_micros or self.clock.now() - self.view_replica.current_at <= bound_micros
 
     def client_limits(self) -> ClientLimits:
         """The limits of the description last known; read anew only when that changed."""
-        body = self.keeper.view.sections["description"][1]
+        body = self.view_replica.view.sections["description"][1]
         if self.cached_limits[0] is not body:
-            self.cached_limits = (body, ClientLimits.of(self.keeper.view.description.limits))
+            self.cached_limits = (body, ClientLimits.of(self.view_replica.view.description.limits))
         return self.cached_limits[1]
 
     def node_count(self) -> int:
         """Front nodes that this one shares with, itself among them."""
-        return self.node_count_tracker.note(len(self.directory.members("router")) + 1)
+        return self.node_count_tracker.record(len(self.directory.members("router")) + 1)
 
     def _record_versions(self, worker: str, head: ResponseHead) -> None:
         for line, version in head.versions.items():
--- a/src/pearhead/router/metrics.py
+++ b/src/pearhead/router/metrics.py
@@ -22,19 +22,21 @@
 class ViewCollector(Collector):
     """What a node knows to be in force."""
 
-    def __init__(self, keeper: ViewReplica) -> None:
-        self.keeper = keeper
+    def __init__(self, view_replica: ViewReplica) -> None:
+        self.view_replica = view_replica
 
     def collect(self) -> Iterable[Metric]:
         """Reads the view and when it was last confirmed."""
-        view = self.keeper.view
+        view = self.view_replica.view
         yield gauge("view_number", "The operators' number of the description in force.", view.number)
         yield gauge("view_index", "The index of the log that the view stands at.", view.index)
         yield gauge("view_age_seconds", "Time since the view was known to be current.", self._age_seconds())
 
     def _age_seconds(self) -> float | None:
-        keeper = self.keeper
-        return None if keeper.current_at == NEVER else (keeper.clock.now() - keeper.current_at) / SECOND
+        view_replica = self.view_replica
+        return (
+            None if view_replica.current_at == NEVER else (view_replica.clock.now() - view_replica.current_at) / SECOND
+        )
 
 
 class RosterCollector(Collector):
@@ -107,7 +109,7 @@
         [
             RosterCollector(gateway.rosters),
             GatewayCollector(gateway, edge),
-            ViewCollector(gateway.keeper),
+            ViewCollector(gateway.view_replica),
             MessageCollector(gateway.rpc_endpoint),
             LinkCollector(net),
             LoopLagCollector(gateway.loop_lag),
@@ -119,5 +121,5 @@
 def build_node_registry(node: NodeProcess, net: SocketNet) -> CollectorRegistry:
     """All figures of a front node for the product's own interface."""
     return build_registry(
-        [NodeCollector(node), ViewCollector(node.keeper), MessageCollector(node.rpc_endpoint), LinkCollector(net)]
+        [NodeCollector(node), ViewCollector(node.view_replica), MessageCollector(node.rpc_endpoint), LinkCollector(net)]
     )
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -71,17 +71,17 @@
             httpAddress=startup.httpAddress,
         )
         self.directory = Directory(self_record, startup.seeds, self.rpc_endpoint, clock, chance)
-        self.keeper = ViewReplica(self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros)
+        self.view_replica = ViewReplica(self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros)
         self.listener = RevisionListener(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
         )
         self.index = CopyIndex()
-        self.nominator = JobScheduler(self.keeper, self.listener, self.index, clock, startup.oldWeightsMicros)
+        self.nominator = JobScheduler(self.view_replica, self.listener, self.index, clock, startup.oldWeightsMicros)
         self.admission = AdmissionController(clock)
         self.budget = RetryBudget()
-        self.holder = WorkerLeaseController(
+        self.lease_controller = WorkerLeaseController(
             self.identity,
-            self.keeper,
+            self.view_replica,
             self.listener,
             self.index,
             link,
@@ -92,10 +92,10 @@
             self.task_group,
             startup.holdMicros,
         )
-        self.holder.load_callback = self.nominator.record_load_report
-        self.holder.prefill_start_callback = self.nominator.record_remote_start
-        self.holder.may_serve = self.nominator.weights_allowed
-        self.holder.unsound_callback = self.nominator.record_reported_unhealthy
+        self.lease_controller.load_callback = self.nominator.record_load_report
+        self.lease_controller.prefill_start_callback = self.nominator.record_remote_start
+        self.lease_controller.may_serve = self.nominator.weights_allowed
+        self.lease_controller.unsound_callback = self.nominator.record_reported_unhealthy
         self.is_draining = False
         self.is_open = False
         self.open_jobs = 0
@@ -107,9 +107,9 @@
     def start(self) -> None:
         for work in (
             self.directory.run(),
-            self.keeper.run(),
+            self.view_replica.run(),
             self.listener.run(),
-            self.holder.run(),
+            self.lease_controller.run(),
             self._review_queues(),
         ):
             self.task_group.start(work)
@@ -123,8 +123,8 @@
         self.is_open = True
 
     def _can_place(self) -> bool:
-        view = self.keeper.view
-        return self.keeper.is_current() and all(
+        view = self.view_replica.view
+        return self.view_replica.is_current() and all(
             any(self.nominator.weights_allowed(view, e.line, w) for w in view.workers)
             for e in view.description.entries
             if self.nominator.is_model(view, e.service)
@@ -136,7 +136,7 @@
 
     async def drain(self) -> None:
         """Takes no new job and waits for the accepted ones."""
-        self.is_draining = self.holder.is_draining = True
+        self.is_draining = self.lease_controller.is_draining = True
         end_micros = self.clock.now() + self.startup.drainMicros
         while self.open_jobs and self.clock.now() < end_micros:
             await sleep_for(self.clock, 20 * MILLI)
@@ -146,7 +146,7 @@
     async def run_job(self, key_text: str, request: JobRequest, pen: Pen) -> Result[None, Refusal]:
         """Ok: a whole result was written. Err before a line was written: an answer with a status;
         after: the caller's stream must be aborted."""
-        job = Job(request, request.jobId or self.chance.randbytes(12).hex(), self.clock.now(), self.keeper.view)
+        job = Job(request, request.jobId or self.chance.randbytes(12).hex(), self.clock.now(), self.view_replica.view)
         self.open_jobs += 1
         try:
             outcome = await self._run_stages(key_text, job, pen)
@@ -160,7 +160,7 @@
         if self.is_draining:
             return Err(Refusal(ErrorKind.DRAINING, "this node takes no new jobs"))
         job.key_hash = hashlib.sha256(key_text.encode()).hexdigest()
-        looked = self._look(job)
+        looked = self._check_in_force(job)
         while not isinstance(looked, Err):
             # From here on a drain waits for it; it waits for its turn, and is then looked at again (§8.3).
             assert job.entry is not None and job.tenant is not None
@@ -171,17 +171,17 @@
             if admitted.ok_value:
                 admitted_micros = self.clock.now()
                 try:
-                    looked = self._look(job)
+                    looked = self._check_in_force(job)
                     if isinstance(looked, Err) or job.entry.name == admitted_entry.name:
                         return looked if isinstance(looked, Err) else await self._place_and_forward(job, pen)
                 finally:
                     held_micros = self.clock.now() - admitted_micros
                     self.admission.leave_place(admitted_entry, admitted_tenant.name, held_micros)
             # Its entry moved while it waited: it queues where it belongs now.
-            looked = self._look(job)
+            looked = self._check_in_force(job)
         return looked
 
-    def _look(self, job: Job) -> Result[None, Refusal]:
+    def _check_in_force(self, job: Job) -> Result[None, Refusal]:
         """Term, key and entry, by what is in force now; asked anew after each wait (§5.3, §8.1)."""
         current = self._check_current(job)
         if isinstance(current, Err):
@@ -192,15 +192,15 @@
         return self._match(job)
 
     def _check_current(self, job: Job) -> Result[None, Refusal]:
-        if not self.keeper.is_current():
+        if not self.view_replica.is_current():
             return Err(
                 Refusal(
                     ErrorKind.NOT_CURRENT,
                     "this node can't tell that its view is current",
-                    self.keeper.come_back_micros(),
+                    self.view_replica.retry_after_micros(),
                 )
             )
-        job.view = self.keeper.view
+        job.view = self.view_replica.view
         return Ok(None)
 
     def _authenticate(self, job: Job) -> Result[None, Refusal]:
@@ -231,25 +231,25 @@
 
     async def _review_queues(self) -> None:
         """Jobs that wait and can't run any more are told so when the view or the term says it (§8.3)."""
-        reviewed_view = self.keeper.view
+        reviewed_view = self.view_replica.view
         while True:
             await sleep_for(self.clock, QUEUE_REVIEW_MICROS)
-            is_same = self.keeper.view is reviewed_view and self.keeper.is_current()
+            is_same = self.view_replica.view is reviewed_view and self.view_replica.is_current()
             if self.admission.waiting_count() and not is_same:
                 self.admission.review(self._recheck_waiting)
-            reviewed_view = self.keeper.view
+            reviewed_view = self.view_replica.view
 
     def _recheck_waiting(self, job: Job) -> AdmissionResult:
         assert job.entry is not None
         queued_name = job.entry.name
-        looked = self._look(job)
+        looked = self._check_in_force(job)
         return looked if isinstance(looked, Err) else Ok(job.entry.name == queued_name)
 
     def _may_begin(self, job: Job, placement: Placement) -> bool:
         """The last check, in one step with the first byte: nothing of it may have gone meanwhile (§8.4)."""
-        view = self.keeper.view
+        view = self.view_replica.view
         return (
-            self.keeper.is_current()
+            self.view_replica.is_current()
             and job.left_micros(self.clock.now()) > 0
             and (
                 view is job.view
@@ -276,7 +276,7 @@
         is_retry = False
         for try_number in range(JOB_ATTEMPT_LIMIT):
             if try_number:
-                looked = self._look(job)
+                looked = self._check_in_force(job)
                 if isinstance(looked, Err):
                     return looked
             if job.left_micros(self.clock.now()) <= 0:
@@ -287,7 +287,7 @@
             if isinstance(nominated, Err):
                 return Err(last_refusal if is_retry else nominated.err_value)
             placement = nominated.ok_value
-            carried = await self._carry(job, placement, pen, try_number)
+            carried = await self._forward_to_worker(job, placement, pen, try_number)
             if not isinstance(carried, Err):
                 return carried
             last_refusal = carried.err_value
@@ -299,7 +299,9 @@
                 job.tried_workers.add(placement.worker.name)
         return Err(last_refusal)
 
-    async def _carry(self, job: Job, placement: Placement, pen: Pen, try_number: int) -> Result[None, Refusal]:
+    async def _forward_to_worker(
+        self, job: Job, placement: Placement, pen: Pen, try_number: int
+    ) -> Result[None, Refusal]:
         """NO_WORKER says it did not run and may be tried elsewhere; OUTCOME_UNKNOWN ends the job."""
         assert job.entry is not None and job.tenant is not None
         worker = placement.worker
@@ -335,7 +337,7 @@
         line_count = 0
         is_prefilling, first_micros = True, 0
         self.nominator.begin(worker.name, placement.missed_tokens)
-        self.holder.announce_prefill(worker.name, placement.missed_tokens)
+        self.lease_controller.announce_prefill(worker.name, placement.missed_tokens)
         try:
             async with aclosing(
                 self.carrier.carry(worker.address, upstream_job, lambda: self._may_begin(job, placement))
@@ -353,9 +355,9 @@
                             self.nominator.costs.record_stream(job.entry.name, worker.name, stream_micros)
                         self._record_usage(job, placement, event)
                         self.nominator.record_success(worker.name)
-                        await self._write(job, pen, {"end": True, "lines": line_count, "usage": event["usage"]})
+                        await self._write_line(job, pen, {"end": True, "lines": line_count, "usage": event["usage"]})
                         return Ok(None)
-                    await self._write(job, pen, {"line": line_count, "text": self._read_text(event)})
+                    await self._write_line(job, pen, {"line": line_count, "text": self._read_text(event)})
                     line_count += 1
             raise JobTransportError(CUT, "the stream ended without its closing line")
         except JobTransportError as fault:
@@ -383,7 +385,7 @@
                 self.nominator.end_prefill(worker.name, placement.missed_tokens)
             self.nominator.end(worker.name)
 
-    async def _write(self, job: Job, pen: Pen, line: dict[str, Any]) -> None:
+    async def _write_line(self, job: Job, pen: Pen, line: dict[str, Any]) -> None:
         """A caller too slow for its own deadline is taken for gone."""
         try:
             async with asyncio.timeout(max(0, job.left_micros(self.clock.now())) / SECOND):
@@ -424,11 +426,11 @@
 
     def inspect(self) -> dict[str, Any]:
         now_micros = self.clock.now()
-        view = self.keeper.view
+        view = self.view_replica.view
         return {
             **self.soundness(),
             "kind": "node",
-            "knownMicros": now_micros - self.keeper.current_at,
+            "knownMicros": now_micros - self.view_replica.current_at,
             "placements": list(self.placements),
             "unsound": sorted(w for w, end in self.nominator.unhealthy_until.items() if end > now_micros),
             "volumes": [
@@ -457,12 +459,12 @@
         }
 
     def soundness(self) -> dict[str, Any]:
-        view = self.keeper.view
+        view = self.view_replica.view
         return {
             "identity": self.identity,
             "address": self.startup.address,
             "area": self.startup.area,
-            "current": self.keeper.is_current(),
+            "current": self.view_replica.is_current(),
             "viewIndex": view.index,
             "descriptionRevision": view.description_revision,
             "openJobs": self.open_jobs,
@@ -472,7 +474,7 @@
             "retries": self.budget.retry_count,
             "prefixTokens": self.prefix_tokens,
             "reusedTokens": self.reused_tokens,
-            "holds": {n: h.fence for n, h in self.holder.holds.items()},
+            "holds": {n: h.fence for n, h in self.lease_controller.leases.items()},
             "weights": {n: w.revision for n, w in view.weights.items()},
             "loads": {n: f.weights_revision for n, f in view.loads.items()},
             "sent": self.rpc_endpoint.sent_counts,
--- a/src/pearhead/router/paced_broadcaster.py
+++ b/src/pearhead/router/paced_broadcaster.py
@@ -1,4 +1,4 @@
-"""PacedCast (§7.7): one message to many nodes, a few at a time, so that it fits the queue of the sender's link."""
+"""PacedBroadcaster (§7.7): one message to many nodes, a few at a time, to fit the queue of the sender's link."""
 
 from __future__ import annotations
 
--- a/src/pearhead/router/prefill_rate.py
+++ b/src/pearhead/router/prefill_rate.py
@@ -1,4 +1,4 @@
-"""ReadRates (§8.8): how long workers take to read prompts, by a reckoning and what was seen of late."""
+"""PrefillRates (§8.8): how long workers take to read prompts, by a reckoning and what was seen of late."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 # From the end of the read to the first event.
 FIRST_EVENT_MICROS = 12 * MILLI
 # Shorter reads are lost in the time of the steps around them.
-LEAST_TOKENS = 1_000
+MIN_PREFILL_TOKENS = 1_000
 HALF_WINDOW_MICROS = 5 * SECOND
 MIN_PREFILL_SAMPLES = 4
 MIN_RATE_FACTOR, MAX_RATE_FACTOR = 0.05, 4.0
@@ -44,7 +44,7 @@
 
 
 class PrefillRates:
-    """Factors of `read_micros`, by service.
+    """Factors of `prefill_read_micros`, by service.
 
     The quickest of some reads waited for no other, so it shows how fast the engine is; a mean would show how busy.
     """
@@ -58,9 +58,9 @@
         seen = self.seen.get(service)
         return 1.0 if seen is None else seen.factor
 
-    def take(self, service: str, tokens: int, kept_tokens: int, seen_micros: int) -> None:
+    def record_read(self, service: str, tokens: int, kept_tokens: int, seen_micros: int) -> None:
         """A worker read so many tokens behind those that it kept; its first event came after `seen_micros`."""
-        if tokens < LEAST_TOKENS:
+        if tokens < MIN_PREFILL_TOKENS:
             return
         now_micros = self.clock.now()
         seen = self.seen.setdefault(service, _ServiceRate(now_micros))
--- a/src/pearhead/router/prefix_cache_index.py
+++ b/src/pearhead/router/prefix_cache_index.py
@@ -1,4 +1,4 @@
-"""KeptIndex (§6.5): which worker or store keeps which parts under which salt, by what they reported."""
+"""PrefixCacheIndex (§6.5): which worker or store keeps which parts under which salt, by what they reported."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PrefixCacheIndex:
-    """A keeper is a worker's or a store's name. What was not reported is not known; what was may be gone.
+    """A location is a worker's or a store's name. What was not reported is not known; what was may be gone.
 
     A report that is lost or overtaken leaves what is known as it is (§6.5): a placement by what is gone costs a read,
     and so would each part that was forgotten though it is kept.
@@ -23,7 +23,7 @@
         self.sequences: dict[str, tuple[str, int]] = {}
         self.cache_locations: dict[tuple[str, str], set[str]] = {}
 
-    def take(self, note: KeptNote) -> None:
+    def apply_note(self, note: KeptNote) -> None:
         life, sequence = self.sequences.get(note.worker, ("", 0))
         if note.whole or life != note.life:
             self.forget(note.worker)
@@ -39,18 +39,18 @@
                 self.cache_locations.setdefault(key, set()).add(note.worker)
                 if len(held) > PARTS_PER_LOCATION_LIMIT:
                     oldest, _ = held.popitem(last=False)
-                    self._let_go(oldest, note.worker)
+                    self._remove_location(oldest, note.worker)
             elif held.pop(key, None) is not None:
-                self._let_go(key, note.worker)
+                self._remove_location(key, note.worker)
 
-    def forget(self, keeper: str) -> None:
-        for key in self.parts.pop(keeper, ()):
-            self._let_go(key, keeper)
-        self.sequences.pop(keeper, None)
+    def forget(self, location: str) -> None:
+        for key in self.parts.pop(location, ()):
+            self._remove_location(key, location)
+        self.sequences.pop(location, None)
 
-    def kept_tokens(self, keeper: str, salt: str, parts: Sequence[PromptPart]) -> int:
+    def cached_prefix_tokens(self, location: str, salt: str, parts: Sequence[PromptPart]) -> int:
         """How many tokens of the prompt it keeps from its beginning: a part counts only behind all before it."""
-        held = self.parts.get(keeper)
+        held = self.parts.get(location)
         if not held:
             return 0
         total = 0
@@ -67,9 +67,9 @@
     def cache_locations_of(self, salt: str, part: str) -> frozenset[str]:
         return frozenset(self.cache_locations.get((salt, part), ()))
 
-    def _let_go(self, key: tuple[str, str], keeper: str) -> None:
+    def _remove_location(self, key: tuple[str, str], location: str) -> None:
         cache_locations = self.cache_locations.get(key)
         if cache_locations is not None:
-            cache_locations.discard(keeper)
+            cache_locations.discard(location)
             if not cache_locations:
                 del self.cache_locations[key]
--- a/src/pearhead/router/prefix_cache_poller.py
+++ b/src/pearhead/router/prefix_cache_poller.py
@@ -1,4 +1,4 @@
-"""KeptGatherer (§7.7): one node for each worker and store asks what it keeps, and tells all others."""
+"""PrefixCachePoller (§7.7): one node for each worker and store asks what it keeps, and tells all others."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 200 * MILLI
 WAIT_MICROS = 800 * MILLI
-CALL_MICROS = WAIT_MICROS + 700 * MILLI
+CALL_TIMEOUT_MICROS = WAIT_MICROS + 700 * MILLI
 PAUSE_MICROS = 100 * MILLI
 INITIAL_POLL_BACKOFF_MICROS = 250 * MILLI
 MAX_POLL_BACKOFF_MICROS = 2 * SECOND
@@ -32,7 +32,7 @@
 
 
 class PrefixCacheSink(Protocol):
-    def take(self, note: KeptNote) -> None:
+    def apply_note(self, note: KeptNote) -> None:
         """A span of one life's events; `tokens` is what is kept now. With `whole` nothing before it counts."""
 
     def holds(self, worker: str, salt: str, part: str) -> bool: ...
@@ -52,10 +52,10 @@
     previous_life: str = ""
     announced_sequence: int = 0
 
-    def moved(self, life: str, sequence: int) -> _Cursor:
+    def announced_up_to(self, life: str, sequence: int) -> _Cursor:
         return _Cursor(life, sequence, self.previous_life if life == self.life else self.life, sequence)
 
-    def passed(self, sequence: int) -> _Cursor:
+    def advanced_to(self, sequence: int) -> _Cursor:
         """Asked further with nothing to tell."""
         return dataclasses.replace(self, sequence=sequence)
 
@@ -134,10 +134,10 @@
         task_group: BackgroundTaskGroup,
         control: WorkerControl,
         rosters: RosterProvider,
-        keeper: ViewSource,
+        view_source: ViewSource,
         sink: PrefixCacheSink,
         pause_micros: int = PAUSE_MICROS,
-        spread: Callable[[KeptNote], bool] | None = None,
+        relay_callback: Callable[[KeptNote], bool] | None = None,
         min_part_tokens: int = 0,
     ) -> None:
         self.identity = identity
@@ -147,16 +147,16 @@
         self.task_group = task_group
         self.control = control
         self.rosters = rosters
-        self.keeper = keeper
+        self.view_source = view_source
         self.sink = sink
         self.pause_micros = pause_micros
-        self.spread = spread
+        self.relay_callback = relay_callback
         self.ranks = RankCache(identity)
         self.min_part_tokens = min_part_tokens
         self.cursors: dict[str, _Cursor] = {}
-        self.told_notes: dict[str, KeptNote] = {}
+        self.announced_notes: dict[str, KeptNote] = {}
         self.polls: dict[str, asyncio.Task[None]] = {}
-        rpc_endpoint.on_message("kept_note", self._take_note)
+        rpc_endpoint.on_message("kept_note", self._handle_note)
 
     async def run(self) -> None:
         while True:
@@ -172,13 +172,13 @@
                 self.polls.pop(name).cancel()
         for name in set(self.cursors) - set(targets):
             del self.cursors[name]
-            self.told_notes.pop(name, None)
+            self.announced_notes.pop(name, None)
         for name, address in mine.items():
             if name not in self.polls:
-                self.polls[name] = self.task_group.start(self._gather(name, address))
+                self.polls[name] = self.task_group.start(self._poll_cache(name, address))
 
     def _targets(self) -> dict[str, str]:
-        view = self.keeper.view
+        view = self.view_source.view
         targets = {
             service.name: service.store_address
             for service in view.description.services
@@ -189,12 +189,12 @@
                 targets[name] = backend.address
         return targets
 
-    async def _gather(self, name: str, address: str) -> None:
+    async def _poll_cache(self, name: str, address: str) -> None:
         rest_micros = INITIAL_POLL_BACKOFF_MICROS
         while True:
             began_micros = self.clock.now()
             cursor = self.cursors.get(name, INITIAL_CURSOR)
-            given = await self.control.kept_events(address, cursor.sequence, WAIT_MICROS, CALL_MICROS)
+            given = await self.control.kept_events(address, cursor.sequence, WAIT_MICROS, CALL_TIMEOUT_MICROS)
             if isinstance(given, Err):
                 await sleep_for(self.clock, rest_micros)
                 rest_micros = min(2 * rest_micros, MAX_POLL_BACKOFF_MICROS)
@@ -212,16 +212,16 @@
         if given.life != asked.life:
             # Another life: its events are asked for from its beginning, and nothing before counts.
             begin = given if asked.sequence == 0 else PrefixCacheEventBatch(given.life, 0, True)
-            self._tell(name, 0, begin, is_whole=True)
+            self._announce_events(name, 0, begin, is_whole=True)
             return
         if given.events:
             # Of events that are gone unseen nothing is known; what was known before stands (§6.5).
-            self._tell(name, asked.announced_sequence, given, is_whole=False)
+            self._announce_events(name, asked.announced_sequence, given, is_whole=False)
         elif given.next_sequence > asked.sequence:
-            self.cursors[name] = asked.passed(given.next_sequence)
+            self.cursors[name] = asked.advanced_to(given.next_sequence)
 
-    def _tell(self, name: str, from_sequence: int, given: PrefixCacheEventBatch, is_whole: bool) -> None:
-        self.cursors[name] = self.cursors.get(name, INITIAL_CURSOR).moved(given.life, given.next_sequence)
+    def _announce_events(self, name: str, from_sequence: int, given: PrefixCacheEventBatch, is_whole: bool) -> None:
+        self.cursors[name] = self.cursors.get(name, INITIAL_CURSOR).announced_up_to(given.life, given.next_sequence)
         # Without a salt it is nothing that nodes would look for.
         note = KeptNote(
             worker=name,
@@ -235,12 +235,12 @@
                 if e.salt and self._should_announce(name, e)
             ),
         )
-        self.sink.take(note)
-        packed, joined = pack_note(note), combine_notes(self.told_notes.get(name), note)
-        self.told_notes[name] = note
+        self.sink.apply_note(note)
+        packed, joined = pack_note(note), combine_notes(self.announced_notes.get(name), note)
+        self.announced_notes[name] = note
         if joined is not None and (packed_combined := pack_note(joined)).ByteSize() <= MAXIMUM_DATAGRAM_BODY_BYTES:
             packed = packed_combined
-        if self.spread is not None and self.spread(packed):
+        if self.relay_callback is not None and self.relay_callback(packed):
             return
         addresses = [r.address for r in self.directory.members("router")]
         self.rpc_endpoint.broadcast(addresses, "kept_note", packed)
@@ -251,16 +251,16 @@
 
     def apply_note(self, identity: str, address: str, note: KeptNote) -> None:
         """From another node, directly or by a relay (§3.6)."""
-        self._take_note(identity, address, note)
+        self._handle_note(identity, address, note)
 
-    def _take_note(self, identity: str, address: str, note: KeptNote) -> None:
+    def _handle_note(self, identity: str, address: str, note: KeptNote) -> None:
         held = self.cursors.get(note.worker, INITIAL_CURSOR)
         is_late = held.life == note.life and note.sequence < held.sequence
         if is_late or (note.life == held.previous_life and note.life != ""):
             return
-        self.cursors[note.worker] = held.moved(note.life, note.sequence)
-        self.told_notes.pop(note.worker, None)
+        self.cursors[note.worker] = held.announced_up_to(note.life, note.sequence)
+        self.announced_notes.pop(note.worker, None)
         unpacked = unpack_note(note)
         # The note that told of a new life may be lost, or be overtaken by the next.
         unpacked.whole = note.whole or note.life != held.life
-        self.sink.take(unpacked)
+        self.sink.apply_note(unpacked)
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -17,7 +17,7 @@
 
 LOGGER = logging.getLogger("pearhead")
 RELAY_PERIOD_MICROS = 100 * MILLI
-SILENCE_MICROS = 900 * MILLI
+RELAY_SILENCE_MICROS = 900 * MILLI
 AVOID_RELAY_MICROS = 4 * SECOND
 FRESH_MICROS = 1_500 * MILLI
 DIRECT_LIMIT = 16
@@ -58,7 +58,7 @@
         directory: Directory,
         clock: Clock,
         loads: WorkerLoadTracker,
-        take_kept: Callable[[str, str, KeptNote], None],
+        handle_cache_note: Callable[[str, str, KeptNote], None],
         direct_limit: int = DIRECT_LIMIT,
     ) -> None:
         self.identity = identity
@@ -67,10 +67,10 @@
         self.directory = directory
         self.clock = clock
         self.loads = loads
-        self.take_kept = take_kept
+        self.handle_cache_note = handle_cache_note
         self.direct_limit = direct_limit
         self.avoided_until: dict[str, int] = {}
-        self.chosen: dict[str, tuple[str, int]] = {}
+        self.chosen_relays: dict[str, tuple[str, int]] = {}
         self.members: dict[str, _HeardNote] = {}
         self.zones: dict[str, _HeardNote] = {}
         self.own_cache_notes: list[KeptNote] = []
@@ -79,7 +79,7 @@
         self.own_announced_use = UseNote()
         self.is_relaying = False
         self.chance = random.Random(identity)
-        rpc_endpoint.on_message("relay_note", self._take)
+        rpc_endpoint.on_message("relay_note", self._handle_relay_note)
 
     def is_active(self) -> bool:
         return len(self.directory.members("router")) >= self.direct_limit
@@ -88,7 +88,7 @@
         """Whether it goes this way; otherwise its gatherer tells all nodes itself."""
         if not self.is_active():
             return False
-        self._keep(self.own_cache_notes, [note])
+        self._queue_notes(self.own_cache_notes, [note])
         return True
 
     async def run(self) -> None:
@@ -178,7 +178,7 @@
     def _is_recently_heard(self, identity: str) -> bool:
         return self.members[identity].is_within(HEAD_RECENT_MICROS, self.clock.now())
 
-    def _pass_on(self, note: RelayNote) -> None:
+    def _forward_note(self, note: RelayNote) -> None:
         addresses = list(note.forward)
         del note.forward[:]
         self._broadcast(addresses, note)
@@ -189,8 +189,8 @@
     def _relay_of(self, zone: str, records: list[Record]) -> Record | None:
         """The zone's relay as this node sees it; None if that is itself. One that is silent is passed over."""
         now_micros = self.clock.now()
-        identity, heard_micros = self.chosen.get(zone, ("", 0))
-        if identity and identity != self.identity and now_micros - heard_micros > SILENCE_MICROS:
+        identity, heard_micros = self.chosen_relays.get(zone, ("", 0))
+        if identity and identity != self.identity and now_micros - heard_micros > RELAY_SILENCE_MICROS:
             self.avoided_until[identity] = now_micros + AVOID_RELAY_MICROS
         candidates = [r for r in records if self.avoided_until.get(r.identity, 0) <= now_micros] or records
         subject = f"relay/{zone}"
@@ -200,33 +200,33 @@
         )
         chosen = self.identity if is_self else best.identity if best is not None else ""
         if chosen != identity:
-            self.chosen[zone] = (chosen, now_micros)
+            self.chosen_relays[zone] = (chosen, now_micros)
         return None if is_self else best
 
     # ---- hearing ---------------------------------------------------------------------------------
 
-    def _take(self, identity: str, address: str, note: RelayNote) -> None:
+    def _handle_relay_note(self, identity: str, address: str, note: RelayNote) -> None:
         now_micros = self.clock.now()
         relay = note.relay or identity
         if note.forward:
-            self._pass_on(note)
+            self._forward_note(note)
         self.avoided_until.pop(relay, None)
-        chosen, _ = self.chosen.get(note.zone, ("", 0))
+        chosen, _ = self.chosen_relays.get(note.zone, ("", 0))
         if note.hop and relay == chosen:
-            self.chosen[note.zone] = (relay, now_micros)
+            self.chosen_relays[note.zone] = (relay, now_micros)
         if note.hop == 0:
             self.members[identity] = _HeardNote(note.use, now_micros)
-            self._keep(self.zone_cache_notes, note.kept)
+            self._queue_notes(self.zone_cache_notes, note.kept)
         elif note.hop == 1:
             self.zones[note.zone] = _HeardNote(note.use, now_micros)
-            self._keep(self.remote_cache_notes, note.kept)
+            self._queue_notes(self.remote_cache_notes, note.kept)
         elif relay == chosen:
             self._apply_fleet_use(note.use)
         for kept in note.kept:
-            self.take_kept(identity, address, kept)
+            self.handle_cache_note(identity, address, kept)
 
     @staticmethod
-    def _keep(waiting: list[KeptNote], notes: Iterable[KeptNote]) -> None:
+    def _queue_notes(waiting: list[KeptNote], notes: Iterable[KeptNote]) -> None:
         """What is to be passed on next; bounded, as a node that no longer relays passes nothing on."""
         waiting.extend(notes)
         del waiting[:-PENDING_CACHE_NOTE_LIMIT]
--- a/src/pearhead/router/rendezvous.py
+++ b/src/pearhead/router/rendezvous.py
@@ -1,4 +1,4 @@
-"""rank_of (§7.2): who does a thing that one node should do, told alike by all that know the same nodes."""
+"""rendezvous_rank (§7.2): who does a thing that one node should do, told alike by all that know the same nodes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.ranks: dict[str, int] = {}
 
     def rank(self, others: list[str], subject: str) -> int:
-        """As `rank_of`."""
+        """As `rendezvous_rank`."""
         if others != self.others:
             self.others, self.ranks = others, {}
         found = self.ranks.get(subject)
--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -400,7 +400,7 @@
         """From its request to its first event a worker took so long."""
         self.loads.learn_slowdown(choice.backend.name, choice.missing_tokens, choice.expected_micros, seen_micros)
         if not choice.fetch_from:
-            self.loads.read_rates.take(choice.service, choice.missing_tokens, choice.kept_tokens, seen_micros)
+            self.loads.read_rates.record_read(choice.service, choice.missing_tokens, choice.kept_tokens, seen_micros)
 
     async def _forward_buffered(
         self, in_flight_request: InFlightRequest, head: ResponseHead, call: UpstreamCall, worker: str
--- a/src/pearhead/router/roster_age_monitor.py
+++ b/src/pearhead/router/roster_age_monitor.py
@@ -1,4 +1,4 @@
-"""RosterAgeWatch (§7.7): logs when a node's list of workers becomes old, and when it is fresh again."""
+"""RosterAgeMonitor (§7.7): logs when a node's list of workers becomes old, and when it is fresh again."""
 
 from __future__ import annotations
 
--- a/src/pearhead/router/roster_merge.py
+++ b/src/pearhead/router/roster_merge.py
@@ -67,7 +67,7 @@
         self.absent_since: dict[str, int] = {}
         self.excluded_until: dict[str, int] = {}
 
-    def take(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> bool:
+    def merge_list(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> bool:
         """Whether the list was newer than what is known. An older one can still tell who leaves."""
         listed_by_name = {backend.name: backend for backend in listed}
         self.leaving |= {name for name, backend in listed_by_name.items() if backend.is_leaving}
@@ -95,7 +95,7 @@
         """What a colleague knows: it adds whom this node does not know, and takes nobody out."""
         told = list(listed)
         if not self.roster.backends:
-            self.take(told, at_micros, now_micros)
+            self.merge_list(told, at_micros, now_micros)
             return
         self.leaving |= {backend.name for backend in told if backend.is_leaving}
         added = {
--- a/src/pearhead/router/roster_publisher.py
+++ b/src/pearhead/router/roster_publisher.py
@@ -1,4 +1,4 @@
-"""RosterRecorder (§7.6): tells the core which workers there are, so that holds and operators can name them."""
+"""RosterPublisher (§7.6): tells the core which workers there are, so that holds and operators can name them."""
 
 from __future__ import annotations
 
@@ -28,18 +28,20 @@
 class RosterPublisher:
     """Only what changed goes out, at most once a second, from the node that asks the list. Serving needs none of it."""
 
-    def __init__(self, source: RosterSource, keeper: ViewSource, command_client: CommandClient, clock: Clock) -> None:
+    def __init__(
+        self, source: RosterSource, view_source: ViewSource, command_client: CommandClient, clock: Clock
+    ) -> None:
         self.source = source
-        self.keeper = keeper
+        self.view_source = view_source
         self.command_client = command_client
         self.clock = clock
 
     async def run(self) -> None:
         while True:
             await sleep_for(self.clock, ROUND_MICROS)
-            if not (self.keeper.is_current() and self.source.is_first() and self.source.roster.backends):
+            if not (self.view_source.is_current() and self.source.is_first() and self.source.roster.backends):
                 continue
-            change = find_roster_change(self.source.roster, self.keeper.view)
+            change = find_roster_change(self.source.roster, self.view_source.view)
             if change is None:
                 continue
             given = await self.command_client.command(Command(workers=change))
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -1,4 +1,4 @@
-"""RosterKeeper (§7.7): one node asks the platform which workers there are, and tells all others.
+"""RosterSynchronizer (§7.7): one node asks the platform which workers there are, and tells all others.
 
 Telling is one-way and may be lost, so each node looks at the age of its own list: one that grows old is asked of peers,
 and one that stays old is asked of the platform itself.
@@ -62,7 +62,7 @@
 
 
 class RosterSynchronizer:
-    """Who asks: the first by rendezvous, each `beat_micros`; the next ones when they heard no list for 1.2 s and
+    """Who asks: the first by rendezvous, each `list_period_micros`; the next ones when they heard no list for 1.2 s and
     0.1 s a rank, and anyone whose list is 2 s old. Records of dead nodes live 5 s, so silence decides and not who is
     listed. A note without workers says that its sender asks or asked, so that a list in trouble is not asked by all
     at once.
@@ -101,7 +101,7 @@
         self.attempt_micros = LONG_AGO
         self.full_note_micros = LONG_AGO
         self.notified_identities: set[str] = set()
-        self.told: dict[str, Backend] = {}
+        self.announced_backends: dict[str, Backend] = {}
         self.changed_micros: dict[str, int] = {}
         self.is_merging_from_peer = False
         self.failure_count = 0
@@ -111,7 +111,7 @@
         node_random = random.Random(identity)
         self.stale_jitter_micros = node_random.randrange(STALE_JITTER_MICROS)
         self.note_broadcaster = PacedBroadcaster(clock, node_random)
-        rpc_endpoint.on_message("roster_note", self._take_note)
+        rpc_endpoint.on_message("roster_note", self._handle_note)
         rpc_endpoint.on_request("roster_note", self._answer_roster_ask)
 
     @property
@@ -268,9 +268,9 @@
         """What the list showed: whole to nodes not told before and now and then, else only names and what changed."""
         now_micros = self.clock.now()
         for name, backend in listed.items():
-            if _has_relevant_change(self.told.get(name), backend):
+            if _has_relevant_change(self.announced_backends.get(name), backend):
                 self.changed_micros[name] = now_micros
-        self.told = dict(listed)
+        self.announced_backends = dict(listed)
         self.changed_micros = {
             n: m for n, m in self.changed_micros.items() if n in listed and now_micros - m < RECENT_CHANGE_MICROS
         }
@@ -302,7 +302,7 @@
 
     # ---- hearing ---------------------------------------------------------------------------------
 
-    def _take_note(self, identity: str, address: str, note: RosterNote) -> None:
+    def _handle_note(self, identity: str, address: str, note: RosterNote) -> None:
         now_micros = self.clock.now()
         at_micros = now_micros - note.age_micros
         if not note.worker:
@@ -333,7 +333,7 @@
         if adds_only:
             self.merge.add_from_peer(listed, at_micros, self.clock.now())
         else:
-            self.merge.take(listed, at_micros, self.clock.now())
+            self.merge.merge_list(listed, at_micros, self.clock.now())
         for name in before.backends.keys() - self.roster.backends.keys():
             LOGGER.info("router: A worker is gone from the list. worker=%s", name)
         self._log_leaving(leaving_before, at_micros, source)
--- a/src/pearhead/router/stats_log.py
+++ b/src/pearhead/router/stats_log.py
@@ -51,22 +51,24 @@
         self.budget = budget
         self.every_micros = every_micros
         self.processor = processor
-        self.told: dict[str, int] = {}
+        self.last_counts: dict[str, int] = {}
         self.line_count = 0
 
     async def run(self) -> None:
         """Ends at once where no lines are wanted."""
-        self.told = self._counts()
+        self.last_counts = self._counts()
         while self.every_micros > 0:
             await sleep_for(self.clock, self.every_micros)
-            LOGGER.info("router: Counts since the line before. open=%d %s", self.gate.open_count(), self.take())
+            LOGGER.info(
+                "router: Counts since the line before. open=%d %s", self.gate.open_count(), self.format_counts()
+            )
 
-    def take(self) -> str:
+    def format_counts(self) -> str:
         """`name=value` of what grew; what was told is not told again."""
         self.line_count += 1
         counts = self._counts()
-        grown = {name: count - self.told.get(name, 0) for name, count in counts.items()}
-        self.told = counts
+        grown = {name: count - self.last_counts.get(name, 0) for name, count in counts.items()}
+        self.last_counts = counts
         return " ".join(f"{name}={count}" for name, count in grown.items())
 
     def _counts(self) -> dict[str, int]:
--- a/src/pearhead/router/view_replica.py
+++ b/src/pearhead/router/view_replica.py
@@ -1,4 +1,4 @@
-"""TermKeeper (§5.3): a node serves only while it knows that its view is current."""
+"""ViewReplica (§5.3): a node serves only while it knows that its view is current."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 FETCH_FALLBACK_MICROS = 500 * MILLI
 PEER_FALLBACK_MICROS = 1_000 * MILLI
 PEER_FALLBACK_COUNT = 2
-COME_BACK_LIMIT_MICROS = 12 * SECOND
+RETRY_AFTER_LIMIT_MICROS = 12 * SECOND
 NEVER = -1
 LONG_AGO = -(10**12)
 NO_DELTA = 2**62
@@ -65,10 +65,10 @@
     def is_current(self) -> bool:
         return self.current_at != NEVER and self.clock.now() - self.current_at <= self.term_micros
 
-    def come_back_micros(self) -> int:
+    def retry_after_micros(self) -> int:
         """A node that has been out for long is likely to be out as long again; within bounds (§8.2)."""
         out_micros = self.clock.now() - self.current_at if self.current_at != NEVER else 0
-        return min(max(out_micros, ROUND_MICROS + VIEW_ASK_TIMEOUT_MICROS), COME_BACK_LIMIT_MICROS)
+        return min(max(out_micros, ROUND_MICROS + VIEW_ASK_TIMEOUT_MICROS), RETRY_AFTER_LIMIT_MICROS)
 
     def superseded_since(self, line: str, revision: int) -> int | None:
         """No later than when weights after these were acknowledged; None while these are the present ones.
@@ -110,7 +110,7 @@
             if isinstance(given_result, Err):
                 return
             result: TermResult = given_result.ok_value
-            self._take_members(result)
+            self._apply_members(result)
             if result.last_visible_index > self.view.index and self._may_fetch(address):
                 self.fetch_started_micros[address] = self.clock.now()
                 self.task_group.start(self._fetch_delta(address))
@@ -158,7 +158,7 @@
         if isinstance(given_result, Err):
             return
         result: TermResult = given_result.ok_value
-        self._take_members(result)
+        self._apply_members(result)
         self._apply_view_delta(result)
         if result.held:
             # The colleague knew it heldMicros before it answered, so no later than this.
@@ -182,7 +182,7 @@
         self.packer.put(result, delta)
         return result
 
-    def _take_members(self, result: TermResult) -> None:
+    def _apply_members(self, result: TermResult) -> None:
         is_known = result.members_index == self.membership.index and result.members == self.membership.members
         if result.members_index >= self.membership.index and result.members.member and not is_known:
             self.membership = Membership(result.members_index, result.members)
--- a/src/pearhead/router/weights_grace_period.py
+++ b/src/pearhead/router/weights_grace_period.py
@@ -1,4 +1,4 @@
-"""WeightsClock (§7.4): how long weights may still be used after newer ones were named."""
+"""WeightsGracePeriod (§7.4): how long weights may still be used after newer ones were named."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     would be missed, and a node that has just started would grant old weights a time anew.
     """
 
-    def __init__(self, clock: Clock, keeper: ViewReplica, grace_period_micros: int) -> None:
+    def __init__(self, clock: Clock, view_replica: ViewReplica, grace_period_micros: int) -> None:
         self.clock = clock
-        self.keeper = keeper
+        self.view_replica = view_replica
         self.grace_period_micros = grace_period_micros
         self.seen_view: View | None = None
         self.named_at: dict[tuple[str, int], int] = {}
-        keeper.view_observers.append(self._note)
+        view_replica.view_observers.append(self._note)
 
     def may_use(self, view: View, line: str, version: int) -> bool:
         if view is not self.seen_view:
@@ -35,5 +35,5 @@
         self.seen_view = view
         for line, fact in view.weights.items():
             if fact.weights.isdigit():
-                at_micros = self.keeper.named_after.get((line, fact.revision), self.clock.now())
+                at_micros = self.view_replica.named_after.get((line, fact.revision), self.clock.now())
                 self.named_at.setdefault((line, int(fact.weights)), at_micros)
--- a/src/pearhead/router/weights_rollout.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -1,4 +1,4 @@
-"""RollOut (§7.7): one node brings all workers of a line to the weights that operators named."""
+"""WeightsRollout (§7.7): one node brings all workers of a line to the weights that operators named."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 LOGGER = logging.getLogger("pearhead")
 ROUND_MICROS = 50 * MILLI
-SILENCE_MICROS = 2 * SECOND
+PROGRESS_TIMEOUT_MICROS = 2 * SECOND
 RANK_DELAY_MICROS = 1_500 * MILLI
 NOTE_REPEAT_MICROS = 20 * MILLI
-LEAVE_MICROS = 40 * MILLI
+NOTE_ARRIVAL_MICROS = 40 * MILLI
 ORDER_LIMIT_MICROS = 700 * MILLI
 REPORT_LIMIT_MICROS = 500 * MILLI
 FIRST_REPORT_DELAY_MICROS = 450 * MILLI
 REPORT_INTERVAL_MICROS = 150 * MILLI
 LOAD_LIMIT_MICROS = 8 * SECOND
-AGAIN_MICROS = SECOND
+RETRY_DELAY_MICROS = SECOND
 SUSPENDED_MICROS = SECOND
 LIST_WAIT_MICROS = 2 * SECOND
 ORDER_MICROS = 1_700 * MILLI
@@ -80,9 +80,9 @@
     """The first by rendezvous over the line orders; the next when it saw no progress for 2 s and 1.5 s a rank.
 
     A hold is taken for each order, and only then. Its orders begin within `order_micros` from when it was asked for;
-    the core gives a worker to another holder only `hold_micros` after. So orders of two holders lie further apart
-    than the difference of the two, whichever of them froze or was cut off: where holders may not take turns within
-    a time, the core's holds must last that time and `order_micros`.
+    the core gives a worker to another holder only `worker_lease_micros` after. So orders of two holders lie further
+    apart than the difference of the two, whichever of them froze or was cut off: where holders may not take turns
+    within a time, the core's holds must last that time and `order_micros`.
     """
 
     def __init__(
@@ -94,9 +94,9 @@
         task_group: BackgroundTaskGroup,
         control: WorkerControl,
         rosters: RosterProvider,
-        keeper: ViewSource,
+        view_source: ViewSource,
         command_client: CommandClient,
-        book: WorkerVersionTable,
+        version_table: WorkerVersionTable,
         worker_lease_micros: int,
         order_micros: int = ORDER_MICROS,
         full_parallel_after_micros: int = FULL_PARALLEL_AFTER_MICROS,
@@ -108,20 +108,20 @@
         self.task_group = task_group
         self.control = control
         self.rosters = rosters
-        self.keeper = keeper
+        self.view_source = view_source
         self.command_client = command_client
-        self.book = book
+        self.version_table = version_table
         self.worker_lease_micros = worker_lease_micros
         self.order_micros = min(order_micros, worker_lease_micros - LEASE_MARGIN_MICROS)
         self.full_parallel_after_micros = full_parallel_after_micros
-        self.holds: dict[str, _WorkerLease] = {}
+        self.leases: dict[str, _WorkerLease] = {}
         self.lines: dict[str, _LineState] = {}
         self.loads: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.retry_at_micros: dict[str, int] = {}
         self.failure_counts: dict[str, int] = {}
         self.is_draining = False
         self.settled: _SettledState | None = None
-        rpc_endpoint.on_message("model_note", self._take_note)
+        rpc_endpoint.on_message("model_note", self._handle_note)
 
     async def run(self) -> None:
         seen_micros, quiet_until = self.clock.now(), 0
@@ -132,12 +132,12 @@
                 # It slept: what others did meanwhile comes with the next list, and would be ordered again.
                 quiet_until = now_micros + LIST_WAIT_MICROS
             seen_micros = now_micros
-            if now_micros >= quiet_until and self.keeper.is_current() and not self.is_draining:
+            if now_micros >= quiet_until and self.view_source.is_current() and not self.is_draining:
                 self._work_once()
 
     def record_version(self, worker: str, line: str, version: int) -> None:
         """What an answer of the worker told; from the way of requests."""
-        if self.book.note(worker, line, version):
+        if self.version_table.record(worker, line, version):
             self._record_progress(line, version)
 
     # ---- what there is to do ---------------------------------------------------------------------
@@ -148,19 +148,19 @@
         now_micros = self.clock.now()
         settled = self.settled
         if settled is not None:
-            if settled.view is self.keeper.view and settled.roster is self.rosters.roster:
+            if settled.view is self.view_source.view and settled.roster is self.rosters.roster:
                 settled.seen_micros = now_micros
                 return
             for settled_state in settled.states:
                 settled_state.progress_micros = max(settled_state.progress_micros, settled.seen_micros)
             self.settled = None
         self.loads = {key: task for key, task in self.loads.items() if not task.done()}
-        self.holds = {n: hold for n, hold in self.holds.items() if n in self.rosters.roster.backends}
+        self.leases = {n: hold for n, hold in self.leases.items() if n in self.rosters.roster.backends}
         self.retry_at_micros = {n: at for n, at in self.retry_at_micros.items() if at > now_micros}
         self.failure_counts = {n: c for n, c in self.failure_counts.items() if n in self.rosters.roster.backends}
         states = []
         is_settled = not self.loads
-        for line in self.keeper.view.weights:
+        for line in self.view_source.view.weights:
             wanted = self._wanted_version(line)
             if wanted is None:
                 continue
@@ -177,25 +177,25 @@
                 continue
             self._start_loads(line, state, pending)
         if is_settled:
-            self.settled = _SettledState(self.keeper.view, self.rosters.roster, states, now_micros)
+            self.settled = _SettledState(self.view_source.view, self.rosters.roster, states, now_micros)
 
     def _wanted_version(self, line: str) -> int | None:
         """The version named for a line; None while its weights' name is no decimal."""
-        fact = self.keeper.view.weights.get(line)
+        fact = self.view_source.view.weights.get(line)
         return int(fact.weights) if fact is not None and fact.weights.isdecimal() else None
 
     def _workers_of(self, line: str) -> list[Backend]:
-        services = {s.name for s in self.keeper.view.description.services if s.role == "model" and line in s.lines}
+        services = {s.name for s in self.view_source.view.description.services if s.role == "model" and line in s.lines}
         return [b for _, b in sorted(self.rosters.roster.backends.items()) if b.service in services]
 
     def _is_behind(self, backend: Backend, line: str, wanted: int) -> bool:
-        version = self.book.version_of(backend.name, line)
+        version = self.version_table.version_of(backend.name, line)
         return not self._is_leaving(backend.name) and (version is None or version < wanted)
 
     def _is_leaving(self, name: str) -> bool:
         """By the list or by operators; one that is gone leaves as well."""
         backend = self.rosters.roster.backends.get(name)
-        fact = self.keeper.view.workers.get(name)
+        fact = self.view_source.view.workers.get(name)
         return backend is None or backend.is_leaving or (fact is not None and fact.leaving)
 
     def _is_turn(self, line: str, state: _LineState) -> bool:
@@ -205,7 +205,7 @@
             self.identity, (r.identity for r in self.directory.members("router")), f"roll-out/{line}"
         )
         silent_micros = self.clock.now() - state.progress_micros
-        return rank == 0 or silent_micros >= SILENCE_MICROS + RANK_DELAY_MICROS * rank
+        return rank == 0 or silent_micros >= PROGRESS_TIMEOUT_MICROS + RANK_DELAY_MICROS * rank
 
     def _start_loads(self, line: str, state: _LineState, pending: list[Backend]) -> None:
         workers = [b for b in self._workers_of(line) if not self._is_leaving(b.name)]
@@ -219,7 +219,7 @@
         is_late = self.clock.now() - state.named_micros >= self.full_parallel_after_micros
         room = len(workers) if is_late else max(1, len(workers) // 3)
         busy = {key[1] for key in self.loads if key[0] == line}
-        busy |= {b.name for b in workers if self.book.is_loading(b.name)}
+        busy |= {b.name for b in workers if self.version_table.is_loading(b.name)}
         # One that failed does not keep others from their turn. While several versions are about, the oldest goes first:
         # requests that were served by newer ones would go back to it.
         for backend in sorted(pending, key=lambda b: self._load_priority(b, line)):
@@ -231,14 +231,14 @@
             self.loads[line, backend.name] = self.task_group.start(self._load(line, backend, state.wanted))
 
     def _load_priority(self, backend: Backend, line: str) -> tuple[int, int]:
-        return self.failure_counts.get(backend.name, 0), self.book.version_of(backend.name, line) or 0
+        return self.failure_counts.get(backend.name, 0), self.version_table.version_of(backend.name, line) or 0
 
     # ---- one worker ------------------------------------------------------------------------------
 
     async def _load(self, line: str, backend: Backend, wanted: int) -> None:
         """Holds it, tells nodes to leave it alone, orders, and looks until it is done."""
         if await self._acquire_lease(backend.name) is None:
-            self.retry_at_micros[backend.name] = self.clock.now() + AGAIN_MICROS // 4
+            self.retry_at_micros[backend.name] = self.clock.now() + RETRY_DELAY_MICROS // 4
             return
         if not self._is_behind(backend, line, wanted):
             return  # Word of it came meanwhile: this node had slept, or another was quicker.
@@ -266,17 +266,17 @@
                 self.failure_counts.pop(backend.name, None)
             else:
                 count = self.failure_counts[backend.name] = self.failure_counts.get(backend.name, 0) + 1
-                self.retry_at_micros[backend.name] = self.clock.now() + AGAIN_MICROS * min(count, 4)
-            self._tell(ModelNote(worker=backend.name, line=line, version=wanted if is_done else 0, loading=False))
+                self.retry_at_micros[backend.name] = self.clock.now() + RETRY_DELAY_MICROS * min(count, 4)
+            self._announce(ModelNote(worker=backend.name, line=line, version=wanted if is_done else 0, loading=False))
 
     async def _send_order(self, line: str, backend: Backend, wanted: int, hold: _WorkerLease) -> OrderOutcome | None:
         """None: no answer, so it may have been taken."""
 
         def may_begin() -> bool:
             return (
-                self.holds.get(backend.name) == hold
+                self.leases.get(backend.name) == hold
                 and self.clock.now() < hold.order_until
-                and self.keeper.is_current()
+                and self.view_source.is_current()
                 and self._wanted_version(line) == wanted
                 and not self._is_leaving(backend.name)
             )
@@ -287,7 +287,7 @@
             LOGGER.warning("router: An order got no answer. worker=%s fault=%r", backend.name, given.err_value)
             return None
         if given.ok_value is OrderOutcome.OLDER_FENCE:
-            self.holds.pop(backend.name, None)
+            self.leases.pop(backend.name, None)
         if given.ok_value not in (OrderOutcome.TAKEN, OrderOutcome.HOLDS_ALREADY):
             LOGGER.warning("router: An order was not taken. worker=%s outcome=%s", backend.name, given.ok_value.value)
         return given.ok_value
@@ -300,7 +300,7 @@
         idle_count = unanswered_report_count = 0
         while self.clock.now() - began_micros < LOAD_LIMIT_MICROS:
             await sleep_for(self.clock, wait_micros)
-            if (self.book.version_of(backend.name, line) or 0) >= wanted:
+            if (self.version_table.version_of(backend.name, line) or 0) >= wanted:
                 return True
             if backend.name not in self.rosters.roster.backends or unanswered_report_count >= UNANSWERED_REPORT_LIMIT:
                 return None
@@ -318,7 +318,7 @@
             wait_micros = max(REPORT_INTERVAL_MICROS, (now_micros - began_micros) // 5)
             if now_micros - told_micros >= SECOND:
                 told_micros = now_micros
-                self._tell(ModelNote(worker=backend.name, line=line, version=wanted, loading=True))
+                self._announce(ModelNote(worker=backend.name, line=line, version=wanted, loading=True))
         return None
 
     # ---- holds -----------------------------------------------------------------------------------
@@ -326,7 +326,7 @@
     async def _acquire_lease(self, name: str) -> _WorkerLease | None:
         """A hold with time left for an order, from the core if need be; None if another node has the worker."""
         for _ in range(LEASE_ATTEMPTS):
-            held = self.holds.get(name)
+            held = self.leases.get(name)
             asked_micros = self.clock.now()
             if held is not None and asked_micros < held.order_until - ORDER_LIMIT_MICROS:
                 return held
@@ -338,15 +338,15 @@
             if isinstance(given, Err) or given.ok_value.status not in ("done", "held", "refused"):
                 continue
             if given.ok_value.status != "done":
-                self.holds.pop(name, None)
+                self.leases.pop(name, None)
                 return None
             fence = int(json.loads(given.ok_value.body)["fence"])
-            present = self.holds.get(name)
+            present = self.leases.get(name)
             if present is not None and present.fence > fence:
                 return None
             # Counted from before it was asked for (§7.2).
-            self.holds[name] = _WorkerLease(fence, asked_micros + self.order_micros)
-            return self.holds[name]
+            self.leases[name] = _WorkerLease(fence, asked_micros + self.order_micros)
+            return self.leases[name]
         return None
 
     # ---- telling ---------------------------------------------------------------------------------
@@ -354,18 +354,18 @@
     async def _announce_loading(self, name: str, line: str, wanted: int) -> None:
         """Twice, as datagrams get lost; then what was already on its way has time to arrive."""
         note = ModelNote(worker=name, line=line, version=wanted, loading=True)
-        self._tell(note)
+        self._announce(note)
         await sleep_for(self.clock, NOTE_REPEAT_MICROS)
-        self._tell(note)
-        await sleep_for(self.clock, LEAVE_MICROS)
+        self._announce(note)
+        await sleep_for(self.clock, NOTE_ARRIVAL_MICROS)
 
-    def _tell(self, note: ModelNote) -> None:
-        if self.book.apply_note(note):
+    def _announce(self, note: ModelNote) -> None:
+        if self.version_table.apply_note(note):
             self._record_progress(note.line, note.version)
         self.rpc_endpoint.multicast([r.address for r in self.directory.members("router")], "model_note", note)
 
-    def _take_note(self, identity: str, address: str, note: ModelNote) -> None:
-        if self.book.apply_note(note):
+    def _handle_note(self, identity: str, address: str, note: ModelNote) -> None:
+        if self.version_table.apply_note(note):
             self._record_progress(note.line, note.version)
 
     def _record_progress(self, line: str, version: int) -> None:
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -1,4 +1,4 @@
-"""HolderController (§7): holds workers by term and fence, loads weights, gathers reports."""
+"""WorkerLeaseController (§7): holds workers by term and fence, loads weights, gathers reports."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 LEASE_MARGIN_MICROS = 300 * MILLI
 BUMP_LIMIT = 512
 KEYS_PER_NOTE = 25
-LONG_TOKENS = 1_000
+LONG_PREFILL_TOKENS = 1_000
 UNANSWERED_POLL_LIMIT = 2
 BUMP_BATCH_SIZE = 16
 BUMP_JITTER_MICROS = 250 * MILLI
@@ -82,7 +82,7 @@
     def __init__(
         self,
         identity: str,
-        keeper: ViewReplica,
+        view_replica: ViewReplica,
         listener: RevisionListener,
         index: CopyIndex,
         link: WorkerLink,
@@ -94,7 +94,7 @@
         worker_lease_micros: int,
     ) -> None:
         self.identity = identity
-        self.keeper = keeper
+        self.view_replica = view_replica
         self.listener = listener
         self.index = index
         self.link = link
@@ -105,9 +105,9 @@
         self.task_group = task_group
         self.worker_lease_micros = worker_lease_micros
         self.session = CommandSession(identity)
-        self.holds: dict[str, _WorkerLease] = {}
+        self.leases: dict[str, _WorkerLease] = {}
         self.pending_lease_requests: set[str] = set()
-        self.reports: dict[str, _PollState] = {}
+        self.poll_states: dict[str, _PollState] = {}
         self.bumped_revisions: dict[str, int] = {}
         self.preferred_core = ""
         self.load_callback: Callable[[str, int, int], None] = lambda worker, running, waiting_tokens: None
@@ -121,32 +121,36 @@
     async def run(self) -> None:
         while True:
             await sleep_for(self.clock, ROUND_MICROS)
-            if self.keeper.is_current() and not self.is_draining:
+            if self.view_replica.is_current() and not self.is_draining:
                 self._work_once()
 
     def _work_once(self) -> None:
-        view = self.keeper.view
+        view = self.view_replica.view
         for name, worker in sorted(view.workers.items()):
             if self._service_role(view, worker) == "application":
                 continue
-            hold = self.holds.get(name)
+            hold = self.leases.get(name)
             now_micros = self.clock.now()
             if hold is not None and now_micros >= hold.valid_until:
-                self.holds.pop(name)
+                self.leases.pop(name)
                 hold = None
             if name not in self.pending_lease_requests and (
-                (hold is None and self._is_first(name)) or (hold is not None and now_micros >= hold.renew_at)
+                (hold is None and self._is_first_ranked(name)) or (hold is not None and now_micros >= hold.renew_at)
             ):
                 self.pending_lease_requests.add(name)
                 self.task_group.start(self._request_lease(name, hold.fence if hold else 0))
             if hold is not None:
                 self._act_on_lease(view, worker, hold)
         for line, fact in view.weights.items():
-            if line in self.bumped_revisions and self.bumped_revisions[line] != fact.revision and self._is_first(line):
+            if (
+                line in self.bumped_revisions
+                and self.bumped_revisions[line] != fact.revision
+                and self._is_first_ranked(line)
+            ):
                 self.task_group.start(self._bump_line(line))
             self.bumped_revisions[line] = fact.revision
 
-    def _is_first(self, name: str) -> bool:
+    def _is_first_ranked(self, name: str) -> bool:
         """By rendezvous among the nodes alive: who should hold; the core decides who does (§7.2)."""
         identities = [r.identity for r in self.directory.members("router")] + [self.identity]
         return self.identity == max(
@@ -162,12 +166,12 @@
             command = Command()
             command.hold.worker, command.hold.holder = name, self.identity
             command.hold.term_micros, command.hold.renew_fence = self.worker_lease_micros, current_fence
-            result = await self._command(command)
+            result = await self._ask_core(command)
             if result is not None and result.status == "done":
                 fence = int(json.loads(result.body)["fence"])
-                held = self.holds.get(name)
+                held = self.leases.get(name)
                 # The term counts from before it was asked for, and ends early (§7.2).
-                self.holds[name] = _WorkerLease(
+                self.leases[name] = _WorkerLease(
                     fence,
                     asked_micros + self.worker_lease_micros - LEASE_MARGIN_MICROS,
                     asked_micros + self.worker_lease_micros // 3,
@@ -175,14 +179,14 @@
                     held.claimed_life if held is not None and held.fence == fence else "",
                 )
             elif result is not None and result.status in ("held", "refused"):
-                self.holds.pop(name, None)
+                self.leases.pop(name, None)
         finally:
             self.pending_lease_requests.discard(name)
 
-    async def _command(self, command: Command) -> CommandResult | None:
+    async def _ask_core(self, command: Command) -> CommandResult | None:
         """Asks the core that answered last, and another once that one is silent."""
         self.session.assign_number(command)
-        addresses = self.keeper.core_addresses()
+        addresses = self.view_replica.core_addresses()
         if not addresses:
             return None
         if self.preferred_core not in addresses:
@@ -201,10 +205,10 @@
     # ---- what a holder does ----------------------------------------------------------------------
 
     def _act_on_lease(self, view: View, worker: WorkerRecord, hold: _WorkerLease) -> None:
-        report = self.reports.setdefault(worker.name, _PollState())
+        report = self.poll_states.setdefault(worker.name, _PollState())
         if not report.is_busy:
             report.is_busy = True
-            self.task_group.start(self._gather(worker, report))
+            self.task_group.start(self._poll_worker(worker, report))
         if hold.is_busy or self._service_role(view, worker) != "model":
             return
         if not hold.claimed_life or hold.claimed_life != (report.life or hold.claimed_life):
@@ -224,34 +228,34 @@
             self._announce_unsound(worker.name)
         if load is not None and is_loaded and load.weights_revision == present.revision:
             return
-        if is_loaded and not self._may_begin(view, worker, line, present.revision, report):
+        if is_loaded and not self._may_load(view, worker, line, present.revision, report):
             return
         hold.is_busy = True
         self.task_group.start(self._load(worker, hold.fence, line, present.weights, present.revision))
 
-    def _is_within_term(self, name: str, fence: int) -> bool:
+    def _is_lease_valid(self, name: str, fence: int) -> bool:
         """The last check before a command leaves, in one step with it (§7.2)."""
-        hold = self.holds.get(name)
+        hold = self.leases.get(name)
         return hold is not None and hold.fence == fence and self.clock.now() < hold.valid_until
 
     async def _claim(self, worker: WorkerRecord, fence: int) -> None:
         """Before all else a new holder shows its fence, so that no late command of an older one counts (§7.2)."""
-        claimed = await self.link.claim(worker.address, fence, lambda: self._is_within_term(worker.name, fence))
+        claimed = await self.link.claim(worker.address, fence, lambda: self._is_lease_valid(worker.name, fence))
         if isinstance(claimed, Err):
             await sleep_for(self.clock, POLL_MICROS)
-        hold = self.holds.get(worker.name)
+        hold = self.leases.get(worker.name)
         if hold is not None:
             hold.is_busy = False
             if hold.fence == fence and not isinstance(claimed, Err):
                 hold.claimed_life = claimed.ok_value["life"]
 
-    def _may_begin(self, view: View, worker: WorkerRecord, line: str, revision: int, report: _PollState) -> bool:
+    def _may_load(self, view: View, worker: WorkerRecord, line: str, revision: int, report: _PollState) -> bool:
         """Two waves: the first half at once, the rest when that half serves or is late (§7.3).
 
         Nodes leave a worker alone from then on, and its last jobs are waited for: not all drain by themselves.
         """
         now_micros = self.clock.now()
-        since_micros = self.clock.now() - self.keeper.first_seen.get((line, revision), 0)
+        since_micros = self.clock.now() - self.view_replica.first_seen.get((line, revision), 0)
         if since_micros < VIEW_PROPAGATION_MICROS:
             return False  # Nodes that have not seen the naming would still send jobs here.
         is_barred = not self.may_serve(view, line, worker.name)
@@ -279,7 +283,7 @@
                 line,
                 weights,
                 LOAD_LIMIT_MICROS,
-                lambda: self._is_within_term(worker.name, fence),
+                lambda: self._is_lease_valid(worker.name, fence),
             )
             if isinstance(loaded, Err):
                 LOGGER.warning("router: A worker did not load. worker=%s fault=%r", worker.name, str(loaded.err_value))
@@ -292,16 +296,16 @@
             command.confirm.life, command.confirm.sequence = body["life"], body["sequence"]
             command.confirm.weights_revision = revision
             for _ in range(5):
-                result = await self._command(command)
+                result = await self._ask_core(command)
                 if result is not None and result.status in ("done", "refused"):
                     break
             # Leaves the core's word time to come round, so that it is not loaded twice.
             await sleep_for(self.clock, 3 * POLL_MICROS)
         finally:
-            if worker.name in self.holds:
-                self.holds[worker.name].is_busy = False
+            if worker.name in self.leases:
+                self.leases[worker.name].is_busy = False
 
-    async def _gather(self, worker: WorkerRecord, report: _PollState) -> None:
+    async def _poll_worker(self, worker: WorkerRecord, report: _PollState) -> None:
         try:
             asked_micros = self.clock.now()
             given_result = await self.link.events(worker.address, report.life, report.sequence)
@@ -319,7 +323,7 @@
             load = (int(body.get("running", 0)), int(body.get("waiting_tokens", 0)))
             if has_new_state or load != report.load:
                 report.load = load
-                self._spread(worker, body, from_sequence)
+                self._publish_copies(worker, body, from_sequence)
             self._bump_changed(body["changed"])
             await sleep_for(self.clock, POLL_MICROS)
         finally:
@@ -356,7 +360,7 @@
         if revision is None or self.listener.last_revision_of(owner, line, part) == revision:
             await self.listener.bump(owner, line, part)
 
-    def _spread(self, worker: WorkerRecord, body: dict[str, Any], from_sequence: int) -> None:
+    def _publish_copies(self, worker: WorkerRecord, body: dict[str, Any], from_sequence: int) -> None:
         """Tells all nodes on the channel of a volume; those not told lose only speed (§6.5)."""
         kept, dropped = list(body["kept"]), list(body["dropped"])
         note = CopyNote(
@@ -387,7 +391,7 @@
 
     def announce_prefill(self, worker: str, tokens: int) -> None:
         """A long prefill is told when it is sent: until the next poll all nodes would send jobs behind it (§8.5)."""
-        if tokens >= LONG_TOKENS:
+        if tokens >= LONG_PREFILL_TOKENS:
             addresses = [r.address for r in self.directory.members("router")]
             note = CopyNote(worker=worker, starting_tokens=tokens)
             self.rpc_endpoint.multicast(addresses, "purge_note", PurgeNote(copy_note=note))
@@ -409,7 +413,7 @@
         )
         if not note.whole:
             self.index.record_verified_keys(
-                self.keeper.view.loads.get(note.worker), note.life, note.from_sequence, note.kept
+                self.view_replica.view.loads.get(note.worker), note.life, note.from_sequence, note.kept
             )
 
     async def _bump_line(self, line: str) -> None:
--- a/src/pearhead/router/worker_selector.py
+++ b/src/pearhead/router/worker_selector.py
@@ -289,7 +289,7 @@
         return frozenset(names), min(RESERVED_PENALTY_WEIGHT * excess_micros, MAX_RESERVED_PENALTY_MICROS)
 
     def _cached_tokens(self, worker: str, salt: str, request: OpaqueRequest) -> int:
-        kept = self.index.kept_tokens(worker, salt, request.parts)
+        kept = self.index.cached_prefix_tokens(worker, salt, request.parts)
         now_micros = self.clock.now()
         expected = 0
         for part in request.parts:
@@ -340,7 +340,7 @@
                 address, zone, mbps = store.store_address, store.store_zone, store.link_mbps or service.link_mbps
             else:
                 continue
-            tokens = self.index.kept_tokens(keeper, salt, request.parts) - kept
+            tokens = self.index.cached_prefix_tokens(keeper, salt, request.parts) - kept
             if tokens < LONG_TOKENS or not mbps:
                 continue
             move_micros = tokens * service.token_bytes * 8 / min(mbps, service.link_mbps or mbps)
@@ -359,7 +359,7 @@
             return ""
         for service in view.services.values():
             if service.role == "store" and service.store_address:
-                if self.index.kept_tokens(service.name, salt, shared) < shared_tokens:
+                if self.index.cached_prefix_tokens(service.name, salt, shared) < shared_tokens:
                     return service.store_address
         return ""
 
--- a/src/pearhead/testbed/capacity/hollow_nodes.py
+++ b/src/pearhead/testbed/capacity/hollow_nodes.py
@@ -1,7 +1,7 @@
 """HollowNodes (§9.12): nodes that greet and keep their term as real ones do, many in one process.
 
 What is left out: the HTTP edge, purge, holds and nomination. What is real: the transport, the courier, the
-keeper of the term and the messages. The directory is one table for all hollow nodes of a process.
+view_replica of the term and the messages. The directory is one table for all hollow nodes of a process.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
         self.rpc_endpoint = CountingCourier(record.identity, record.address, self.net, clock)
         self.task_group = task_group
         self.directory: SharedDirectory
-        self.keeper: ViewReplica
+        self.view_replica: ViewReplica
         self.reached: list[tuple[int, int]] = []
         self.lost_count = 0
         self.is_lost = True
@@ -104,12 +104,12 @@
     async def run(self, directory: SharedDirectory, term_micros: int) -> None:
         """Starts within one round of the others, as processes on many machines do."""
         self.directory = directory
-        self.keeper = ViewReplica(self.rpc_endpoint, directory, self.clock, self.chance, self.task_group, term_micros)
+        self.view_replica = ViewReplica(self.rpc_endpoint, directory, self.clock, self.chance, self.task_group, term_micros)
         self.rpc_endpoint.on_message("hello", self._take_hello)
         self.rpc_endpoint.on_message("hello_result", directory._handle_hello_result)
         await self.net.open()
         await sleep_for(self.clock, self.chance.randrange(HELLO_INTERVAL_MICROS))
-        self.task_group.start(self.keeper.run())
+        self.task_group.start(self.view_replica.run())
         round_number = 0
         while True:
             self._greet(round_number)
@@ -118,10 +118,10 @@
 
     def look(self) -> None:
         """Notes when a view came in force here, and when the term was lost."""
-        index = self.keeper.view.index
+        index = self.view_replica.view.index
         if index and (not self.reached or self.reached[-1][1] != index):
             self.reached.append((self.clock.now(), index))
-        was_lost, self.is_lost = self.is_lost, not self.keeper.is_current()
+        was_lost, self.is_lost = self.is_lost, not self.view_replica.is_current()
         self.lost_count += self.is_lost and not was_lost
 
     def _greet(self, round_number: int) -> None:
@@ -181,7 +181,7 @@
         while True:
             await sleep_for(self.clock, LOOK_MICROS)
             for node in self.nodes:
-                if hasattr(node, "keeper"):
+                if hasattr(node, "view_replica"):
                     node.look()
 
     def state(self, index: int) -> dict[str, Any]:
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -110,15 +110,15 @@
 
     def change(node: NodeProcess) -> None:
         name = node.startup.address.partition(":")[0]
-        real_take = node.keeper._take_members
+        real_take = node.view_replica._apply_members
 
         def take(result: TermResult) -> None:
             real_take(result)
-            held = node.keeper.membership
+            held = node.view_replica.membership
             reached = [m for m in held.members.member if not fleet.world.is_cut(m.address.partition(":")[0], name)]
-            node.keeper.membership = Membership(0, Members(member=reached))
+            node.view_replica.membership = Membership(0, Members(member=reached))
 
-        node.keeper._take_members = take  # type: ignore[method-assign]
+        node.view_replica._apply_members = take  # type: ignore[method-assign]
 
     fleet.node_patch = change
 
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -89,7 +89,7 @@
                 (r for r, ack_micros in self.fleet.ledger.acknowledged_applies if ack_micros < known_micros), default=0
             )
             for name, node in self.fleet.nodes.items():
-                if node.keeper.is_current() and node.keeper.view.description_revision < newest:
+                if node.view_replica.is_current() and node.view_replica.view.description_revision < newest:
                     self.breach("old configuration", f"{name} serves without {newest}")
 
     async def end(self) -> None:
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -152,7 +152,7 @@
             machine.chance,
         )
         # The machine's task_group is what a crash ends.
-        for part in (node, node.keeper, node.listener, node.holder):
+        for part in (node, node.view_replica, node.listener, node.lease_controller):
             part.task_group = machine.task_group
         self.node_patch(node)
         node.start()
@@ -237,7 +237,9 @@
 
     def is_loaded(self, worker_name: str) -> bool:
         """Whether all nodes that stand know it to be loaded."""
-        return all(worker_name in n.keeper.view.loads for name, n in self.nodes.items() if self._is_machine_alive(name))
+        return all(
+            worker_name in n.view_replica.view.loads for name, n in self.nodes.items() if self._is_machine_alive(name)
+        )
 
     def heal(self) -> None:
         self._record_action("heal")
@@ -386,10 +388,10 @@
 
     def _is_ready(self) -> bool:
         for name, node in self.nodes.items():
-            view = node.keeper.view
+            view = node.view_replica.view
             if not self._is_machine_alive(name):
                 continue
-            if not node.keeper.is_current() or len(view.loads) < self.worker_count:
+            if not node.view_replica.is_current() or len(view.loads) < self.worker_count:
                 return False
             if {f.weights_revision for f in view.loads.values()} != {w.revision for w in view.weights.values()}:
                 return False
@@ -639,7 +641,7 @@
 
     def _record_send(self, node_name: str, upstream_id: str, worker: str) -> None:
         """The first byte of a job leaves its node."""
-        view = self.nodes[node_name].keeper.view
+        view = self.nodes[node_name].view_replica.view
         self.ledger.sends[upstream_id] = SentJob(
             node_name,
             self.world.machine(node_name).boot_count,
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -111,7 +111,7 @@
         await fleet.apply(fleet.marked_description(str(number)))
         start_micros = fleet.world.now()
         revision = fleet.description_revision
-        while any(n.keeper.view.description_revision < revision for n in fleet.nodes.values()):
+        while any(n.view_replica.view.description_revision < revision for n in fleet.nodes.values()):
             await pause(fleet.world, 5 * MILLI)
         times.append((fleet.world.now() - start_micros) / MILLI)
         await pause(fleet.world, fleet.world.chance.randrange(SECOND))
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -100,7 +100,7 @@
 @mutation("node-cut-off-from-cores", "force")
 def term_unchecked(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
-        node.keeper.is_current = lambda: True  # type: ignore[method-assign]
+        node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -138,7 +138,7 @@
 def old_weights_kept(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
         node.nominator.old_weights_micros = 10**12
-        node.holder._may_begin = lambda *_: False  # type: ignore[method-assign]
+        node.lease_controller._may_load = lambda *_: False  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -199,7 +199,7 @@
     FleetState._apply_hold = hold  # type: ignore[method-assign]
 
     def change(node: NodeProcess) -> None:
-        node.holder._is_first = lambda name: True  # type: ignore[method-assign]
+        node.lease_controller._is_first_ranked = lambda name: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -256,7 +256,7 @@
 def never_current_again(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
         if fleet.world.now() > 5_000_000:
-            node.keeper.is_current = lambda: False  # type: ignore[method-assign]
+            node.view_replica.is_current = lambda: False  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -270,7 +270,7 @@
 
         node.budget.take_out = take_out  # type: ignore[method-assign]
         node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
-        node.holder.unsound_callback = lambda worker: None
+        node.lease_controller.unsound_callback = lambda worker: None
 
     _patch_nodes(fleet, change)
 
@@ -288,12 +288,12 @@
     """Key and entry are looked at before a job queues, and never again."""
 
     def change(node: NodeProcess) -> None:
-        real_look = node._look
+        real_look = node._check_in_force
 
         def look(job: Job) -> Any:
             return Ok(None) if job.entry is not None else real_look(job)
 
-        node._look = look  # type: ignore[method-assign]
+        node._check_in_force = look  # type: ignore[method-assign]
         node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
@@ -310,7 +310,7 @@
 @mutation("holder-freezes-as-it-commands", "commands")
 def commands_unchecked(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
-        node.holder._is_within_term = lambda name, fence: True  # type: ignore[method-assign]
+        node.lease_controller._is_lease_valid = lambda name, fence: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -334,7 +334,7 @@
 
     def change(node: NodeProcess) -> None:
         node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
-        node.holder.unsound_callback = lambda worker: None
+        node.lease_controller.unsound_callback = lambda worker: None
         node.budget.take_out = lambda service: False  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -88,7 +88,7 @@
         apply_before = _totals(fleet)["term_result"]
         await fleet.apply(fleet.marked_description("a"))
         start_micros = world.now()
-        while any(n.keeper.view.description_revision < fleet.description_revision for n in fleet.nodes.values()):
+        while any(n.view_replica.view.description_revision < fleet.description_revision for n in fleet.nodes.values()):
             await pause(world, 5 * MILLI)
         apply_after = _totals(fleet)["term_result"]
         return {
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -37,7 +37,7 @@
 
 
 def expect_no_node_serves(fleet: SimFleet) -> None:
-    if any(n.keeper.is_current() for n in fleet.nodes.values()):
+    if any(n.view_replica.is_current() for n in fleet.nodes.values()):
         fleet.ledger.breaches.append("a node serves without a majority in reach")
 
 
@@ -97,7 +97,7 @@
 @scenario
 async def all_workers_killed(fleet: SimFleet) -> None:
     """All at once, with the nodes that hold most of them, while weights are named."""
-    holders = [n for n, node in sorted(fleet.nodes.items()) if node.holder.holds][:3]
+    holders = [n for n, node in sorted(fleet.nodes.items()) if node.lease_controller.leases][:3]
     names = [*fleet.current_workers(), *holders]
     for name in names:
         fleet.kill(name, loses_power=True)
@@ -176,7 +176,7 @@
 async def holder_freezes_as_it_commands(fleet: SimFleet) -> None:
     """Each holder freezes between its check and its command, and wakes when another holds its workers."""
     # Those that hold most go first: a node that holds nothing commands nothing, and is never caught.
-    names = sorted(fleet.nodes, key=lambda name: (-len(fleet.nodes[name].holder.holds), name))
+    names = sorted(fleet.nodes, key=lambda name: (-len(fleet.nodes[name].lease_controller.leases), name))
     caught = freeze_nodes_on_connect(fleet, COMMAND_CONNECTION, names[: len(names) - 2])
     await fleet.name_weights("w2")
     await fleet.wait_until(lambda: bool(caught), "a holder is caught as it commands")
@@ -751,7 +751,7 @@
     await disk_lost_after_yes(fleet)
     fleet.add_node("node-10")
     await pause(fleet.world, 4 * SECOND)
-    if not fleet.nodes["node-10"].keeper.is_current():
+    if not fleet.nodes["node-10"].view_replica.is_current():
         fleet.ledger.breaches.append("a new node did not come in by the new seeds")
     await wait_for_recovery(fleet)
 
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -113,7 +113,7 @@
 
     def gather(self) -> None:
         worker = cast(WorkerRecord, _NamedWorker())
-        self.machine.task_group.start(self.holder._gather(worker, _PollState(life="1")))
+        self.machine.task_group.start(self.holder._poll_worker(worker, _PollState(life="1")))
 
 
 class _NamedWorker:
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -321,12 +321,12 @@
             startup, GatewaySettings(), FakeRuntime(), FakeRuntime(), unused, unused, random.Random(1)
         )
         self.assertEqual(gateway.client_limits(), ClientLimits())
-        gateway.keeper.view = self.view(1, {"header_bytes": 16_384, "idle_micros": 15_000 * MILLI})
+        gateway.view_replica.view = self.view(1, {"header_bytes": 16_384, "idle_micros": 15_000 * MILLI})
         self.assertEqual(gateway.client_limits(), ClientLimits(header_bytes=16_384, idle_micros=15 * SECOND))
         told = gateway.client_limits()
-        gateway.keeper.view = View(2, gateway.keeper.view.sections)
+        gateway.view_replica.view = View(2, gateway.view_replica.view.sections)
         self.assertIs(gateway.client_limits(), told, "other sections changed: nothing is read anew")
-        gateway.keeper.view = self.view(3, {})
+        gateway.view_replica.view = self.view(3, {})
         self.assertEqual(gateway.client_limits(), ClientLimits(), "limits that were taken away")
 
     def test_a_limit_that_is_not_told_keeps_its_default(self) -> None:
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -57,10 +57,10 @@
         bench = FakeRuntime()
         gateway = make_gateway(bench)
         self.assertIsNone(gateway.view(), "nothing was confirmed yet")
-        gateway.keeper.view, gateway.keeper.current_at = make_view(0), bench.now()
-        gateway.keeper.has_view = True
+        gateway.view_replica.view, gateway.view_replica.current_at = make_view(0), bench.now()
+        gateway.view_replica.has_view = True
         self.assertIsNone(gateway.view(), "confirmed, and no configuration was taken yet")
-        gateway.keeper.view = make_view(3)
+        gateway.view_replica.view = make_view(3)
         self.assertIsNotNone(gateway.view())
         bench.now_micros += SERVE_ON_MICROS
         self.assertIsNotNone(gateway.view())
@@ -74,8 +74,8 @@
         bench = FakeRuntime()
         for bound_micros, trusted_micros in ((5 * SECOND, 5 * SECOND), (0, SERVE_ON_MICROS)):
             gateway = make_gateway(bench, bound_micros)
-            gateway.keeper.view, gateway.keeper.has_view = make_view(3), True
-            gateway.keeper.current_at = bench.now()
+            gateway.view_replica.view, gateway.view_replica.has_view = make_view(3), True
+            gateway.view_replica.current_at = bench.now()
             bench.now_micros += trusted_micros
             self.assertTrue(gateway.trusts_keys())
             self.assertIsNotNone(gateway.view())
@@ -90,7 +90,11 @@
         routes[1] = dataclasses.replace(routes[1], public=True)
         view = View()
         view.__dict__.update(description=Description(routes=routes, tenants=[tenant]), number=3)
-        gateway.keeper.view, gateway.keeper.has_view, gateway.keeper.current_at = view, True, bench.now()
+        gateway.view_replica.view, gateway.view_replica.has_view, gateway.view_replica.current_at = (
+            view,
+            True,
+            bench.now(),
+        )
 
         def look(path: str, key: str) -> ErrorKind | None:
             request = OpaqueRequest("1", "POST", path, "h", path, HTTPHeaders(), b"", bench.now(), hash_key(key))
@@ -105,7 +109,7 @@
 class WeightsAgeTest(unittest.IsolatedAsyncioTestCase):
     async def test_old_weights_are_used_for_a_bounded_time_from_before_their_successors_naming(self) -> None:
         bench = FakeRuntime()
-        keeper = make_gateway(bench).keeper
+        keeper = make_gateway(bench).view_replica
         clock = WeightsGracePeriod(bench, keeper, OLD_MICROS)
         self.assertTrue(clock.may_use(make_view(1, m=1), "m", 1))
         known_current_micros = bench.now()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -97,8 +97,8 @@
         self.carrier = ScriptedCarrier()
         startup = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], bodyLimitBytes=10_000)
         self.node = NodeProcess(startup, BootClock(), FakeRuntime(), self.carrier, NoLink(), random.Random(1))
-        self.node.keeper.view = make_view()
-        self.node.keeper.is_current = lambda: True  # type: ignore[method-assign]
+        self.node.view_replica.view = make_view()
+        self.node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server = HTTPServer(build_job_api(self.node, startup))
@@ -188,7 +188,7 @@
         description["entries"][2]["repeatable"] = False
         sections = dict(make_view().sections)
         sections[ENTRY_SECTIONS[0]] = (5, json.dumps(description["entries"]).encode())
-        self.node.keeper.view = View(5, sections)
+        self.node.view_replica.view = View(5, sections)
         self.carrier.cut_after = 0
         self.send(self.notice())
         self.assertEqual(await self.refusal(), (502, "outcome_unknown", "unknown"))
@@ -204,7 +204,7 @@
         self.send(self.notice())
         self.assertEqual((await self.given_result())[0], 200)
         tenants = [t for t in build_description(ACADEMY)["tenants"] if t["name"] != "trial"]
-        self.node.keeper.view = make_view(tenants)
+        self.node.view_replica.view = make_view(tenants)
         self.send(self.notice())
         self.assertEqual(await self.refusal(), (401, "bad_key", "not_run"))
 
@@ -246,7 +246,7 @@
         self.send(self.notice())
         await self.reader.readuntil(b"\r\n\r\n")
         may_begin = self.carrier.may_begin
-        view = self.node.keeper.view
+        view = self.node.view_replica.view
         self.assertTrue(may_begin())
         description = build_description(ACADEMY)
         gone = [t for t in description["tenants"] if t["name"] != "trial"]
@@ -256,19 +256,19 @@
         left["workers"] = (6, left["workers"][1].replace(b"false", b"true"))
         same = View(7, {**view.sections, "weights": (7, b"{}")})
         for changed in (make_view(gone), View(6, moved), View(6, left)):
-            self.node.keeper.view = changed
+            self.node.view_replica.view = changed
             self.assertFalse(may_begin())
-        self.node.keeper.view = same
+        self.node.view_replica.view = same
         self.assertTrue(may_begin(), "what did not touch the job does not stop it")
-        self.node.keeper.is_current = lambda: False  # type: ignore[method-assign]
+        self.node.view_replica.is_current = lambda: False  # type: ignore[method-assign]
         self.assertFalse(may_begin())
 
     async def test_jobs_that_wait_are_told_at_once_when_the_term_is_lost_and_run_when_the_node_drains(self) -> None:
         description = build_description(ACADEMY)
         description["entries"][2].update(concurrency=1)
-        sections = dict(self.node.keeper.view.sections)
+        sections = dict(self.node.view_replica.view.sections)
         sections[ENTRY_SECTIONS[0]] = (5, json.dumps(description["entries"]).encode())
-        self.node.keeper.view = View(5, sections)
+        self.node.view_replica.view = View(5, sections)
         self.carrier.line_count = 10**9
         self.send(self.notice(jobId="first"))
         await self.reader.readuntil(b"\r\n\r\n")
@@ -281,12 +281,12 @@
                 await asyncio.sleep(0)
 
         await queue("second")
-        self.node.keeper.is_current = lambda: False  # type: ignore[method-assign]
+        self.node.view_replica.is_current = lambda: False  # type: ignore[method-assign]
         review_task = asyncio.ensure_future(self.node._review_queues())
         self.assertEqual(await asyncio.wait_for(self.refusal(), 10), (503, "not_current", "not_run"))
         review_task.cancel()
         self.writer.close()
-        self.node.keeper.is_current = lambda: True  # type: ignore[method-assign]
+        self.node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
         await queue("third")
         self.node.is_draining = True
         self.carrier.line_count = 2
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -64,7 +64,10 @@
         await self.lead(fleet, names, RECOVERY_MICROS)
         await pause(fleet.world, SECOND)
         held = [len(fleet.cores[name].fleet.history) for name in names]
-        return 2, [*held, int("mark-b" in {t.name for t in fleet.nodes["node-1"].keeper.view.description.tenants}) + 1]
+        return 2, [
+            *held,
+            int("mark-b" in {t.name for t in fleet.nodes["node-1"].view_replica.view.description.tenants}) + 1,
+        ]
 
     def test_what_was_acknowledged_is_in_force_after_the_second_wipe(self) -> None:
         """None: the second acknowledgement comes as soon as the emptied disk has a vote again, as on that day."""
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -92,8 +92,8 @@
 
 def make_node(carrier: ScriptedCarrier) -> NodeProcess:
     node = NodeProcess(STARTUP, TimerDrivenClock(), FakeRuntime(), carrier, NoLink(), random.Random(1))
-    node.keeper.view = make_view()
-    node.keeper.is_current = lambda: True  # type: ignore[method-assign]
+    node.view_replica.view = make_view()
+    node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
     return node
 
 
@@ -355,7 +355,7 @@
         def take(self: ViewReplica, result: TermResult) -> None:
             self.view = View(result.delta.index, {s.name: (s.index, s.body) for s in result.delta.section})
 
-        self.check(digest_swap_against_reads, self.swap(ViewReplica, "_take_delta", take), 10)
+        self.check(digest_swap_against_reads, self.swap(ViewReplica, "_apply_view_delta", take), 10)
 
     def test_cancel_against_carry(self) -> None:
         async def admit(self: Any, job: Any) -> Any:
--- a/tests/test_kept_gatherer.py
+++ b/tests/test_kept_gatherer.py
@@ -156,7 +156,7 @@
         async def play(fleet: WorkerFleet) -> None:
             node = fleet.nodes[0]
             index = PrefixCacheIndex()
-            node.sink.take = index.take  # type: ignore[method-assign]
+            node.sink.apply_note = index.apply_note  # type: ignore[method-assign]
             worker = fleet.platform.workers["w0"]
             for number in range(12):
                 # Every other note is lost; parts without a salt are nothing to tell.
--- a/tests/test_kept_index.py
+++ b/tests/test_kept_index.py
@@ -1,4 +1,4 @@
-"""KeptIndex: what reports say, and what their gaps leave."""
+"""PrefixCacheIndex: what reports say, and what their gaps leave."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
         self.index = PrefixCacheIndex()
 
     def kept(self) -> int:
-        return self.index.kept_tokens("w", "s", PARTS)
+        return self.index.cached_prefix_tokens("w", "s", PARTS)
 
     def test_a_part_counts_only_behind_all_before_it(self) -> None:
-        self.index.take(note(1, ("b", 50)))
+        self.index.apply_note(note(1, ("b", 50)))
         self.assertEqual(self.kept(), 0)
-        self.index.take(note(2, ("a", 100)))
+        self.index.apply_note(note(2, ("a", 100)))
         self.assertEqual(self.kept(), 150)
-        self.index.take(note(3, ("b", 16)))
+        self.index.apply_note(note(3, ("b", 16)))
         self.assertEqual(self.kept(), 116, "a part that is kept in part ends the prefix")
-        self.assertEqual(self.index.kept_tokens("w", "other", PARTS), 0, "another salt")
+        self.assertEqual(self.index.cached_prefix_tokens("w", "other", PARTS), 0, "another salt")
 
     def test_drops_gaps_and_new_lives_are_believed(self) -> None:
-        self.index.take(note(1, ("a", 100)))
-        self.index.take(note(1, ("a", 0)))
+        self.index.apply_note(note(1, ("a", 100)))
+        self.index.apply_note(note(1, ("a", 0)))
         self.assertEqual(self.kept(), 100, "an old report")
-        self.index.take(note(2, ("a", 0)))
+        self.index.apply_note(note(2, ("a", 0)))
         self.assertEqual((self.kept(), self.index.cache_locations_of("s", "a")), (0, frozenset()))
-        self.index.take(note(3, ("a", 100)))
-        self.index.take(note(9, ("b", 50), since=8))
+        self.index.apply_note(note(3, ("a", 100)))
+        self.index.apply_note(note(9, ("b", 50), since=8))
         self.assertEqual(self.kept(), 150, "what was dropped in a gap is not known, and what was kept before stands")
-        self.index.take(note(10, ("a", 100)))
-        self.index.take(note(1, ("b", 50), life="2"))
+        self.index.apply_note(note(10, ("a", 100)))
+        self.index.apply_note(note(1, ("b", 50), life="2"))
         self.assertEqual(self.kept(), 0, "another life keeps nothing of the one before")
         self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset({"w"}))
         self.index.forget("w")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -124,10 +124,12 @@
 
     def test_a_line_tells_what_grew_since_the_one_before(self) -> None:
         log = self.build(None, 0)
-        self.assertEqual(log.take(), "retries=1 opened=3 reused=40 processor_ms=7 ended_done=5")
+        self.assertEqual(log.format_counts(), "retries=1 opened=3 reused=40 processor_ms=7 ended_done=5")
         self.gate.outcomes.update(done=9, no_worker=1)
         self.pool.reused, self.processor = 44, 9_500
-        self.assertEqual(log.take(), "retries=0 opened=0 reused=4 processor_ms=2 ended_done=4 ended_no_worker=1")
+        self.assertEqual(
+            log.format_counts(), "retries=0 opened=0 reused=4 processor_ms=2 ended_done=4 ended_no_worker=1"
+        )
 
     def test_processor_time_is_no_time_of_waiting(self) -> None:
         began = processor_micros()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -212,7 +212,9 @@
                     self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, names)), 4.0)
                     self.assertEqual(len(fleet.cores[names[0]].fleet.history), 2)
                     await self.apply(fleet, "c", 4.0)
-                    served = await seconds_until(fleet, lambda: all(fleet.nodes[n].keeper.is_current() for n in nodes))
+                    served = await seconds_until(
+                        fleet, lambda: all(fleet.nodes[n].view_replica.is_current() for n in nodes)
+                    )
                     self.assertLess(served, 4.0, "nodes know what is in force")
 
                 with self.subTest(cores=core_count, seed=seed):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -137,7 +137,7 @@
         gateway.rosters._merge(workers, self.bench.now() - 1_500 * MILLI)
         gateway.rosters.is_asker = True
         gateway.relay.is_relaying = True
-        gateway.keeper.current_at = self.bench.now() - 250 * MILLI
+        gateway.view_replica.current_at = self.bench.now() - 250 * MILLI
         gateway.gate.taken_count = 7
         gateway.gate.passages = {mock.Mock(), mock.Mock()}
         gateway.gate.outcomes.update(done=4, cut=1)
@@ -425,7 +425,7 @@
         self.assertEqual(len(messages(caught, "Relays for its zone. zone=")), 3)
         self.assertEqual(len(caught.records), 3)
         self.assertEqual(sum(relay.is_relaying for relay in fleet.relays.values()), 3)
-        fleet.dead.add(fleet.relays["n0"].chosen["a"][0] if not fleet.relays["n0"].is_relaying else "n0")
+        fleet.dead.add(fleet.relays["n0"].chosen_relays["a"][0] if not fleet.relays["n0"].is_relaying else "n0")
         with self.assertLogs(LOGGER, "INFO") as caught:
             fleet.play(30)
         self.assertEqual(len(messages(caught, "Relays for its zone. zone=a")), 1)
--- a/tests/test_paced_cast.py
+++ b/tests/test_paced_cast.py
@@ -1,4 +1,4 @@
-"""RpcEndpoint.broadcast and PacedCast: what leaves as datagrams, what as frames, and how much at once."""
+"""RpcEndpoint.broadcast and PacedBroadcaster: what leaves as datagrams, what as frames, and how much at once."""
 
 from __future__ import annotations
 
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -78,7 +78,7 @@
         return self.placer.choose(self.view, ROUTE, request, None, frozenset()).unwrap()
 
     def keep(self, keeper: str, *tokens: int, name: str = "p") -> None:
-        self.index.take(
+        self.index.apply_note(
             KeptNote(
                 worker=keeper,
                 life="a",
@@ -144,7 +144,7 @@
     def test_a_caller_that_has_a_part_of_its_answer_goes_on_with_the_newest_weights(self) -> None:
         """Another node may have given it that part by them, long before most workers have them."""
         for newest in ("w4", "w2"):
-            self.placer.versions.note(newest, "l", 2)
+            self.placer.versions.record(newest, "l", 2)
             self.loads.begin(newest, 50_000, 50_000)
         for tokens in ((50, 200), (9_000, 500)):
             self.assertEqual(self.choose(*tokens).version, 1, "the others are idle")
@@ -182,7 +182,9 @@
     def test_what_was_seen_of_an_engine_scales_all_that_is_reckoned_of_it(self) -> None:
         expected_micros = self.choose(9_000, 500).expected_micros
         for _ in range(4):
-            self.loads.read_rates.take("s", 9_500, 0, round(0.25 * prefill_read_micros(9_500, 0)) + FIRST_EVENT_MICROS)
+            self.loads.read_rates.record_read(
+                "s", 9_500, 0, round(0.25 * prefill_read_micros(9_500, 0)) + FIRST_EVENT_MICROS
+            )
         self.assertAlmostEqual(self.choose(9_000, 500).expected_micros, expected_micros / 4, delta=12 * MILLI)
         for name in self.backends:
             self.loads.begin(name, 20_000, 20_000)
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -148,7 +148,7 @@
                 part=[ToldPart(salt=p.salt, part=p.part, tokens=p.tokens, line=p.model) for p in output.parts],
             )
             note.whole = True
-            self.index.take(note)
+            self.index.apply_note(note)
 
     def breaches(self) -> set[str]:
         ledger = SiteLedger(self.records)
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -1,4 +1,4 @@
-"""ReadRates: what the quickest reads of late say of a service's engines."""
+"""PrefillRates: what the quickest reads of late say of a service's engines."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     def read(self, factor: float, waited_micros: int = 0, count: int = 1, tokens: int = TOKENS) -> None:
         for _ in range(count):
             seen_micros = FIRST_EVENT_MICROS + round(factor * prefill_read_micros(tokens, 0)) + waited_micros
-            self.rates.take("s", tokens, 0, seen_micros)
+            self.rates.record_read("s", tokens, 0, seen_micros)
 
     def test_the_starting_values_count_until_enough_was_seen(self) -> None:
         self.read(0.4, count=MIN_PREFILL_SAMPLES - 1)
@@ -54,7 +54,7 @@
         self.assertAlmostEqual(self.rates.factor("s"), 0.4, places=3)
 
     def test_no_figure_leads_out_of_its_bounds(self) -> None:
-        self.rates.take("s", TOKENS, 0, 0)
+        self.rates.record_read("s", TOKENS, 0, 0)
         self.read(0.0, count=MIN_PREFILL_SAMPLES)
         self.assertEqual(self.rates.factor("s"), 0.05)
         for _ in range(200):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -96,7 +96,7 @@
                 self.bytes += note.ByteSize()
                 self.bytes_by_sender[own] = self.bytes_by_sender.get(own, 0) + note.ByteSize()
                 if address not in self.dead and self.chance.random() >= self.lost_share:
-                    self.relays[address]._take(own, own, note)
+                    self.relays[address]._handle_relay_note(own, own, note)
 
     def seen_running(self, name: str) -> int:
         return self.loads[name].current_load("w").running
@@ -116,7 +116,7 @@
             gatherer = PrefixCachePoller(
                 name, unused, unused, self.fleet.bench, unused, unused, unused, unused, self.indexes[name]
             )
-            relay.take_kept = gatherer.apply_note
+            relay.handle_cache_note = gatherer.apply_note
 
     def play(self, periods: int) -> None:
         """In each period each worker keeps one part more."""
@@ -129,7 +129,7 @@
                     sequence=self.sequence + 1,
                     part=[KeptPart(salt="s", part=f"p{self.sequence + 1}", tokens=600, line="m")],
                 )
-                self.indexes[f"n{number}"].take(note)
+                self.indexes[f"n{number}"].apply_note(note)
                 joined = combine_notes(self.told_notes.get(number), note)
                 self.told_notes[number] = note
                 self.fleet.relays[f"n{number}"].relay_cache_note(pack_note(joined or note))
@@ -169,7 +169,7 @@
         fleet = Fleet(30)
         fleet.loads["n0"].begin("w", 1, 1)
         fleet.play(5)
-        relay = fleet.relays["n0"].chosen["a"][0]
+        relay = fleet.relays["n0"].chosen_relays["a"][0]
         fleet.dead.add(relay)
         teller = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
         fleet.play(14)  # 1.4 s
@@ -221,11 +221,13 @@
     def test_a_node_that_is_gone_costs_its_zone_few_notes(self) -> None:
         fleet = Fleet(63)
         fleet.play(5)
-        relay = fleet.relays["n0"].chosen["a"][0]
+        relay = fleet.relays["n0"].chosen_relays["a"][0]
         gone = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
         fleet.dead.add(gone)
         fleet.play(20)
-        self.assertEqual({fleet.relays[r.identity].chosen["a"][0] for r in fleet.records if r.area == "a"}, {relay})
+        self.assertEqual(
+            {fleet.relays[r.identity].chosen_relays["a"][0] for r in fleet.records if r.area == "a"}, {relay}
+        )
         for sequence in range(1, 41):
             fleet.relays["n0"].relay_cache_note(KeptNote(worker="w", sequence=sequence))
             fleet.play(1)
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -65,13 +65,13 @@
 
     def test_versions_only_rise(self) -> None:
         self.assertIsNone(self.book.version_of("w", LINE))
-        self.assertTrue(self.book.note("w", LINE, 3))
-        self.assertFalse(self.book.note("w", LINE, 2))
+        self.assertTrue(self.book.record("w", LINE, 3))
+        self.assertFalse(self.book.record("w", LINE, 2))
         self.tell(2, loading=False)
         self.assertEqual(self.book.version_of("w", LINE), 3)
 
     def test_loading_ends_by_word_or_by_time(self) -> None:
-        self.book.note("w", LINE, 1)
+        self.book.record("w", LINE, 1)
         self.tell(2, loading=True)
         self.assertTrue(self.book.is_loading("w"))
         self.tell(2, loading=False)
@@ -85,7 +85,7 @@
         self.hand.micros += LOADING_NOTE_TTL_MICROS
         self.assertFalse(self.book.is_loading("w"))
         self.tell(3, loading=True)
-        self.book.note("w", LINE, 3)
+        self.book.record("w", LINE, 3)
         self.assertFalse(self.book.is_loading("w"), "an answer told of the new weights")
 
 
--- a/tests/test_roll_out_rest.py
+++ b/tests/test_roll_out_rest.py
@@ -1,11 +1,11 @@
-"""Rounds of RollOut while no worker is behind: they look at no worker, and what comes next is still seen at once."""
+"""Rounds of WeightsRollout while no worker is behind: they look at no worker, and what comes next is seen at once."""
 
 from __future__ import annotations
 
 import unittest
 from typing import Any
 
-from pearhead.router.weights_rollout import SILENCE_MICROS
+from pearhead.router.weights_rollout import PROGRESS_TIMEOUT_MICROS
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import pause
 from tests.test_roll_out import orderer_of, run_fleet, versions
@@ -40,7 +40,7 @@
             first = orderer_of(fleet)
             began_micros = fleet.world.now()
             fleet.core.name(3)
-            await pause(fleet.world, SILENCE_MICROS)
+            await pause(fleet.world, PROGRESS_TIMEOUT_MICROS)
             late = [order for order in fleet.platform.orders if order.version == 3]
             self.assertEqual({order.holder for order in late}, {first.identity})
             self.assertLess(min(order.at_micros for order in late) - began_micros, 400 * MILLI)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -38,7 +38,7 @@
         self.merge = RosterMerge()
 
     def take(self, at_micros: int, *backends: Backend) -> set[str]:
-        self.merge.take(backends, at_micros, at_micros)
+        self.merge.merge_list(backends, at_micros, at_micros)
         return set(self.merge.roster.backends)
 
     def test_one_absence_takes_nobody_out_and_two_do(self) -> None:
@@ -200,7 +200,7 @@
             del fleet.platform.listed["w1"]
             await pause(fleet.world, 4 * SECOND)
             self.assertNotIn("w1", node.names())
-            node.rosters._take_note("x", "x:1", old)
+            node.rosters._handle_note("x", "x:1", old)
             self.assertNotIn("w1", node.names())
 
         run_fleet(4, 3, play)
--- a/tests/test_term_links.py
+++ b/tests/test_term_links.py
@@ -1,4 +1,4 @@
-"""TermKeeper over small links: a large change comes to a node in time and not again and again (§5.2, §5.3)."""
+"""ViewReplica over small links: a large change comes to a node in time and not again and again (§5.2, §5.3)."""
 
 from __future__ import annotations
 
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -284,7 +284,7 @@
 
 
 class NodeKeeper:
-    """`ViewSource` and `Commander` of one node: it has the core's view 2 ms late unless it is cut off."""
+    """`ViewSource` and `CommandClient` of one node: it has the core's view 2 ms late unless it is cut off."""
 
     def __init__(self, core: ModelCore, machine: Machine) -> None:
         self.core = core
@@ -321,7 +321,7 @@
     def __init__(self) -> None:
         self.notes: list[KeptNote] = []
 
-    def take(self, note: KeptNote) -> None:
+    def apply_note(self, note: KeptNote) -> None:
         self.notes.append(note)
 
     def kept(self, worker: str) -> dict[tuple[str, str], int]:
