--- a/src/pearhead/router/admission.py
+++ b/src/pearhead/router/admission.py
@@ -1,4 +1,4 @@
-"""Admission (§8.3): places by entry, bounded queues, and turns between tenants."""
+"""AdmissionController (§8.3): places by entry, bounded queues, and turns between tenants."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pearhead.runtime.clock import SECOND, Clock
 
 EWMA_WEIGHT = 0.1
-COME_BACK_LIMIT_MICROS = 12 * SECOND
+MAX_RETRY_AFTER_MICROS = 12 * SECOND
 # Ok(True): it may begin. Ok(False): its entry moved, and it queues anew. Err: it can't run any more.
 AdmissionResult = Result[bool, Refusal]
 
@@ -25,9 +25,9 @@
     job: Job
     admission_future: asyncio.Future[AdmissionResult]
 
-    def settle(self, turn: AdmissionResult) -> None:
+    def resolve(self, admission_result: AdmissionResult) -> None:
         if not self.admission_future.done():
-            self.admission_future.set_result(turn)
+            self.admission_future.set_result(admission_result)
 
     def was_admitted(self) -> bool:
         future = self.admission_future
@@ -43,12 +43,12 @@
         self.mean_micros = 0.0
         self.last_retry_micros = 0
 
-    def tell(self, wait_micros: int, concurrency: int, now_micros: int) -> int:
+    def next_retry_micros(self, wait_micros: int, concurrency: int, now_micros: int) -> int:
         """When to come back: a turn of its own behind those who were told before (§8.2)."""
         self.last_retry_micros = max(self.last_retry_micros, now_micros + wait_micros) + int(
             self.mean_micros / concurrency
         )
-        self.last_retry_micros = min(self.last_retry_micros, now_micros + COME_BACK_LIMIT_MICROS)
+        self.last_retry_micros = min(self.last_retry_micros, now_micros + MAX_RETRY_AFTER_MICROS)
         return self.last_retry_micros - now_micros
 
     def expected_wait(self, entry: CapabilityEntry, tenant_name: str) -> float:
@@ -75,51 +75,51 @@
         # A tenant may fill no more than its share of the queue, so that others find room.
         share_limit = max(1, entry.queueLimit // max(2, len(queue.waiters_by_tenant)))
         if queue.waiting_count >= entry.queueLimit:
-            back_micros = queue.tell(wait_micros, entry.concurrency, self.clock.now())
-            return Err(Refusal(ErrorKind.OVERLOADED, "the queue is full", back_micros))
+            retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
+            return Err(Refusal(ErrorKind.OVERLOADED, "the queue is full", retry_after_micros))
         if own_count >= share_limit:
-            back_micros = queue.tell(wait_micros, entry.concurrency, self.clock.now())
-            return Err(Refusal(ErrorKind.TENANT_BUSY, "the tenant's share of the queue is full", back_micros))
+            retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
+            return Err(Refusal(ErrorKind.TENANT_BUSY, "the tenant's share of the queue is full", retry_after_micros))
         if wait_micros > job.left_micros(self.clock.now()):
             # Told at once: waiting to the deadline would only hide it (§8.3).
-            back_micros = queue.tell(wait_micros, entry.concurrency, self.clock.now())
-            return Err(Refusal(ErrorKind.OVERLOADED, "its turn would come after its deadline", back_micros))
+            retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
+            return Err(Refusal(ErrorKind.OVERLOADED, "its turn would come after its deadline", retry_after_micros))
         waiter = _Waiter(job, asyncio.get_running_loop().create_future())
         queue.waiters_by_tenant.setdefault(tenant_name, deque()).append(waiter)
         queue.waiting_count += 1
 
         def reject_at_deadline() -> None:
             tenant_wait_micros = int(queue.expected_wait(entry, tenant_name))
-            waiter.settle(
+            waiter.resolve(
                 Err(Refusal(ErrorKind.DEADLINE_PASSED, "waited for its turn to the deadline", tenant_wait_micros))
             )
 
         deadline_timer = self.clock.after(job.left_micros(self.clock.now()), reject_at_deadline)
         is_over = False
         try:
-            turn = await waiter.admission_future
+            admission_result = await waiter.admission_future
             is_over = True
-            return turn
+            return admission_result
         finally:
             deadline_timer.cancel()
             # Out of the queue before the refusal goes out, so that it never runs (§8.3).
             self._remove_waiter(queue, tenant_name, waiter)
             if not is_over and waiter.was_admitted():
-                self.leave_place(entry, tenant_name)
+                self.release_slot(entry, tenant_name)
 
     def waiting_count(self) -> int:
         return sum(queue.waiting_count for queue in self.queues.values())
 
-    def review(self, judge: Callable[[Job], AdmissionResult]) -> None:
+    def recheck_waiting(self, recheck: Callable[[Job], AdmissionResult]) -> None:
         """What waits and can't run any more gets its final answer now, not at its turn (§8.3)."""
         for queue in self.queues.values():
             for waiters in list(queue.waiters_by_tenant.values()):
                 for waiter in list(waiters):
-                    turn = judge(waiter.job)
-                    if turn != Ok(True):
-                        waiter.settle(turn)
+                    admission_result = recheck(waiter.job)
+                    if admission_result != Ok(True):
+                        waiter.resolve(admission_result)
 
-    def leave_place(self, entry: CapabilityEntry, tenant_name: str, held_micros: int = 0) -> None:
+    def release_slot(self, entry: CapabilityEntry, tenant_name: str, held_micros: int = 0) -> None:
         queue = self.queues[entry.name]
         if held_micros:
             queue.mean_micros += EWMA_WEIGHT * (held_micros - queue.mean_micros)
@@ -144,7 +144,7 @@
             del queue.waiters_by_tenant[next_tenant]
         if not waiter.admission_future.done():
             self._begin(queue, next_tenant)
-            waiter.settle(Ok(True))
+            waiter.resolve(Ok(True))
         return True
 
     def _begin(self, queue: _EntryQueue, tenant_name: str) -> None:
--- a/src/pearhead/router/cache_salt_builder.py
+++ b/src/pearhead/router/cache_salt_builder.py
@@ -1,4 +1,4 @@
-"""PartSalt (§6.7): the text under which parts are kept; it names all that they were made of, as purge tells it."""
+"""CacheSaltBuilder (§6.7): the text under which parts are kept; it names all they were made of, as purge tells it."""
 
 from __future__ import annotations
 
--- a/src/pearhead/router/client_http_server.py
+++ b/src/pearhead/router/client_http_server.py
@@ -1,4 +1,4 @@
-"""RequestEdge (§8.7): the HTTP edge towards callers of opaque requests: whole requests in, answers as they come.
+"""ClientConnectionManager (§8.7): the HTTP edge to callers of opaque requests: whole requests in, answers as they come.
 
 It follows the limits in force for what a caller may send and how long it may take. A connection is only ever ended for
 its time where nothing of it is left to be read, so never one whose request was read whole.
@@ -85,10 +85,10 @@
 class ConnectionResponseWriter:
     """The caller's end, written as it comes. After a drain began, each answer ends its connection."""
 
-    def __init__(self, connection: HTTPConnection, closes: Callable[[], bool]) -> None:
+    def __init__(self, connection: HTTPConnection, closes_after_response: Callable[[], bool]) -> None:
         assert isinstance(connection, HTTP1Connection)
         self.connection = connection
-        self.closes = closes
+        self.closes_after_response = closes_after_response
         self.gone = False
         self.is_over = False
         self.is_delimited_by_close = False
@@ -96,7 +96,7 @@
         connection.set_close_callback(self._close)
 
     def begin(self, status: int, reason: str, headers: HTTPHeaders) -> None:
-        if self.closes():
+        if self.closes_after_response():
             headers["Connection"] = "close"
             self.connection._disconnect_on_finish = True
         start = ResponseStartLine("HTTP/1.1", status, reason or _reason_phrase(status))
@@ -134,8 +134,8 @@
 
 
 class _RequestDelegate(HTTPMessageDelegate):
-    def __init__(self, edge: ClientConnectionManager, connection: HTTPConnection) -> None:
-        self.edge = edge
+    def __init__(self, manager: ClientConnectionManager, connection: HTTPConnection) -> None:
+        self.manager = manager
         self.connection = connection
         self.start: Any = None
         self.headers = HTTPHeaders()
@@ -147,14 +147,14 @@
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
         assert isinstance(start_line, RequestStartLine)
         self.start, self.headers = start_line, headers
-        self.arrived_micros = self.edge.clock.now()
-        stream = self.edge.complete_head(self.connection)
-        self.edge.reading[self] = None
-        if not self.edge.drain.may_accept():
+        self.arrived_micros = self.manager.clock.now()
+        stream = self.manager.complete_head(self.connection)
+        self.manager.reading[self] = None
+        if not self.manager.drain.may_accept():
             self.refuse_draining()
         elif stream.is_head_too_large:
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
-        elif _declared_content_length(headers) > self.edge.limits().body_bytes:
+        elif _declared_content_length(headers) > self.manager.limits().body_bytes:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def data_received(self, chunk: bytes) -> None:
@@ -162,14 +162,14 @@
             return
         self.chunks.append(chunk)
         self.body_size += len(chunk)
-        if self.body_size > self.edge.limits().body_bytes:
+        if self.body_size > self.manager.limits().body_bytes:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def refuse_draining(self) -> None:
         """Answers that this node leaves; the request goes to no worker."""
         if self.refused is not None:
             return
-        told = self.edge.reader.read(self.start.method, self.start.path, self.headers, b"", self.arrived_micros)
+        told = self.manager.reader.read(self.start.method, self.start.path, self.headers, b"", self.arrived_micros)
         request = None if isinstance(told, Err) else told.ok_value
         self._respond_early(Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request)
 
@@ -183,37 +183,37 @@
         self.headers.pop("Expect", None)
         self.connection.set_body_timeout(REJECTED_BODY_READ_SECONDS)
         self.refused = ConnectionResponseWriter(self.connection, lambda: True)
-        self.edge.refuse(self.refused, self.start.method, refusal, status, request)
+        self.manager.refuse(self.refused, self.start.method, refusal, status, request)
 
     def finish(self) -> None:
-        self.edge.reading.pop(self, None)
+        self.manager.reading.pop(self, None)
         if self.refused is not None:
             return self.refused.finish()
         body, self.chunks = b"".join(self.chunks), []
-        self.edge.take(self.connection, self.start, self.headers, body, self.arrived_micros)
+        self.manager.handle_request(self.connection, self.start, self.headers, body, self.arrived_micros)
 
     def on_connection_close(self) -> None:
-        self.edge.reading.pop(self, None)
+        self.manager.reading.pop(self, None)
         self.chunks = []
 
 
 class ClientStream(IOStream):
     """A caller's connection that tells the edge of each head as it comes in."""
 
-    def __init__(self, connection: socket.socket, edge: ClientConnectionManager, **settings: Any) -> None:
+    def __init__(self, connection: socket.socket, manager: ClientConnectionManager, **settings: Any) -> None:
         super().__init__(connection, **settings)
-        self.edge = edge
+        self.manager = manager
         self.is_head_too_large = False
 
     def _check_max_bytes(self, delimiter: bytes | Pattern[bytes], size: int) -> None:
         """Called with what was read of a head, each time that more came."""
         if self._read_regex is None:
             return super()._check_max_bytes(delimiter, size)
-        self.edge.track_head(self, size)
+        self.manager.track_head(self, size)
 
     def close_fd(self) -> None:
         """While the node drains, a connection ends once its last answer is delivered."""
-        if self.socket is not None and self.edge.linger(self.socket):
+        if self.socket is not None and self.manager.linger(self.socket):
             # The socket has a new owner.
             self.socket = None  # type: ignore[assignment]
         else:
@@ -236,16 +236,16 @@
 class ClientHttpServer(HTTPServer):
     """Takes callers' connections for an edge, which bounds their times instead of Tornado."""
 
-    edge: ClientConnectionManager
+    manager: ClientConnectionManager
 
-    def initialize(self, edge: ClientConnectionManager) -> None:  # type: ignore[override]
-        super().initialize(edge, max_body_size=NO_BODY_LIMIT, body_timeout=BODY_TIMEOUT_SECONDS)
+    def initialize(self, manager: ClientConnectionManager) -> None:  # type: ignore[override]
+        super().initialize(manager, max_body_size=NO_BODY_LIMIT, body_timeout=BODY_TIMEOUT_SECONDS)
         self.conn_params.header_timeout = None
-        self.edge = edge
+        self.manager = manager
 
     def _handle_connection(self, connection: socket.socket, address: Any) -> None:
-        stream = ClientStream(connection, self.edge, max_buffer_size=self.max_buffer_size)
-        self.edge.streams.add(stream)
+        stream = ClientStream(connection, self.manager, max_buffer_size=self.max_buffer_size)
+        self.manager.streams.add(stream)
         self.handle_stream(stream, address)
 
     def stop_accepting(self) -> None:
@@ -253,7 +253,7 @@
         for listener in list(self._sockets.values()):
             self._accept_backlog(listener)
         self.stop()
-        self.edge.close_idle()
+        self.manager.close_idle()
 
     def _accept_backlog(self, listener: socket.socket) -> None:
         """The kernel would reset those that nobody accepted."""
@@ -266,25 +266,25 @@
             self._handle_connection(connection, address)
 
     def refuse_incoming(self) -> None:
-        self.edge.refuse_incoming()
+        self.manager.refuse_incoming()
 
     def open_count(self) -> int:
-        return self.edge.open_count()
+        return self.manager.open_count()
 
     def unanswered_count(self) -> int:
-        return sum(not task.done() for task in self.edge.tasks) + len(self.edge.reading)
+        return sum(not task.done() for task in self.manager.tasks) + len(self.manager.reading)
 
     def on_close(self, server_conn: object) -> None:
         assert isinstance(server_conn, HTTP1ServerConnection) and isinstance(server_conn.stream, ClientStream)
-        self.edge.forget(server_conn.stream)
-        self.edge.streams.discard(server_conn.stream)
+        self.manager.forget(server_conn.stream)
+        self.manager.streams.discard(server_conn.stream)
         super().on_close(server_conn)
 
 
 class ClientConnectionManager(HTTPServerConnectionDelegate):
-    """`limits`: those in force now; asked for each head, so cheap. `resting` and `heads` hold since when a connection
-    has been idle, or its head coming in, the longest first; `reading`: requests whose body comes in; `streams`: all
-    connections. Without a `drain` it never drains."""
+    """`limits`: those in force now; asked for each head, so cheap. `idle_since` and `pending_heads` hold since when a
+    connection has been idle, or its head coming in, the longest first; `reading`: requests whose body comes in;
+    `streams`: all connections. Without a `drain` it never drains."""
 
     def __init__(
         self,
@@ -304,7 +304,7 @@
         self.reading: dict[_RequestDelegate, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.idle_since: dict[ClientStream, int] = {}
-        self.heads: dict[ClientStream, int] = {}
+        self.pending_heads: dict[ClientStream, int] = {}
         self.timeout_check_timer: Timer | None = None
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> HTTPMessageDelegate:
@@ -323,9 +323,9 @@
 
     def track_head(self, stream: ClientStream, size: int) -> None:
         """So much of a head was read by now."""
-        if stream not in self.heads:
+        if stream not in self.pending_heads:
             self.idle_since.pop(stream, None)
-            self.heads[stream] = self.clock.now()
+            self.pending_heads[stream] = self.clock.now()
         limit_bytes = self.limits().header_bytes
         if size > limit_bytes:
             stream.is_head_too_large = True
@@ -341,23 +341,23 @@
 
     def forget(self, stream: ClientStream) -> None:
         self.idle_since.pop(stream, None)
-        self.heads.pop(stream, None)
+        self.pending_heads.pop(stream, None)
 
     def _schedule_timeout_check(self) -> None:
-        if self.timeout_check_timer is not None or not (self.idle_since or self.heads):
+        if self.timeout_check_timer is not None or not (self.idle_since or self.pending_heads):
             return
         limits, now_micros = self.limits(), self.clock.now()
         left_micros = MAX_TIMEOUT_CHECK_MICROS
-        for book, limit_micros in ((self.heads, limits.header_micros), (self.idle_since, limits.idle_micros)):
+        for book, limit_micros in ((self.pending_heads, limits.header_micros), (self.idle_since, limits.idle_micros)):
             for since_micros in list(book.values())[:1]:
                 left_micros = min(left_micros, since_micros + limit_micros - now_micros)
-        self.timeout_check_timer = self.clock.after(max(left_micros, MIN_TIMEOUT_CHECK_MICROS), self._look)
+        self.timeout_check_timer = self.clock.after(max(left_micros, MIN_TIMEOUT_CHECK_MICROS), self._close_timed_out)
 
-    def _look(self) -> None:
+    def _close_timed_out(self) -> None:
         """Ends connections whose time is over, but none that has sent what is not read yet or not taken yet."""
         self.timeout_check_timer = None
         limits, now_micros = self.limits(), self.clock.now()
-        for stream in _started_by(self.heads, now_micros - limits.header_micros):
+        for stream in _started_by(self.pending_heads, now_micros - limits.header_micros):
             if stream.reading() and not stream.has_unread_bytes():
                 _write_bare_response(stream, HTTPStatus.REQUEST_TIMEOUT)
                 stream.close()
@@ -377,7 +377,7 @@
         for delegate in list(self.reading):
             delegate.refuse_draining()
             delegate.finish()
-        for stream in list(self.heads):
+        for stream in list(self.pending_heads):
             _write_bare_response(stream, HTTPStatus.SERVICE_UNAVAILABLE)
             stream.close()
 
@@ -387,11 +387,11 @@
 
     def linger(self, connection: socket.socket) -> bool:
         """Whether this edge takes over a connection that is to be closed."""
-        return self.drain.is_draining() and self.lingering.take(connection)
+        return self.drain.is_draining() and self.lingering.take_over(connection)
 
     def refuse(
         self,
-        pen: ConnectionResponseWriter,
+        writer: ConnectionResponseWriter,
         method: str,
         refusal: Refusal,
         status: int = 0,
@@ -400,11 +400,11 @@
         """Writes an answer of this node itself; `status` is the reader's own unless it is told."""
         default_status, headers, answer = self.reader.refusal(request, refusal)
         headers["Content-Length"] = str(len(answer))
-        pen.begin(status or default_status, "", headers)
+        writer.begin(status or default_status, "", headers)
         if method != "HEAD":
-            pen.write(answer)
+            writer.write(answer)
 
-    def take(
+    def handle_request(
         self,
         connection: HTTPConnection,
         start: RequestStartLine,
@@ -412,30 +412,30 @@
         body: bytes,
         arrived_micros: int,
     ) -> None:
-        pen = ConnectionResponseWriter(connection, self.drain.is_draining)
+        writer = ConnectionResponseWriter(connection, self.drain.is_draining)
         request = self.reader.read(start.method, start.path, headers, body, arrived_micros)
         if isinstance(request, Err):
-            self.refuse(pen, start.method, request.err_value)
-            return pen.finish()
+            self.refuse(writer, start.method, request.err_value)
+            return writer.finish()
         if not self.drain.may_accept():
-            self.refuse(pen, start.method, Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request.ok_value)
-            return pen.finish()
-        task = asyncio.get_running_loop().create_task(self._run(request.ok_value, pen))
+            self.refuse(writer, start.method, Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request.ok_value)
+            return writer.finish()
+        task = asyncio.get_running_loop().create_task(self._run(request.ok_value, writer))
         # Nobody reads the answer any more: its worker is let go of.
-        pen.on_disconnect = task.cancel
+        writer.on_disconnect = task.cancel
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _run(self, request: OpaqueRequest, pen: ConnectionResponseWriter) -> None:
+    async def _run(self, request: OpaqueRequest, writer: ConnectionResponseWriter) -> None:
         try:
-            await self.handler(request, pen)
+            await self.handler(request, writer)
         except StreamClosedError:
             pass
         except Exception:
             LOGGER.exception("edge: A request ended by a fault.")
         finally:
-            if not pen.is_over:
-                pen.abort()
+            if not writer.is_over:
+                writer.abort()
 
 
 def _reason_phrase(status: int) -> str:
--- a/src/pearhead/router/cost_estimator.py
+++ b/src/pearhead/router/cost_estimator.py
@@ -1,4 +1,4 @@
-"""CostBook (§8.5): what prefill and fetches cost, learned from the jobs of each worker and link."""
+"""CostEstimator (§8.5): what prefill and fetches cost, learned from the jobs of each worker and link."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 INITIAL_FETCH_RATE = 20.0
 # A figure outside is a defect of a clock or of a worker, and teaches nothing.
 MIN_RATE_MICROS, MAX_RATE_MICROS = 1.0, 5_000.0
-LEAST_TOKENS = 100
+MIN_SAMPLE_TOKENS = 100
 
 
 class CostEstimator:
@@ -44,12 +44,12 @@
         self.smoothed_micros[entry, worker] = held_micros + EWMA_WEIGHT * (micros - held_micros)
 
     def record_prefill(self, line: str, worker: str, tokens: int, micros: float) -> None:
-        self._take(self.prefill_rates, (line, worker), self.prefill_rate(line, worker), tokens, micros)
+        self._update_rate(self.prefill_rates, (line, worker), self.prefill_rate(line, worker), tokens, micros)
 
-    def take_fetch(self, source: str, target: str, tokens: int, micros: float) -> None:
-        self._take(self.fetch_rates, (source, target), self.fetch_rate(source, target), tokens, micros)
+    def record_fetch(self, source: str, target: str, tokens: int, micros: float) -> None:
+        self._update_rate(self.fetch_rates, (source, target), self.fetch_rate(source, target), tokens, micros)
 
-    def _take(
+    def _update_rate(
         self,
         rates: dict[tuple[str, str], float],
         key: tuple[str, str],
@@ -57,5 +57,5 @@
         tokens: int,
         micros: float,
     ) -> None:
-        if tokens >= LEAST_TOKENS and MIN_RATE_MICROS <= micros / tokens <= MAX_RATE_MICROS:
+        if tokens >= MIN_SAMPLE_TOKENS and MIN_RATE_MICROS <= micros / tokens <= MAX_RATE_MICROS:
             rates[key] = previous_rate + EWMA_WEIGHT * (micros / tokens - previous_rate)
--- a/src/pearhead/router/drain.py
+++ b/src/pearhead/router/drain.py
@@ -136,9 +136,9 @@
 
 
 class DrainableRequests(Protocol):
-    """The requests that the node has accepted. `taken_count`: how many since the process started."""
+    """The requests that the node has accepted. `accepted_count`: how many since the process started."""
 
-    taken_count: int
+    accepted_count: int
 
     def open_count(self) -> int:
         """Those without a whole answer."""
@@ -150,26 +150,26 @@
 class DrainCoordinator:
     """Leads an edge and its requests through the phases."""
 
-    def __init__(self, state: DrainState, edge: DrainableServer, requests: DrainableRequests) -> None:
+    def __init__(self, state: DrainState, server: DrainableServer, requests: DrainableRequests) -> None:
         self.state = state
-        self.edge = edge
+        self.server = server
         self.requests = requests
         self.end_task: asyncio.Future[None] | None = None
 
     async def run(self) -> None:
         """Returns when the process may end: when nothing is open, or at the last end."""
         self.state.begin()
-        open_before, accepted_before = self.requests.open_count(), self.requests.taken_count
+        open_before, accepted_before = self.requests.open_count(), self.requests.accepted_count
         # Also with nothing open: callers still come until they have learned that this node leaves.
         await self._wait_until(self.state.schedule.handover_micros, stop_when_idle=False)
-        self.edge.stop_accepting()
+        self.server.stop_accepting()
         await self._wait_until(self.state.schedule.end_micros, stop_when_idle=True)
         open_after = self.requests.open_count()
         await self.end()
         LOGGER.info(
             "router: The drain is over. open_before=%d taken=%d cut=%d",
             open_before,
-            self.requests.taken_count - accepted_before,
+            self.requests.accepted_count - accepted_before,
             open_after,
         )
 
@@ -184,22 +184,22 @@
 
     async def _end_once(self) -> None:
         self.state.end()
-        self.edge.stop_accepting()
-        self.edge.refuse_incoming()
+        self.server.stop_accepting()
+        self.server.refuse_incoming()
         end_micros = self.state.clock.now() + self.state.schedule.flush_micros
         while not self._is_idle() and self.state.clock.now() < end_micros:
             # Again each time: on this Python a cancellation can be lost in `asyncio.wait_for`.
             self.requests.end_open()
             await sleep_for(self.state.clock, POLL_MICROS)
-        self.state.check_end(max(self.requests.open_count(), self.edge.unanswered_count()))
+        self.state.check_end(max(self.requests.open_count(), self.server.unanswered_count()))
 
     def _is_idle(self) -> bool:
         # The edge is asked in any case: it lets go of what was delivered.
-        open_connections = self.edge.open_count()
+        open_connections = self.server.open_count()
         return not open_connections and not self.requests.open_count()
 
     async def _wait_until(self, since_begin_micros: int, stop_when_idle: bool) -> None:
-        """Until that time, or with `ends_idle` until nothing is open; lets the edge close what it delivered."""
+        """Until that time, or with `stop_when_idle` until nothing is open; lets the edge close what it delivered."""
         assert self.state.begun_micros is not None
         end_micros = self.state.begun_micros + since_begin_micros
         while self.state.clock.now() < end_micros:
--- a/src/pearhead/router/errors.py
+++ b/src/pearhead/router/errors.py
@@ -30,7 +30,7 @@
 class ErrorResponseSpec:
     status: int
     ran: str
-    come_back_seconds: int
+    retry_after_seconds: int
 
 
 NOT_RUN = "not_run"
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """`comeBackMicros` is what is known of when it would run; the table's value is the least that is told."""
+    """`retry_after_micros` is what is known of when it would run; the table's value is the least that is told."""
 
     kind: ErrorKind
     detail: str = ""
-    come_back_micros: int = 0
+    retry_after_micros: int = 0
 
-    def come_back_seconds(self) -> int:
-        least_seconds = ERROR_TABLE[self.kind].come_back_seconds
-        return max(least_seconds, -(-self.come_back_micros // SECOND)) if least_seconds else 0
+    def retry_after_seconds(self) -> int:
+        least_seconds = ERROR_TABLE[self.kind].retry_after_seconds
+        return max(least_seconds, -(-self.retry_after_micros // SECOND)) if least_seconds else 0
--- a/src/pearhead/router/event_stream.py
+++ b/src/pearhead/router/event_stream.py
@@ -55,7 +55,7 @@
             if end is None:
                 break
             event, self.pending = self.pending[: end.end()], self.pending[end.end() :]
-            action = self.sequence.take(parse_event_fields(event, self.read_version(event)))
+            action = self.sequence.process_event(parse_event_fields(event, self.read_version(event)))
             if isinstance(action, Err):
                 self.violation = action.err_value
             elif action.ok_value is EventAction.FORWARD:
--- a/src/pearhead/router/fleet_retry_budget.py
+++ b/src/pearhead/router/fleet_retry_budget.py
@@ -1,4 +1,4 @@
-"""FleetBudget (§8.10): one budget of further tries for the whole fleet, kept at each node without asking."""
+"""FleetRetryBudget (§8.10): one budget of further tries for the whole fleet, kept at each node without asking."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         credit = self._credit(service, node_count) + self.ratio
         self.credits[service] = (min(credit, self._max_credit(node_count)), self.clock.now())
 
-    def take_out(self, service: str, node_count: int) -> bool:
+    def try_withdraw(self, service: str, node_count: int) -> bool:
         credit = self._credit(service, node_count)
         if credit < 1.0:
             return False
@@ -40,7 +40,7 @@
 
     def _credit(self, service: str, node_count: int) -> float:
         now_micros = self.clock.now()
-        most = self._max_credit(node_count)
-        credit, at_micros = self.credits.get(service, (most, now_micros))
+        max_credit = self._max_credit(node_count)
+        credit, at_micros = self.credits.get(service, (max_credit, now_micros))
         grown = (now_micros - at_micros) / self.window_micros * self.slack / max(node_count, 1) / 2
-        return min(credit + grown, most)
+        return min(credit + grown, max_credit)
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -168,7 +168,7 @@
             self.relay.is_active,
         )
         budget = FleetRetryBudget(clock, settings.retry_ratio, settings.retry_slack, settings.retry_window_micros)
-        self.reads = PrefillTracker(clock, self.placer.expect, self._announce_read)
+        self.reads = PrefillTracker(clock, self.placer.expect_cached, self._announce_read)
         self.rpc_endpoint.on_message("read_note", self._handle_read_note)
         self.drain = DrainState(clock, settings.drain_schedule, self._record_drain_violation)
         self.gate = RequestProxy(
@@ -215,12 +215,12 @@
     def begin_drain(self) -> None:
         """From now on it is not ready, and orders no more loads."""
         self.roll_out.is_draining = True
-        self.taken_before_drain = self.gate.taken_count
+        self.taken_before_drain = self.gate.accepted_count
         self.drain.begin()
 
     def taken_while_draining(self) -> int:
         """Requests taken since the drain began."""
-        return self.gate.taken_count - self.taken_before_drain if self.drain.is_draining() else 0
+        return self.gate.accepted_count - self.taken_before_drain if self.drain.is_draining() else 0
 
     def is_ready(self) -> bool:
         """Knows what is in force, and a worker; a draining node takes no new connections."""
@@ -255,7 +255,7 @@
             self.roll_out.record_version(worker, line, version)
 
     def _handle_use_note(self, identity: str, address: str, note: UseNote) -> None:
-        self.loads.take(identity, note)
+        self.loads.apply_report(identity, note)
 
     def _record_drain_violation(self, detail: str) -> None:
         self.invariants.check(Invariant.DRAIN_FINISHES, False, detail)
@@ -294,7 +294,7 @@
             self.rpc_endpoint.multicast([r.address for r in self.directory.members("router")], "read_note", note)
 
     def _handle_read_note(self, identity: str, address: str, note: ReadNote) -> None:
-        self.reads.take(note)
+        self.reads.apply_note(note)
 
     def _broadcast_use(self) -> None:
         addresses = [r.address for r in self.directory.members("router")]
--- a/src/pearhead/router/job_api.py
+++ b/src/pearhead/router/job_api.py
@@ -77,8 +77,8 @@
     def _refuse(self, refusal: Refusal) -> None:
         given_result = ERROR_TABLE[refusal.kind]
         self.set_status(given_result.status)
-        if refusal.come_back_seconds():
-            self.set_header("Retry-After", str(refusal.come_back_seconds()))
+        if refusal.retry_after_seconds():
+            self.set_header("Retry-After", str(refusal.retry_after_seconds()))
         self.finish({"error": refusal.kind.value, "ran": given_result.ran, "detail": refusal.detail})
 
     def _abort(self) -> None:
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -1,4 +1,4 @@
-"""Nominator (§8.5): which worker runs a job, and whether it fetches parts first."""
+"""JobScheduler (§8.5): which worker runs a job, and whether it fetches parts first."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.finished_waves: set[tuple[str, int]] = set()
         self.uses_index = True
 
-    def nominate(self, job: Job) -> Result[Placement, Refusal]:
+    def schedule_job(self, job: Job) -> Result[Placement, Refusal]:
         assert job.entry is not None and job.tenant is not None
         view = self.keeper.view
         is_model = self.is_model(view, job.entry.service)
@@ -75,7 +75,7 @@
             )
         return Ok(placement)
 
-    def stands(self, job: Job, placement: Placement) -> bool:
+    def is_still_valid(self, job: Job, placement: Placement) -> bool:
         """Whether this very placement could still be nominated, by what is known now (§8.4)."""
         assert job.entry is not None
         view = self.keeper.view
@@ -131,7 +131,7 @@
     def running_jobs_of(self, worker: str) -> int:
         return self.running_counts.get(worker, 0) + self.remote_running_counts.get(worker, 0)
 
-    def take_fault(self, worker: str) -> None:
+    def record_failure(self, worker: str) -> None:
         """A worker that failed a job rests a while; its soundness is judged by jobs, not by pings."""
         self.unhealthy_until[worker] = self.clock.now() + FAILED_WORKER_BACKOFF_MICROS
 
@@ -242,7 +242,7 @@
             keys,
             cached_part_counts[chosen_worker.name],
             sum(tokens[cached_part_counts[chosen_worker.name] :]),
-            why=f"keeps {kept_counts[chosen_worker.name]} of {len(parts)} parts",
+            why=f"keeps {cached_part_counts[chosen_worker.name]} of {len(parts)} parts",
         )
         if chosen_worker in on_current_weights and self.uses_index:
             self._plan_fetch(view, job, placement, on_current_weights)
--- a/src/pearhead/router/job_transport.py
+++ b/src/pearhead/router/job_transport.py
@@ -1,4 +1,4 @@
-"""Carrier (§8.4): takes one job to one back end, once. What failed says whether a byte had left."""
+"""JobTransport (§8.4): takes one job to one back end, once. What failed says whether a byte had left."""
 
 from __future__ import annotations
 
@@ -51,17 +51,17 @@
 
 
 class JobTransport(Protocol):
-    def carry(
+    def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         """Connects, asks `mayBegin` in one step with the first byte, then yields each event of the stream.
 
-        Ends only if the back end closed it whole; raises CarryError.
+        Ends only if the back end closed it whole; raises JobTransportError.
         """
 
 
-class Pen(Protocol):
-    """Where a job's lines go. Writing waits for a slow caller; a gone caller raises ConnectionGoneError."""
+class LineWriter(Protocol):
+    """Where a job's lines go. Writing waits for a slow caller; a gone caller raises ClientDisconnectedError."""
 
     async def write(self, line: dict[str, Any]) -> None: ...
 
--- a/src/pearhead/router/lingering_close.py
+++ b/src/pearhead/router/lingering_close.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.connections: set[socket.socket] = set()
 
-    def take(self, connection: socket.socket) -> bool:
+    def take_over(self, connection: socket.socket) -> bool:
         """Takes over a connection that its owner is done with; False if there is nothing to wait for."""
         if not undelivered_bytes(connection):
             return False
--- a/src/pearhead/router/metrics.py
+++ b/src/pearhead/router/metrics.py
@@ -76,7 +76,7 @@
         worker_connections = sum(len(streams) for streams in gateway.pool.open.values())
         yield gauge("draining", "1 once SIGTERM came.", gateway.drain.is_draining())
         yield gauge("open_requests", "Requests under way.", gate.open_count())
-        yield counter("requests_taken", "Requests read whole.", gate.taken_count)
+        yield counter("requests_taken", "Requests read whole.", gate.accepted_count)
         yield counter(
             "requests_taken_draining", "Requests read whole since the drain began.", gateway.taken_while_draining()
         )
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -27,7 +27,7 @@
     ClientDisconnectedError,
     JobTransport,
     JobTransportError,
-    Pen,
+    LineWriter,
     UpstreamJob,
 )
 from pearhead.router.retry_budget import RetryBudget
@@ -143,7 +143,7 @@
 
     # ---- the way of a job ------------------------------------------------------------------------
 
-    async def run_job(self, key_text: str, request: JobRequest, pen: Pen) -> Result[None, Refusal]:
+    async def run_job(self, key_text: str, request: JobRequest, pen: LineWriter) -> Result[None, Refusal]:
         """Ok: a whole result was written. Err before a line was written: an answer with a status;
         after: the caller's stream must be aborted."""
         job = Job(request, request.jobId or self.chance.randbytes(12).hex(), self.clock.now(), self.view_replica.view)
@@ -156,7 +156,7 @@
         self.outcome_counts[word] = self.outcome_counts.get(word, 0) + 1
         return outcome
 
-    async def _run_stages(self, key_text: str, job: Job, pen: Pen) -> Result[None, Refusal]:
+    async def _run_stages(self, key_text: str, job: Job, pen: LineWriter) -> Result[None, Refusal]:
         if self.is_draining:
             return Err(Refusal(ErrorKind.DRAINING, "this node takes no new jobs"))
         job.key_hash = hashlib.sha256(key_text.encode()).hexdigest()
@@ -176,7 +176,7 @@
                         return looked if isinstance(looked, Err) else await self._place_and_forward(job, pen)
                 finally:
                     held_micros = self.clock.now() - admitted_micros
-                    self.admission.leave_place(admitted_entry, admitted_tenant.name, held_micros)
+                    self.admission.release_slot(admitted_entry, admitted_tenant.name, held_micros)
             # Its entry moved while it waited: it queues where it belongs now.
             looked = self._check_in_force(job)
         return looked
@@ -236,7 +236,7 @@
             await sleep_for(self.clock, QUEUE_REVIEW_MICROS)
             is_same = self.view_replica.view is reviewed_view and self.view_replica.is_current()
             if self.admission.waiting_count() and not is_same:
-                self.admission.review(self._recheck_waiting)
+                self.admission.recheck_waiting(self._recheck_waiting)
             reviewed_view = self.view_replica.view
 
     def _recheck_waiting(self, job: Job) -> AdmissionResult:
@@ -259,17 +259,17 @@
                     and view.match(job.request.model, job.tenant.name, job.request.kind) == job.entry
                 )
             )
-            and self.nominator.stands(job, placement)
+            and self.nominator.is_still_valid(job, placement)
         )
 
-    async def _place_and_forward(self, job: Job, pen: Pen) -> Result[None, Refusal]:
+    async def _place_and_forward(self, job: Job, pen: LineWriter) -> Result[None, Refusal]:
         carried = await self._attempt_workers(job, pen)
         if isinstance(carried, Err) and job.may_have_run:
             # Whatever stopped a later try: the first may have run, so this is no refusal (§8.2).
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, carried.err_value.detail))
         return carried
 
-    async def _attempt_workers(self, job: Job, pen: Pen) -> Result[None, Refusal]:
+    async def _attempt_workers(self, job: Job, pen: LineWriter) -> Result[None, Refusal]:
         assert job.entry is not None
         self.budget.deposit(job.entry.service, job.view.description.limits.retryShare)
         last_refusal = Refusal(ErrorKind.NO_WORKER, "no worker took the job")
@@ -281,9 +281,9 @@
                     return looked
             if job.left_micros(self.clock.now()) <= 0:
                 return Err(Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed before it ran"))
-            if is_retry and not self.budget.take_out(job.entry.service):
+            if is_retry and not self.budget.try_withdraw(job.entry.service):
                 return Err(last_refusal)
-            nominated = self.nominator.nominate(job)
+            nominated = self.nominator.schedule_job(job)
             if isinstance(nominated, Err):
                 return Err(last_refusal if is_retry else nominated.err_value)
             placement = nominated.ok_value
@@ -300,7 +300,7 @@
         return Err(last_refusal)
 
     async def _forward_to_worker(
-        self, job: Job, placement: Placement, pen: Pen, try_number: int
+        self, job: Job, placement: Placement, pen: LineWriter, try_number: int
     ) -> Result[None, Refusal]:
         """NO_WORKER says it did not run and may be tried elsewhere; OUTCOME_UNKNOWN ends the job."""
         assert job.entry is not None and job.tenant is not None
@@ -340,7 +340,7 @@
         self.lease_controller.announce_prefill(worker.name, placement.missed_tokens)
         try:
             async with aclosing(
-                self.carrier.carry(worker.address, upstream_job, lambda: self._may_begin(job, placement))
+                self.carrier.send_job(worker.address, upstream_job, lambda: self._may_begin(job, placement))
             ) as events:
                 async for event in events:
                     if is_prefilling:
@@ -368,12 +368,12 @@
                 placement.was_withdrawn = True
                 return Err(Refusal(ErrorKind.NO_WORKER, fault.detail))
             if fault.stage != CUT:
-                self.nominator.take_fault(worker.name)
+                self.nominator.record_failure(worker.name)
                 return Err(Refusal(ErrorKind.NO_WORKER, fault.detail))
             job.may_have_run = True
             if not line_count or job.left_micros(self.clock.now()) > 0:
                 # One that gave lines up to the deadline is slow, and no less sound (§7.5).
-                self.nominator.take_fault(worker.name)
+                self.nominator.record_failure(worker.name)
             if job.entry.repeatable and line_count == 0 and job.left_micros(self.clock.now()) > 0:
                 if try_number + 1 < JOB_ATTEMPT_LIMIT and self._has_retry_budget(job):
                     return Err(Refusal(ErrorKind.NO_WORKER, fault.detail))
@@ -385,7 +385,7 @@
                 self.nominator.end_prefill(worker.name, placement.missed_tokens)
             self.nominator.end(worker.name)
 
-    async def _write_line(self, job: Job, pen: Pen, line: dict[str, Any]) -> None:
+    async def _write_line(self, job: Job, pen: LineWriter, line: dict[str, Any]) -> None:
         """A caller too slow for its own deadline is taken for gone."""
         try:
             async with asyncio.timeout(max(0, job.left_micros(self.clock.now())) / SECOND):
@@ -417,7 +417,7 @@
         self.prefix_tokens += sum(p.tokens for p in job.request.prefix)
         self.reused_tokens += int(usage.get("prompt_tokens_details", {}).get("cached_tokens", 0))
         if placement.fetch_from is not None and usage.get("fetch_micros"):
-            self.nominator.costs.take_fetch(
+            self.nominator.costs.record_fetch(
                 placement.fetch_from.name,
                 placement.worker.name,
                 int(usage["fetch_tokens"]),
--- a/src/pearhead/router/opaque_request.py
+++ b/src/pearhead/router/opaque_request.py
@@ -84,10 +84,10 @@
 class ProtocolAdapter(Protocol):
     """How requests and answers are written where the node runs; it translates and decides nothing."""
 
-    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders: ...
+    def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders: ...
 
     def read_head(
-        self, request: OpaqueRequest, directions: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
+        self, request: OpaqueRequest, metadata: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
     ) -> ResponseHead: ...
 
     def event_version(self, event: bytes) -> int | None:
--- a/src/pearhead/router/prefill_tracker.py
+++ b/src/pearhead/router/prefill_tracker.py
@@ -1,4 +1,4 @@
-"""ReadBook (§8.8): long reads under way at workers, so that nobody reads the same parts at the same time."""
+"""PrefillTracker (§8.8): long reads under way at workers, so that nobody reads the same parts at the same time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pearhead.rpc.wire_pb2 import ReadNote
 from pearhead.runtime.clock import MILLI, SECOND, Clock
 
-WAIT_MICROS = 1_200 * MILLI
+MAX_PREFILL_WAIT_MICROS = 1_200 * MILLI
 TRACKED_PREFILL_TTL_MICROS = 1_500 * MILLI
 
 PrefillKey = tuple[str, str]
@@ -31,19 +31,23 @@
         if not self.is_over.is_set():
             self.note.is_over, self.note.is_kept = True, is_kept
             self.book.close(self)
-            self.book.tell(self.note)
+            self.book.broadcast(self.note)
 
 
 class PrefillTracker:
-    """Own reads and those that other nodes told of. `expect`: a worker keeps parts now; `tell`: to all nodes."""
+    """Own reads and those that other nodes told of. `expect_cached`: a worker keeps parts now; `broadcast`: to all
+    nodes."""
 
     def __init__(
-        self, clock: Clock, expect: Callable[[str, str, Sequence[str]], None], tell: Callable[[ReadNote], None]
+        self,
+        clock: Clock,
+        expect_cached: Callable[[str, str, Sequence[str]], None],
+        broadcast: Callable[[ReadNote], None],
     ) -> None:
         self.clock = clock
-        self.expect = expect
-        self.tell = tell
-        self.reads: dict[PrefillKey, TrackedPrefill] = {}
+        self.expect_cached = expect_cached
+        self.broadcast = broadcast
+        self.prefills: dict[PrefillKey, TrackedPrefill] = {}
 
     def begin(self, choice: WorkerChoice, request: OpaqueRequest) -> TrackedPrefill | None:
         """Called once it is sent and counted as the worker's use; None if others gain nothing by knowing."""
@@ -51,39 +55,39 @@
         if key is None:
             return None
         note = ReadNote(worker=choice.backend.name, salt=choice.salt, part=[p.part for p in request.parts[:-1]])
-        read = self.reads[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
-        self.tell(note)
+        read = self.prefills[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
+        self.broadcast(note)
         return read
 
-    def take(self, note: ReadNote) -> None:
+    def apply_note(self, note: ReadNote) -> None:
         """Another node's word."""
         key = (note.salt, note.part[-1]) if note.part else None
         if key is None:
             return
-        held = self.reads.get(key)
+        previous = self.prefills.get(key)
         if not note.is_over:
-            if held is None or held.until_micros <= self.clock.now():
-                self.reads[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
-        elif held is not None and held.note.worker == note.worker:
-            held.note.is_kept = note.is_kept
-            self.close(held)
+            if previous is None or previous.until_micros <= self.clock.now():
+                self.prefills[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
+        elif previous is not None and previous.note.worker == note.worker:
+            previous.note.is_kept = note.is_kept
+            self.close(previous)
         elif note.is_kept:
-            self.expect(note.worker, note.salt, note.part)
+            self.expect_cached(note.worker, note.salt, note.part)
 
     def close(self, read: TrackedPrefill) -> None:
-        if self.reads.get(read.key) is read:
-            del self.reads[read.key]
+        if self.prefills.get(read.key) is read:
+            del self.prefills[read.key]
         if read.note.is_kept:
-            self.expect(read.note.worker, read.note.salt, read.note.part)
+            self.expect_cached(read.note.worker, read.note.salt, read.note.part)
         read.is_over.set()
 
     async def wait_for(self, choice: WorkerChoice, request: OpaqueRequest, limit_micros: int) -> bool:
         """Waits for the end of a read of the same parts; whether there was one, so that it is placed anew."""
         key = _prefill_key(choice, request)
-        read = self.reads.get(key) if key is not None else None
+        read = self.prefills.get(key) if key is not None else None
         if read is None:
             return False
-        left_micros = min(read.until_micros - self.clock.now(), WAIT_MICROS, limit_micros)
+        left_micros = min(read.until_micros - self.clock.now(), MAX_PREFILL_WAIT_MICROS, limit_micros)
         if left_micros <= 0:
             return False
         try:
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -247,7 +247,7 @@
                     held_tokens=max(0, use.held_tokens - mine.held_tokens),
                 )
             )
-        self.loads.take(FLEET_SENDER, others)
+        self.loads.apply_report(FLEET_SENDER, others)
 
 
 def sum_use_notes(notes: list[UseNote], serial: int) -> UseNote:
--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -1,4 +1,4 @@
-"""Gate (§8.7): the way of an opaque request through a node, read from top to bottom in `serve`."""
+"""RequestProxy (§8.7): the way of an opaque request through a node, read from top to bottom in `serve`."""
 
 from __future__ import annotations
 
@@ -63,7 +63,8 @@
 CONNECTIONS_PER_SLOT = 2
 # A worker may forget a connection that rests; what may not be repeated is not spent on finding out.
 NON_REPEATABLE_MAX_IDLE_MICROS = 2 * SECOND
-# To callers these promise that it has not run and never will, which only `Verdict.NOT_RUN` and the like can say.
+# To callers these promise that it has not run and never will, which only `ResponseVerdict.NOT_RUN` and the like can
+# say.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
@@ -76,12 +77,12 @@
 
 @dataclass(eq=False)
 class InFlightRequest:
-    """One request on its way. `may_have_run`: a worker may have begun it; `has_begun`: the caller has a head;
-    `is_fresh`: it was sent to no worker and waited for no other's read; `is_ending`: `task`, which carries it, was
-    cancelled to give it its final answer before the process ends."""
+    """One request on its way. `may_have_run`: a worker may have begun it; `has_response_started`: the caller has a
+    head; `is_fresh`: it was sent to no worker and waited for no other's read; `is_cancelled_by_shutdown`: `task`, which
+    carries it, was cancelled to give it its final answer before the process ends."""
 
     request: OpaqueRequest
-    pen: ResponseWriter
+    writer: ResponseWriter
     splitter: EventSplitter
     deadline_micros: int = 0
     tries: int = 0
@@ -109,14 +110,14 @@
         self,
         clock: Clock,
         current: ViewProvider,
-        placer: WorkerSelector,
+        selector: WorkerSelector,
         loads: WorkerLoadTracker,
         pool: UpstreamPool,
         budget: FleetRetryBudget,
-        dialect: ProtocolAdapter,
+        adapter: ProtocolAdapter,
         node_count: Callable[[], int],
         record_weight_versions: Callable[[str, ResponseHead], None],
-        reads: PrefillTracker | None = None,
+        prefills: PrefillTracker | None = None,
         drain: DrainState | None = None,
         on_violation: Callable[[str], None] = lambda name: None,
         check_send: Callable[[], None] = lambda: None,
@@ -124,28 +125,28 @@
     ) -> None:
         self.clock = clock
         self.current = current
-        self.placer = placer
+        self.selector = selector
         self.loads = loads
         self.pool = pool
         self.budget = budget
-        self.dialect = dialect
+        self.adapter = adapter
         self.node_count = node_count
         self.record_weight_versions = record_weight_versions
-        self.reads = reads or PrefillTracker(clock, placer.expect, lambda note: None)
-        self.taken_count = 0
+        self.prefills = prefills or PrefillTracker(clock, selector.expect_cached, lambda note: None)
+        self.accepted_count = 0
         self.drain = drain or DrainState(clock, DrainSchedule.for_grace_period(SECOND))
-        self.passages: set[InFlightRequest] = set()
+        self.in_flight_requests: set[InFlightRequest] = set()
         self.on_violation = on_violation
         self.check_send = check_send
         self.trusts_keys = trusts_keys
         self.outcomes: dict[str, int] = {}
 
-    async def serve(self, request: OpaqueRequest, pen: ResponseWriter) -> None:
+    async def serve(self, request: OpaqueRequest, writer: ResponseWriter) -> None:
         """Ends with a whole answer, a refusal, or an aborted connection; nothing is left open behind it."""
-        splitter = EventSplitter(request.last_event_id, self.dialect.event_version)
-        in_flight_request = InFlightRequest(request, pen, splitter, task=asyncio.current_task())
-        self.passages.add(in_flight_request)
-        self.taken_count += 1
+        splitter = EventSplitter(request.last_event_id, self.adapter.event_version)
+        in_flight_request = InFlightRequest(request, writer, splitter, task=asyncio.current_task())
+        self.in_flight_requests.add(in_flight_request)
+        self.accepted_count += 1
         try:
             await self._proxy_request(in_flight_request)
         except asyncio.CancelledError:
@@ -153,71 +154,75 @@
                 raise
             self._end_in_flight_request(in_flight_request)
         finally:
-            self.passages.discard(in_flight_request)
+            self.in_flight_requests.discard(in_flight_request)
 
     async def _proxy_request(self, in_flight_request: InFlightRequest) -> None:
         """From the first look at what is in force to the answer."""
-        request, pen = in_flight_request.request, in_flight_request.pen
-        await self._hold_until_view_known(request, pen)
-        looked = self._look(request)
-        if isinstance(looked, Err):
-            return self._refuse(in_flight_request, looked.err_value)
-        way = looked.ok_value
-        wait_micros = min(request.wait_micros or way.route.deadline_micros, way.route.deadline_micros)
+        request, writer = in_flight_request.request, in_flight_request.writer
+        await self._hold_until_view_known(request, writer)
+        resolution = self._resolve_route(request)
+        if isinstance(resolution, Err):
+            return self._refuse(in_flight_request, resolution.err_value)
+        resolved = resolution.ok_value
+        wait_micros = min(request.wait_micros or resolved.route.deadline_micros, resolved.route.deadline_micros)
         in_flight_request.deadline_micros = request.arrived_micros + wait_micros
-        self.budget.deposit(way.route.splits[0].service, self.node_count())
+        self.budget.deposit(resolved.route.splits[0].service, self.node_count())
         last = Refusal(ErrorKind.NO_WORKER, "no worker took it", in_flight_request.retry_micros)
         while not in_flight_request.is_done:
-            if pen.is_gone():
+            if writer.is_gone():
                 return self._count("caller_gone")
             left_micros = in_flight_request.deadline_micros - self.clock.now()
             if left_micros <= 0:
                 last = Refusal(ErrorKind.DEADLINE_PASSED, "its deadline passed")
                 break
-            looked = self._look(request)
-            if isinstance(looked, Err):
-                last = looked.err_value
+            resolution = self._resolve_route(request)
+            if isinstance(resolution, Err):
+                last = resolution.err_value
                 break
-            way = looked.ok_value
-            if not self._may_attempt(in_flight_request, way.route):
+            resolved = resolution.ok_value
+            if not self._may_attempt(in_flight_request, resolved.route):
                 break
-            chosen = self.placer.choose(way.view, way.route, request, way.tenant, frozenset(in_flight_request.tried))
+            chosen = self.selector.choose(
+                resolved.view, resolved.route, request, resolved.tenant, frozenset(in_flight_request.tried)
+            )
             if isinstance(chosen, Err):
                 last = chosen.err_value
                 break
             choice = chosen.ok_value
-            if in_flight_request.is_fresh and await self.reads.wait_for(choice, request, left_micros // 4):
+            if in_flight_request.is_fresh and await self.prefills.wait_for(choice, request, left_micros // 4):
                 in_flight_request.is_fresh = False
                 continue
             in_flight_request.is_fresh = False
-            last = await self._carry(in_flight_request, way, choice)
+            last = await self._try_worker(in_flight_request, resolved, choice)
         if not in_flight_request.is_done:
             self._fail_request(in_flight_request, last)
 
     # ---- what is in force ------------------------------------------------------------------------
 
-    async def _hold_until_view_known(self, request: OpaqueRequest, pen: ResponseWriter) -> None:
+    async def _hold_until_view_known(self, request: OpaqueRequest, writer: ResponseWriter) -> None:
         """On a node that starts, for a caller that has not the time to come back when it will know."""
         if not 0 < request.wait_micros < CALLER_RETRY_DIVISOR * STALE_VIEW_RETRY_MICROS:
             return
         end_micros = self.clock.now() + min(request.wait_micros // STARTUP_HOLD_DIVISOR, MAX_STARTUP_HOLD_MICROS)
-        while not self._is_outcome_known(request) and self.clock.now() < end_micros and not pen.is_gone():
+        while not self._is_outcome_known(request) and self.clock.now() < end_micros and not writer.is_gone():
             await sleep_for(self.clock, STARTUP_HOLD_POLL_MICROS)
 
     def _is_outcome_known(self, request: OpaqueRequest) -> bool:
         """What is in force and a worker, or that it is to be refused; a node knows of workers last."""
-        looked = self._look(request)
-        if isinstance(looked, Err):
-            return looked.err_value.kind is not ErrorKind.NOT_CURRENT
-        return self.placer.knows_workers()
+        resolution = self._resolve_route(request)
+        if isinstance(resolution, Err):
+            return resolution.err_value.kind is not ErrorKind.NOT_CURRENT
+        return self.selector.knows_workers()
 
-    def _look(self, request: OpaqueRequest) -> Result[ResolvedRoute, Refusal]:
+    def _resolve_route(self, request: OpaqueRequest) -> Result[ResolvedRoute, Refusal]:
         if not self.drain.may_accept():
             return Err(Refusal(ErrorKind.DRAINING, DRAINING_DETAIL))
         view = self.current.view()
         if view is None:
-            back_micros = STALE_VIEW_RETRY_MICROS + _spread(request.request_id, STALE_VIEW_RETRY_JITTER_MICROS)
-            return Err(Refusal(ErrorKind.NOT_CURRENT, "this node does not know what is in force", back_micros))
+            retry_after_micros = STALE_VIEW_RETRY_MICROS + _retry_jitter(
+                request.request_id, STALE_VIEW_RETRY_JITTER_MICROS
+            )
+            return Err(Refusal(ErrorKind.NOT_CURRENT, "this node does not know what is in force", retry_after_micros))
         limits = view.description.limits
         if limits.body_bytes and len(request.body) > limits.body_bytes:
             return Err(Refusal(ErrorKind.TOO_LARGE, "the body is over the limit"))
@@ -242,11 +247,13 @@
             return False
         if in_flight_request.has_response_started and not _may_continue(in_flight_request, route):
             return False
-        return self.budget.take_out(route.splits[0].service, self.node_count())
+        return self.budget.try_withdraw(route.splits[0].service, self.node_count())
 
     # ---- one worker --------------------------------------------------------------------------------
 
-    async def _carry(self, in_flight_request: InFlightRequest, way: ResolvedRoute, choice: WorkerChoice) -> Refusal:
+    async def _try_worker(
+        self, in_flight_request: InFlightRequest, resolved: ResolvedRoute, choice: WorkerChoice
+    ) -> Refusal:
         """Sends it to one worker. What it returns is told if nobody else takes it."""
         request, worker = in_flight_request.request, choice.backend.name
         in_flight_request.placements += 1
@@ -256,101 +263,101 @@
                 ErrorKind.NO_WORKER, "a worker has older weights than the answer so far", DEFAULT_RETRY_AFTER_MICROS
             )
         left_micros = in_flight_request.deadline_micros - self.clock.now()
-        call_result = await self.pool.call(choice.backend.address, self._call_limits(way, choice, left_micros))
+        call_result = await self.pool.call(choice.backend.address, self._call_limits(resolved, choice, left_micros))
         if isinstance(call_result, Err):
             in_flight_request.tried.add(worker)
             if call_result.err_value != POOL_EXHAUSTED:
-                self.loads.take_fault(worker)
+                self.loads.record_failure(worker)
             return Refusal(ErrorKind.NO_WORKER, "a worker could not be reached", in_flight_request.retry_micros)
         call = call_result.ok_value
         held_tokens = request.prompt_tokens() + request.output_tokens
-        waiting = _LoadReservation(self.loads, worker, choice.missing_tokens, held_tokens)
+        reservation = _LoadReservation(self.loads, worker, choice.missing_tokens, held_tokens)
         try:
-            if in_flight_request.pen.is_gone():
+            if in_flight_request.writer.is_gone():
                 # A cancellation that comes as the connection stands is lost in `asyncio.wait_for`.
                 return Refusal(ErrorKind.NO_WORKER, "the caller is gone")
-            looked = self._look(request)
+            resolution = self._resolve_route(request)
             if (
-                isinstance(looked, Err)
-                or looked.ok_value.route.splits != way.route.splits
-                or not self.placer.stands(looked.ok_value.view, choice)
+                isinstance(resolution, Err)
+                or resolution.ok_value.route.splits != resolved.route.splits
+                or not self.selector.is_still_valid(resolution.ok_value.view, choice)
             ):
                 # It was placed by what is not in force any more; nothing was sent (§8.4).
                 return Refusal(ErrorKind.NO_WORKER, "what was placed does not stand", DEFAULT_RETRY_AFTER_MICROS)
-            tenant = looked.ok_value.tenant
-            directions = ForwardingMetadata(
+            tenant = resolution.ok_value.tenant
+            metadata = ForwardingMetadata(
                 left_micros=in_flight_request.deadline_micros - self.clock.now(),
                 worker=worker,
                 tenant=tenant.name if tenant is not None else "",
-                urgency=_urgency(way.route, tenant),
+                urgency=_urgency(resolved.route, tenant),
                 version=choice.version,
                 salt=choice.salt,
                 fetch_from=choice.fetch_from,
                 save_to=choice.save_to,
                 last_event_id=in_flight_request.splitter.last_id,
             )
-            headers = self.dialect.outgoing_headers(request, directions)
+            headers = self.adapter.outgoing_headers(request, metadata)
             sent_micros = self.clock.now()
             in_flight_request.tries += 1
             in_flight_request.tried.add(worker)
             in_flight_request.may_have_run_before = in_flight_request.may_have_run
             in_flight_request.may_have_run = True
-            waiting.begin()
+            reservation.begin()
             self.drain.check_send(request.request_id)
             self.check_send()
             call.send(request.method, request.target, headers, request.body)
-            waiting.read = self.reads.begin(choice, request)
-            return await self._relay(in_flight_request, way, choice, directions, call, waiting, sent_micros)
+            reservation.read = self.prefills.begin(choice, request)
+            return await self._relay(in_flight_request, resolved, choice, metadata, call, reservation, sent_micros)
         except TimeoutError:
             return Refusal(ErrorKind.DEADLINE_PASSED, "its deadline passed")
         finally:
-            waiting.end()
+            reservation.end()
             await call.close()
 
-    def _call_limits(self, way: ResolvedRoute, choice: WorkerChoice, left_micros: int) -> CallLimits:
+    def _call_limits(self, resolved: ResolvedRoute, choice: WorkerChoice, left_micros: int) -> CallLimits:
         """This node's share of the connections that the worker accepts from all callers together (§8.9)."""
-        rested_micros = UNLIMITED_IDLE_MICROS if _may_repeat(way.route) else NON_REPEATABLE_MAX_IDLE_MICROS
-        services = way.view.description.services
+        max_idle_micros = UNLIMITED_IDLE_MICROS if _may_repeat(resolved.route) else NON_REPEATABLE_MAX_IDLE_MICROS
+        services = resolved.view.description.services
         limit = next((s.connection_limit for s in services if s.name == choice.backend.service), 0)
         if not limit:
-            return CallLimits(left_micros, rested_micros=rested_micros)
+            return CallLimits(left_micros, max_idle_micros=max_idle_micros)
         share = max(MIN_CONNECTION_SHARE, int(limit * CONNECTION_LIMIT_FRACTION) // max(self.node_count(), 1))
-        return CallLimits(left_micros, share, CONNECTIONS_PER_SLOT * choice.backend.capacity, rested_micros)
+        return CallLimits(left_micros, share, CONNECTIONS_PER_SLOT * choice.backend.capacity, max_idle_micros)
 
     async def _relay(
         self,
         in_flight_request: InFlightRequest,
-        way: ResolvedRoute,
+        resolved: ResolvedRoute,
         choice: WorkerChoice,
-        directions: ForwardingMetadata,
+        metadata: ForwardingMetadata,
         call: UpstreamCall,
-        waiting: _LoadReservation,
+        reservation: _LoadReservation,
         sent_micros: int,
     ) -> Refusal:
         request, worker = in_flight_request.request, choice.backend.name
         found = await call.head(in_flight_request.deadline_micros - self.clock.now())
         if found is None:
-            self.loads.take_fault(worker)
+            self.loads.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the worker broke off")
-        head = self.dialect.read_head(request, directions, *found)
+        head = self.adapter.read_head(request, metadata, *found)
         if head.verdict is not ResponseVerdict.UNRECOGNIZED:
             self.record_weight_versions(worker, head)
         if head.verdict in (ResponseVerdict.NOT_RUN, ResponseVerdict.OTHER_WORKER, ResponseVerdict.OTHER_VERSION):
             # This one did not; an earlier one may have.
             in_flight_request.may_have_run = in_flight_request.may_have_run_before
             if head.verdict is ResponseVerdict.OTHER_WORKER:
-                self.loads.take_fault(worker)
+                self.loads.record_failure(worker)
             return Refusal(
                 ErrorKind.NO_WORKER, f"a worker turned it away with {head.status}", in_flight_request.retry_micros
             )
         if head.verdict is ResponseVerdict.UNRECOGNIZED:
             call.headers = None  # Nothing more is read on this connection (§8.9).
-            self.loads.take_fault(worker)
+            self.loads.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the worker answered something else")
         if head.verdict is ResponseVerdict.FAILURE:
-            return await self._forward_failure(in_flight_request, way, head, call, worker)
-        if way.route.stream:
-            return await self._forward_stream(in_flight_request, choice, head, call, waiting, sent_micros)
+            return await self._forward_failure(in_flight_request, resolved, head, call, worker)
+        if resolved.route.stream:
+            return await self._forward_stream(in_flight_request, choice, head, call, reservation, sent_micros)
         return await self._forward_buffered(in_flight_request, head, call, worker)
 
     async def _forward_stream(
@@ -359,38 +366,40 @@
         choice: WorkerChoice,
         head: ResponseHead,
         call: UpstreamCall,
-        waiting: _LoadReservation,
+        reservation: _LoadReservation,
         sent_micros: int,
     ) -> Refusal:
         """Event by event as they come; each only when it is whole."""
-        worker, pen = choice.backend.name, in_flight_request.pen
+        worker, writer = choice.backend.name, in_flight_request.writer
         # What the worker says of its weights counts before what it was asked for.
         in_flight_request.splitter.begin_run(choice.version if head.version is None else head.version)
         async for chunk in call.chunks(lambda: in_flight_request.deadline_micros - self.clock.now()):
-            if pen.is_gone():
+            if writer.is_gone():
                 in_flight_request.is_done = True
                 self._count("caller_gone")
                 return Refusal(ErrorKind.OUTCOME_UNKNOWN)
             events = in_flight_request.splitter.feed(chunk)
-            if events and waiting.is_waiting:
-                waiting.record_first_event()
-                self.placer.expect(worker, choice.salt, [part.part for part in in_flight_request.request.parts[:-1]])
+            if events and reservation.is_waiting:
+                reservation.record_first_event()
+                self.selector.expect_cached(
+                    worker, choice.salt, [part.part for part in in_flight_request.request.parts[:-1]]
+                )
                 self._record_prefill_time(choice, self.clock.now() - sent_micros)
             if events and not in_flight_request.has_response_started:
                 in_flight_request.has_response_started = True
-                pen.begin(head.status, head.reason, _forwardable_headers(head.headers))
+                writer.begin(head.status, head.reason, _forwardable_headers(head.headers))
             if events:
-                pen.write(events)
+                writer.write(events)
             if in_flight_request.splitter.violation is not None:
                 break
         if not call.is_whole() or not in_flight_request.splitter.end_run():
             self._record_violation(in_flight_request.splitter.violation)
-            self.loads.take_fault(worker)
+            self.loads.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the stream was cut")
         if not in_flight_request.has_response_started:
             in_flight_request.has_response_started = True
-            pen.begin(head.status, head.reason, _forwardable_headers(head.headers))
-        pen.finish()
+            writer.begin(head.status, head.reason, _forwardable_headers(head.headers))
+        writer.finish()
         in_flight_request.is_done = True
         self.loads.record_success(worker)
         self._count("done")
@@ -406,9 +415,9 @@
         self, in_flight_request: InFlightRequest, head: ResponseHead, call: UpstreamCall, worker: str
     ) -> Refusal:
         """Gathered first, so that a cut one can still become a failure or another try."""
-        buffered_body = await self._gather(in_flight_request, call)
+        buffered_body = await self._buffer_body(in_flight_request, call)
         if buffered_body is None:
-            self.loads.take_fault(worker)
+            self.loads.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the answer was cut")
         self._write_buffered(in_flight_request, head, buffered_body)
         self.loads.record_success(worker)
@@ -418,7 +427,7 @@
     async def _forward_failure(
         self,
         in_flight_request: InFlightRequest,
-        way: ResolvedRoute,
+        resolved: ResolvedRoute,
         head: ResponseHead,
         call: UpstreamCall,
         worker: str,
@@ -426,20 +435,20 @@
         """A worker's own failure counts as run: another try where that may be, else it goes to the caller as it is,
         unless its status would promise the caller that it did not run."""
         if head.status >= 500:
-            self.loads.take_fault(worker)
-        buffered_body = await self._gather(in_flight_request, call)
+            self.loads.record_failure(worker)
+        buffered_body = await self._buffer_body(in_flight_request, call)
         if (
             in_flight_request.has_response_started
             or buffered_body is None
             or head.status in NOT_RUN_STATUSES
-            or (head.status >= 500 and _may_repeat(way.route) and in_flight_request.tries < way.route.tries)
+            or (head.status >= 500 and _may_repeat(resolved.route) and in_flight_request.tries < resolved.route.tries)
         ):
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, f"the worker failed with {head.status}")
         self._write_buffered(in_flight_request, head, buffered_body)
         self._count(f"worker_{head.status}")
         return Refusal(ErrorKind.OUTCOME_UNKNOWN)
 
-    async def _gather(self, in_flight_request: InFlightRequest, call: UpstreamCall) -> bytes | None:
+    async def _buffer_body(self, in_flight_request: InFlightRequest, call: UpstreamCall) -> bytes | None:
         buffered_body = b""
         async for chunk in call.chunks(lambda: in_flight_request.deadline_micros - self.clock.now()):
             buffered_body += chunk
@@ -451,20 +460,20 @@
         headers = _forwardable_headers(head.headers)
         headers["Content-Length"] = str(len(body))
         in_flight_request.has_response_started = in_flight_request.is_done = True
-        in_flight_request.pen.begin(head.status, head.reason, headers)
+        in_flight_request.writer.begin(head.status, head.reason, headers)
         if body:
-            in_flight_request.pen.write(body)
-        in_flight_request.pen.finish()
+            in_flight_request.writer.write(body)
+        in_flight_request.writer.finish()
 
     # ---- ends --------------------------------------------------------------------------------------
 
     def open_count(self) -> int:
         """Requests that have no whole answer yet."""
-        return len(self.passages)
+        return len(self.in_flight_requests)
 
     def end_open(self) -> None:
         """Gives each open request its final answer; one of which a part was written is cut."""
-        for in_flight_request in self.passages:
+        for in_flight_request in self.in_flight_requests:
             in_flight_request.is_cancelled_by_shutdown = True
             if in_flight_request.task is not None:
                 in_flight_request.task.cancel()
@@ -478,7 +487,7 @@
         if in_flight_request.has_response_started:
             # The caller has a part of a stream: it must not look whole.
             self._count("cut")
-            in_flight_request.pen.abort()
+            in_flight_request.writer.abort()
         elif in_flight_request.may_have_run:
             self._refuse(in_flight_request, Refusal(ErrorKind.OUTCOME_UNKNOWN, last.detail))
         elif last.kind is ErrorKind.OUTCOME_UNKNOWN:
@@ -488,15 +497,15 @@
 
     def _refuse(self, in_flight_request: InFlightRequest, refusal: Refusal) -> None:
         self._count(refusal.kind.value)
-        if in_flight_request.pen.is_gone():
+        if in_flight_request.writer.is_gone():
             return
-        status, headers, body = self.dialect.refusal(in_flight_request.request, refusal)
+        status, headers, body = self.adapter.refusal(in_flight_request.request, refusal)
         headers["Content-Length"] = str(len(body))
         in_flight_request.is_done = True
-        in_flight_request.pen.begin(status, "", headers)
+        in_flight_request.writer.begin(status, "", headers)
         if body:
-            in_flight_request.pen.write(body)
-        in_flight_request.pen.finish()
+            in_flight_request.writer.write(body)
+        in_flight_request.writer.finish()
 
     def _record_violation(self, violation: StreamViolation | None) -> None:
         if violation is not None:
@@ -541,7 +550,7 @@
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def _spread(request_id: str, span_micros: int) -> int:
+def _retry_jitter(request_id: str, span_micros: int) -> int:
     """A share of the span that is the request's own, so that the same request is always told the same."""
     return int.from_bytes(hashlib.blake2b(request_id.encode(), digest_size=4).digest(), "big") * span_micros >> 32
 
--- a/src/pearhead/router/retry_budget.py
+++ b/src/pearhead/router/retry_budget.py
@@ -17,7 +17,7 @@
         self.job_count += 1
         self.tokens[service] = min(self.tokens.get(service, 0.0) + share, BURST_LIMIT)
 
-    def take_out(self, service: str) -> bool:
+    def try_withdraw(self, service: str) -> bool:
         if self.tokens.get(service, 0.0) < 1.0 - 1e-9:
             return False
         self.tokens[service] -= 1.0
--- a/src/pearhead/router/stream_sequence.py
+++ b/src/pearhead/router/stream_sequence.py
@@ -56,7 +56,7 @@
         self.equal_steps = 0
         self.is_regular = True
 
-    def take(self, step: int) -> None:
+    def record_step(self, step: int) -> None:
         """Records the distance of an event to the one before."""
         if self.equal_steps and step != self.step:
             self.is_regular = False
@@ -108,7 +108,7 @@
         """A run broke off inside an event, so at least one more belongs to the answer."""
         self.is_event_missing = True
 
-    def take(self, event: EventFields) -> Result[EventAction, StreamViolation]:
+    def process_event(self, event: EventFields) -> Result[EventAction, StreamViolation]:
         """What to do with the next whole event of the run."""
         if event.version is not None:
             self._run_version = event.version
@@ -156,7 +156,7 @@
         if not self.accepts_version(self._run_version):
             return Err(StreamViolation.VERSION_WENT_BACK)
         if self.has_forwarded and _is_number(event_id) and _is_number(self.last_id):
-            self.steps.take(int(event_id) - int(self.last_id))
+            self.steps.record_step(int(event_id) - int(self.last_id))
         self.last_id = event_id
         self.is_position_known = True
         return Ok(self._record_forwarded())
--- a/src/pearhead/router/tornado_transport.py
+++ b/src/pearhead/router/tornado_transport.py
@@ -1,4 +1,4 @@
-"""TornadoCarrier and TornadoWorkerLink (§8.4): the real edges towards workers and stores."""
+"""TornadoJobTransport and TornadoWorkerClient (§8.4): the real edges towards workers and stores."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self.tcp_client = TCPClient()
 
-    async def carry(
+    async def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         limit_seconds = upstream_job.limit_micros / SECOND
--- a/src/pearhead/router/upstream_pool.py
+++ b/src/pearhead/router/upstream_pool.py
@@ -34,14 +34,14 @@
 @dataclass(frozen=True)
 class CallLimits:
     """What a request asks of its connection. `share`: connections of this node to the worker, kept and in use, beyond
-    which none is kept; `most`: the most in use, none is opened beyond; zero: not told. `rested_micros`: the longest
-    rest of a kept connection that may take it.
+    which none is kept; `max_in_use`: the most in use, none is opened beyond; zero: not told. `max_idle_micros`: the
+    longest rest of a kept connection that may take it.
     """
 
     limit_micros: int
     share: int = 0
-    most: int = 0
-    rested_micros: int = UNLIMITED_IDLE_MICROS
+    max_in_use: int = 0
+    max_idle_micros: int = UNLIMITED_IDLE_MICROS
 
 
 @dataclass(frozen=True)
@@ -94,14 +94,19 @@
     """One request on one connection. Its owner calls `close` in any case; a clean one keeps the connection."""
 
     def __init__(
-        self, pool: UpstreamPool, address: str, stream: IOStream, terms: CallLimits, kept: _IdleConnection | None = None
+        self,
+        pool: UpstreamPool,
+        address: str,
+        stream: IOStream,
+        limits: CallLimits,
+        kept: _IdleConnection | None = None,
     ) -> None:
         self.pool = pool
         self.address = address
         self.stream = stream
-        self.terms = terms
+        self.limits = limits
         self.kept = kept
-        self.rested_micros = pool.clock.now() - kept.since_micros if kept is not None else 0
+        self.idle_micros = pool.clock.now() - kept.since_micros if kept is not None else 0
         self.delegate = _ResponseDelegate(stream)
         self.reader: asyncio.Task[None] | None = None
         self.headers: HTTPHeaders | None = None
@@ -128,7 +133,7 @@
         found = await asyncio.wait_for(asyncio.shield(self.delegate.head), max(limit_micros, 0) / SECOND)
         self.headers = found[2] if found else None
         if found is None and self.kept is not None:
-            self.pool.record_early_close(self.address, self.rested_micros)
+            self.pool.record_early_close(self.address, self.idle_micros)
         return found
 
     async def chunks(self, limit: Callable[[], int]) -> AsyncIterator[bytes]:
@@ -154,7 +159,7 @@
             if self.reader is None and self.kept is not None:
                 self.pool.add_idle_connection(self.address, self.kept)
             elif is_kept and self.headers is not None:
-                self.pool.return_to_pool(self.address, self.stream, self.headers, self.terms.share)
+                self.pool.return_to_pool(self.address, self.stream, self.headers, self.limits.share)
             else:
                 self.stream.close()
 
@@ -182,13 +187,13 @@
         self.opened = 0
         self.reused = 0
 
-    async def call(self, address: str, terms: CallLimits) -> Result[UpstreamCall, str]:
+    async def call(self, address: str, limits: CallLimits) -> Result[UpstreamCall, str]:
         """A kept connection that is surely quiet, or a new one. Nothing was sent when it is an error."""
-        kept = self._take_idle(address, terms)
+        kept = self._take_idle(address, limits)
         if kept is not None:
             self.reused += 1
-            return Ok(UpstreamCall(self, address, kept.stream, terms, kept))
-        if not self._make_room(address, terms):
+            return Ok(UpstreamCall(self, address, kept.stream, limits, kept))
+        if not self._can_open(address, limits):
             return Err(POOL_EXHAUSTED)
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -197,7 +202,7 @@
         self.open.setdefault(address, set()).add(stream)
         try:
             await asyncio.wait_for(
-                stream.connect(split_address(address)), min(CONNECT_MICROS, max(terms.limit_micros, 0)) / SECOND
+                stream.connect(split_address(address)), min(CONNECT_MICROS, max(limits.limit_micros, 0)) / SECOND
             )
         except (OSError, StreamClosedError, TimeoutError) as fault:
             stream.close()
@@ -206,18 +211,20 @@
             stream.close()
             raise
         self.opened += 1
-        return Ok(UpstreamCall(self, address, stream, terms))
+        return Ok(UpstreamCall(self, address, stream, limits))
 
-    def _take_idle(self, address: str, terms: CallLimits) -> _IdleConnection | None:
+    def _take_idle(self, address: str, limits: CallLimits) -> _IdleConnection | None:
         """The one that rested least; what rested too long for this request is left for others."""
         waiting = self.idle.get(address)
         now_micros = self.clock.now()
         max_idle_micros = self._max_idle_micros(address)
         while waiting:
             kept = waiting[-1]
-            rested_micros = now_micros - kept.since_micros
-            is_usable = now_micros < kept.until_micros and rested_micros < max_idle_micros and is_quiet(kept.stream)
-            if is_usable and rested_micros > terms.rested_micros:
+            idle_micros = now_micros - kept.since_micros
+            is_usable = (
+                now_micros < kept.until_micros and idle_micros < max_idle_micros and is_idle_and_open(kept.stream)
+            )
+            if is_usable and idle_micros > limits.max_idle_micros:
                 return None
             waiting.pop()
             if is_usable:
@@ -226,16 +233,16 @@
             kept.stream.close()
         return None
 
-    def _make_room(self, address: str, terms: CallLimits) -> bool:
+    def _can_open(self, address: str, limits: CallLimits) -> bool:
         """Whether one more may be opened; idle ones make way for it."""
-        if not terms.share or self._shrink_to(address, terms.share - 1):
+        if not limits.share or self._shrink_to(address, limits.share - 1):
             return True
-        return not terms.most or self.open_count(address) < max(terms.most, terms.share)
+        return not limits.max_in_use or self.open_count(address) < max(limits.max_in_use, limits.share)
 
-    def _shrink_to(self, address: str, most: int) -> bool:
+    def _shrink_to(self, address: str, max_open: int) -> bool:
         """Whether no more than that are open once idle ones have made way, those that rested longest first."""
         waiting = self.idle.get(address)
-        while self.open_count(address) > most:
+        while self.open_count(address) > max_open:
             if not waiting:
                 return False
             waiting.popleft().stream.close()
@@ -257,17 +264,17 @@
         self.add_idle_connection(address, _IdleConnection(stream, now_micros, now_micros + kept_micros))
 
     def add_idle_connection(self, address: str, kept: _IdleConnection) -> None:
-        if kept.until_micros <= self.clock.now() or not is_quiet(kept.stream):
+        if kept.until_micros <= self.clock.now() or not is_idle_and_open(kept.stream):
             kept.stream.close()
             return
         kept.stream.set_close_callback(kept.stream.close)
         self.idle.setdefault(address, deque()).append(kept)
 
-    def record_early_close(self, address: str, rested_micros: int) -> None:
+    def record_early_close(self, address: str, idle_micros: int) -> None:
         """A kept connection ended without an answer: the worker may have forgotten it, and those that rest as long."""
-        if rested_micros < MIN_EARLY_CLOSE_IDLE_MICROS:
+        if idle_micros < MIN_EARLY_CLOSE_IDLE_MICROS:
             return
-        bound_micros = min(rested_micros // 2, self._max_idle_micros(address))
+        bound_micros = min(idle_micros // 2, self._max_idle_micros(address))
         self.early_close_bounds[address] = (bound_micros, self.clock.now() + EARLY_CLOSE_TTL_MICROS)
 
     def _max_idle_micros(self, address: str) -> int:
@@ -286,7 +293,7 @@
         for address, waiting in list(self.idle.items()):
             lasting: deque[_IdleConnection] = deque()
             for kept in waiting:
-                if kept.until_micros > now_micros and is_quiet(kept.stream):
+                if kept.until_micros > now_micros and is_idle_and_open(kept.stream):
                     lasting.append(kept)
                 else:
                     kept.stream.close()
@@ -300,7 +307,7 @@
         }
 
 
-def is_quiet(stream: IOStream) -> bool:
+def is_idle_and_open(stream: IOStream) -> bool:
     """Open, and nothing has come on it: what follows a whole answer belongs to no request (§8.9)."""
     if stream.closed() or stream._read_buffer_size:  # The library has no other word for it.
         return False
--- a/src/pearhead/router/worker_load_tracker.py
+++ b/src/pearhead/router/worker_load_tracker.py
@@ -1,4 +1,4 @@
-"""LoadBook (§8.8): how busy each worker is, by this node's own requests and by what other nodes told of theirs."""
+"""WorkerLoadTracker (§8.8): how busy each worker is, by this node's requests and by what other nodes told of theirs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Use:
+class WorkerLoad:
     """Requests at a worker, the prompt tokens that it has yet to read, and all tokens that its requests hold."""
 
     running: int = 0
@@ -30,18 +30,18 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.own: dict[str, Use] = {}
-        self.told: dict[str, tuple[int, int, dict[str, WorkerUse]]] = {}
+        self.own: dict[str, WorkerLoad] = {}
+        self.reports: dict[str, tuple[int, int, dict[str, WorkerUse]]] = {}
         self.backoff_until: dict[str, int] = {}
         self.consecutive_failures: dict[str, int] = {}
-        self.paces: dict[str, float] = {}
+        self.slowdowns: dict[str, float] = {}
         self.read_rates = PrefillRates(clock)
-        self.totals: dict[str, Use] = {}
+        self.totals: dict[str, WorkerLoad] = {}
         self.totals_until = 0
         self.is_changed = False
 
     def begin(self, worker: str, waiting_tokens: int, held_tokens: int) -> None:
-        use = self.own.setdefault(worker, Use())
+        use = self.own.setdefault(worker, WorkerLoad())
         use.running += 1
         use.waiting_tokens += waiting_tokens
         use.held_tokens += held_tokens
@@ -72,29 +72,29 @@
             ],
         )
 
-    def take(self, teller: str, note: UseNote) -> None:
-        held = self.told.get(teller)
-        if held is not None and held[0] >= note.serial:
+    def apply_report(self, reporter: str, note: UseNote) -> None:
+        previous = self.reports.get(reporter)
+        if previous is not None and previous[0] >= note.serial:
             return
-        self.told[teller] = (
+        self.reports[reporter] = (
             note.serial,
             self.clock.now() + LOAD_REPORT_TTL_MICROS,
             {use.worker: use for use in note.use},
         )
         self.totals_until = 0
 
-    def current_load(self, worker: str) -> Use:
+    def current_load(self, worker: str) -> WorkerLoad:
         """Of all nodes together."""
         if self.clock.now() >= self.totals_until:
             self._rebuild_totals()
-        return self.totals.get(worker, Use())
+        return self.totals.get(worker, WorkerLoad())
 
     def own_running(self) -> int:
         return sum(use.running for use in self.own.values())
 
     # ---- judged by what a worker did -----------------------------------------------------------
 
-    def take_fault(self, worker: str) -> None:
+    def record_failure(self, worker: str) -> None:
         """It failed a request or could not be reached: it rests, longer each time, and then gets one anew."""
         count = self.consecutive_failures[worker] = self.consecutive_failures.get(worker, 0) + 1
         rest_micros = min(FAILURE_BACKOFF_MICROS * 2 ** (count - 1), MAX_FAILURE_BACKOFF_MICROS)
@@ -112,27 +112,27 @@
         if read_tokens < MIN_SLOWDOWN_SAMPLE_TOKENS:
             return
         seen = min(max(seen_micros / max(expected_micros, 5 * MILLI), MIN_SLOWDOWN), MAX_SLOWDOWN)
-        self.paces[worker] = self.slowdown_of(worker) * (1 - SLOWDOWN_EWMA_WEIGHT) + seen * SLOWDOWN_EWMA_WEIGHT
+        self.slowdowns[worker] = self.slowdown_of(worker) * (1 - SLOWDOWN_EWMA_WEIGHT) + seen * SLOWDOWN_EWMA_WEIGHT
 
     def slowdown_of(self, worker: str) -> float:
-        return self.paces.get(worker, 1.0)
+        return self.slowdowns.get(worker, 1.0)
 
     def _change(self, worker: str, running: int, waiting_tokens: int, held_tokens: int) -> None:
         self.is_changed = True
-        total = self.totals.setdefault(worker, Use())
+        total = self.totals.setdefault(worker, WorkerLoad())
         total.running += running
         total.waiting_tokens += waiting_tokens
         total.held_tokens += held_tokens
 
     def _rebuild_totals(self) -> None:
         now_micros = self.clock.now()
-        self.told = {teller: told for teller, told in self.told.items() if told[1] > now_micros}
+        self.reports = {reporter: report for reporter, report in self.reports.items() if report[1] > now_micros}
         self.totals = {
-            worker: Use(use.running, use.waiting_tokens, use.held_tokens) for worker, use in self.own.items()
+            worker: WorkerLoad(use.running, use.waiting_tokens, use.held_tokens) for worker, use in self.own.items()
         }
-        for _, _, uses in self.told.values():
+        for _, _, uses in self.reports.values():
             for worker, use in uses.items():
-                total = self.totals.setdefault(worker, Use())
+                total = self.totals.setdefault(worker, WorkerLoad())
                 total.running += use.running
                 total.waiting_tokens += use.waiting_tokens
                 total.held_tokens += use.held_tokens
--- a/src/pearhead/router/worker_selector.py
+++ b/src/pearhead/router/worker_selector.py
@@ -1,4 +1,4 @@
-"""Placer (§8.8): which worker runs an opaque request, under which salt, and what it fetches before."""
+"""WorkerSelector (§8.8): which worker runs an opaque request, under which salt, and what it fetches before."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 DUPLICATE_CACHE_MICROS_PER_TOKEN = 300
 MAX_DUPLICATE_CACHE_MICROS = 600 * MILLI
 # A worker that runs out of memory puts a request back and reads all of it anew.
-MEMORY_SHARE = 0.92
+USABLE_CACHE_FRACTION = 0.92
 MEMORY_SHORTAGE_MICROS = SECOND
 EXPECTED_CACHE_TTL_MICROS = SECOND
 MAX_EXPECTED_CACHE_ENTRIES = 4_000
@@ -73,7 +73,7 @@
         salts: CacheSaltBuilder,
         may_use: Callable[[View, str, int], bool],
         sample: Callable[[list[Backend]], list[Backend]] = list,
-        is_word_late: Callable[[], bool] = lambda: False,
+        are_load_reports_late: Callable[[], bool] = lambda: False,
     ) -> None:
         self.clock = clock
         self.zone = zone
@@ -84,8 +84,8 @@
         self.salts = salts
         self.may_use = may_use
         self.sample = sample
-        self.is_word_late = is_word_late
-        self.expected: dict[tuple[str, str, str], int] = {}
+        self.are_load_reports_late = are_load_reports_late
+        self.expected_cached: dict[tuple[str, str, str], int] = {}
 
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
@@ -105,7 +105,7 @@
         """A node that starts hears of workers last; later an empty roster says that there are none."""
         return bool(self.roster().backends)
 
-    def stands(self, view: View, choice: WorkerChoice) -> bool:
+    def is_still_valid(self, view: View, choice: WorkerChoice) -> bool:
         """Whether this very choice could still be made: asked in one step with the first byte (§8.4)."""
         backend = self.roster().backends.get(choice.backend.name)
         if backend is None or backend.is_leaving or backend.address != choice.backend.address:
@@ -150,7 +150,7 @@
         quiet, reserved_penalty_micros = self._reserved_workers(service, candidates, request)
         if request.prompt_tokens() < LONG_TOKENS:
             candidates = self.sample(candidates)
-        elif self.is_word_late():
+        elif self.are_load_reports_late():
             candidates = self._home_and_caching_workers(view, candidates, tenant, line, request)
         salts = {
             version: self.salts.salt(view, tenant, line, version, request.parts)
@@ -293,7 +293,7 @@
         now_micros = self.clock.now()
         expected = 0
         for part in request.parts:
-            if self.expected.get((worker, salt, part.part), 0) <= now_micros:
+            if self.expected_cached.get((worker, salt, part.part), 0) <= now_micros:
                 break
             expected += part.tokens
         return max(kept, expected)
@@ -304,7 +304,7 @@
             return 0
         first = request.parts[0].part
         names = self.index.cache_locations_of(salt, first) | {
-            backend.name for backend in candidates if (backend.name, salt, first) in self.expected
+            backend.name for backend in candidates if (backend.name, salt, first) in self.expected_cached
         }
         return max((self._cached_tokens(name, salt, request) for name in names), default=0)
 
@@ -363,21 +363,21 @@
                     return service.store_address
         return ""
 
-    def expect(self, worker: str, salt: str, parts: Iterable[str]) -> None:
+    def expect_cached(self, worker: str, salt: str, parts: Iterable[str]) -> None:
         """The first event of their reader is here, so they are kept; the worker's own word of it comes later.
 
         Not sooner: a request that starts while they are being read reads them too.
         """
         now_micros = self.clock.now()
         for part in parts:
-            self.expected[worker, salt, part] = now_micros + EXPECTED_CACHE_TTL_MICROS
-        if len(self.expected) > MAX_EXPECTED_CACHE_ENTRIES:
-            self.expected = {key: until for key, until in self.expected.items() if until > now_micros}
+            self.expected_cached[worker, salt, part] = now_micros + EXPECTED_CACHE_TTL_MICROS
+        if len(self.expected_cached) > MAX_EXPECTED_CACHE_ENTRIES:
+            self.expected_cached = {key: until for key, until in self.expected_cached.items() if until > now_micros}
 
 
 def _memory_shortage_micros(service: Service, held_tokens: int) -> float:
     """What it costs to ask a worker for more than its memory; more of it the more is asked."""
-    room = service.cache_tokens * MEMORY_SHARE
+    room = service.cache_tokens * USABLE_CACHE_FRACTION
     return MEMORY_SHORTAGE_MICROS * held_tokens / room if room and held_tokens > room else 0.0
 
 
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -630,7 +630,7 @@
             refusal: Refusal = given_result.ok_value.err_value
             trace.outcome = refusal.kind.value
             trace.is_refused = ERROR_TABLE[refusal.kind].ran == NOT_RUN
-            trace.come_back_seconds = refusal.come_back_seconds()
+            trace.come_back_seconds = refusal.retry_after_seconds()
             if trace.is_refused and trace.lines:
                 self.ledger.breaches.append(f"{job['jobId']} was refused after a line")
         else:
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -41,16 +41,16 @@
 @mutation("calm", "streams")
 def line_lost(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
-        real_carry = node.carrier.carry
+        real_carry = node.carrier.send_job
 
-        async def carry(
+        async def send_job(
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
             async for event in real_carry(worker_address, upstream_job, may_begin):
                 if "usage" in event or node.chance.random() > 0.05:
                     yield event
 
-        node.carrier.carry = carry  # type: ignore[method-assign]
+        node.carrier.send_job = send_job  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -60,9 +60,9 @@
     """Every failure is taken for one that left no byte."""
 
     def change(node: NodeProcess) -> None:
-        real_carry = node.carrier.carry
+        real_carry = node.carrier.send_job
 
-        async def carry(
+        async def send_job(
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
             try:
@@ -71,7 +71,7 @@
             except JobTransportError as fault:
                 raise JobTransportError("not_sent" if fault.stage == CUT else fault.stage, fault.detail) from fault
 
-        node.carrier.carry = carry  # type: ignore[method-assign]
+        node.carrier.send_job = send_job  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -79,8 +79,8 @@
 @mutation("weights-under-load", "owners")
 def keys_without_weights(fleet: SimFleet) -> None:
     real_keys, real_salt = chain_keys, cache_salt
-    vars(nominate)["chain_keys"] = lambda owner, line, revision, parts: real_keys(owner, line, 0, parts)
-    vars(nominate)["cache_salt"] = lambda owner, line, revision: real_salt(owner, line, 0)
+    vars(job_scheduler)["chain_keys"] = lambda owner, line, revision, parts: real_keys(owner, line, 0, parts)
+    vars(job_scheduler)["cache_salt"] = lambda owner, line, revision: real_salt(owner, line, 0)
     real_load = WorkerModel.load
 
     async def load(self: WorkerModel, fence: int, model: str) -> dict[str, Any]:
@@ -94,7 +94,7 @@
 
 @mutation("calm", "owners")
 def tenants_shared(fleet: SimFleet) -> None:
-    vars(nominate)["owner_of"] = lambda tenant: "group:all"
+    vars(job_scheduler)["owner_of"] = lambda tenant: "group:all"
 
 
 @mutation("node-cut-off-from-cores", "force")
@@ -245,9 +245,9 @@
             finally:
                 job.tenant = tenant
 
-        real_leave = node.admission.leave_place
+        real_leave = node.admission.release_slot
         node.admission.admit = admit  # type: ignore[method-assign]
-        node.admission.leave_place = lambda entry, tenant_name, held_micros=0: real_leave(entry, "all", held_micros)  # type: ignore[method-assign]
+        node.admission.release_slot = lambda entry, tenant_name, held_micros=0: real_leave(entry, "all", held_micros)  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -264,12 +264,12 @@
 @mutation("most-workers-down", "retries")
 def budget_unlimited(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
-        def take_out(service: str) -> bool:
+        def try_withdraw(service: str) -> bool:
             node.budget.retry_count += 1
             return True
 
-        node.budget.take_out = take_out  # type: ignore[method-assign]
-        node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
+        node.budget.try_withdraw = try_withdraw  # type: ignore[method-assign]
+        node.nominator.record_failure = lambda worker: None  # type: ignore[method-assign]
         node.lease_controller.unsound_callback = lambda worker: None
 
     _patch_nodes(fleet, change)
@@ -302,7 +302,7 @@
 @mutation("entries-move-while-jobs-queue", "held_back")
 def queues_never_reviewed(fleet: SimFleet) -> None:
     def change(node: NodeProcess) -> None:
-        node.admission.review = lambda judge: None  # type: ignore[method-assign]
+        node.admission.recheck_waiting = lambda recheck: None  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -333,9 +333,9 @@
     """All would be well once the worker is back, and nothing is while it is gone."""
 
     def change(node: NodeProcess) -> None:
-        node.nominator.take_fault = lambda worker: None  # type: ignore[method-assign]
+        node.nominator.record_failure = lambda worker: None  # type: ignore[method-assign]
         node.lease_controller.unsound_callback = lambda worker: None
-        node.budget.take_out = lambda service: False  # type: ignore[method-assign]
+        node.budget.try_withdraw = lambda service: False  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
--- a/src/pearhead/testbed/simulator/simulated_clients.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -95,7 +95,7 @@
         self.back_ends = back_ends
         self.observer = observer
 
-    async def carry(
+    async def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         worker, node, world = self.back_ends[worker_address].machine, self.machine, self.world
--- a/tests/test_carrier.py
+++ b/tests/test_carrier.py
@@ -1,4 +1,4 @@
-"""TornadoCarrier against a back end of the test's own: each way that a job can fail, and what it says."""
+"""TornadoJobTransport against a back end of the test's own: each way that a job can fail, and what it says."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
     async def carry(self, address: str, limit_micros: int = 5_000_000) -> list[dict[str, Any]]:
         upstream_job = UpstreamJob("u", "m", "b", "s", "t", limit_micros=limit_micros)
-        async with aclosing(TornadoJobTransport().carry(address, upstream_job, self.may_begin)) as events:
+        async with aclosing(TornadoJobTransport().send_job(address, upstream_job, self.may_begin)) as events:
             return [event async for event in events]
 
     async def stage(self, address: str, limit_micros: int = 5_000_000) -> str:
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -245,7 +245,7 @@
         slow, steady = await self.connect(), await self.connect()
         for caller in (slow, steady):
             caller.writer.write(GET[:10])
-        await self.until(lambda: len(self.edge.heads) == 2)
+        await self.until(lambda: len(self.edge.pending_heads) == 2)
         self.clock.advance(3 * SECOND - 1)
         self.assertIn(OK_HEAD, await steady.ask(GET[10:]))
         self.clock.advance(1)
@@ -257,7 +257,7 @@
         caller = await self.connect()
         for position in range(3):
             caller.writer.write(GET[position : position + 1])
-            await self.until(lambda: [s._read_buffer_size for s in self.edge.heads] == [position + 1])  # noqa: B023
+            await self.until(lambda: [s._read_buffer_size for s in self.edge.pending_heads] == [position + 1])  # noqa: B023
             self.clock.advance(SECOND)
         self.assertIn(b" 408 ", (await caller.answer())[0])
 
@@ -266,7 +266,7 @@
         waits, sends = await self.connect(), await self.connect()
         waits.writer.write(GET)
         sends.writer.write(post(b"b", length=2))
-        await self.until(lambda: len(self.taken) == 1 and not self.edge.heads and not self.edge.idle_since)
+        await self.until(lambda: len(self.taken) == 1 and not self.edge.pending_heads and not self.edge.idle_since)
         self.clock.advance(60 * SECOND)
         self.go_on.set()
         sends.writer.write(b"b")
@@ -278,7 +278,7 @@
         caller, half = await self.connect(), await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
         half.writer.write(GET[:10])
-        await self.until(lambda: len(self.edge.idle_since) == 1 and len(self.edge.heads) == 1)
+        await self.until(lambda: len(self.edge.idle_since) == 1 and len(self.edge.pending_heads) == 1)
         caller.socket_of()._sock.send(GET)
         half.socket_of()._sock.send(GET[10:])
         self.clock.advance(20 * SECOND)
@@ -300,9 +300,9 @@
         for request in (b"", GET[:5], GET):
             caller = await self.connect()
             caller.writer.write(request)
-            await self.until(lambda: bool(self.edge.idle_since or self.edge.heads))
+            await self.until(lambda: bool(self.edge.idle_since or self.edge.pending_heads))
             caller.writer.close()
-        await self.until(lambda: not self.edge.idle_since and not self.edge.heads)
+        await self.until(lambda: not self.edge.idle_since and not self.edge.pending_heads)
         self.clock.advance(2 * SECOND)
         self.assertEqual(
             [t for t in self.clock.timers if not t.is_cancelled], [], "an edge without callers never wakes"
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -386,7 +386,7 @@
             except BlockingIOError:
                 pass
             lingering = LingeringSockets()
-            self.assertTrue(lingering.take(connection))
+            self.assertTrue(lingering.take_over(connection))
             # What the peer sends meanwhile must not reset the connection.
             peer.sendall(get("/late/1"))
             self.assertEqual(lingering.count(), 1)
@@ -402,7 +402,7 @@
             with socket.create_connection(listener.getsockname()):
                 connection, _ = listener.accept()
                 with connection:
-                    self.assertFalse(LingeringSockets().take(connection))
+                    self.assertFalse(LingeringSockets().take_over(connection))
 
 
 class DrainStateTest(unittest.TestCase):
--- a/tests/test_failures_page.py
+++ b/tests/test_failures_page.py
@@ -108,12 +108,12 @@
             ["a", "`no-such-scenario`", ""],
             ["a", "`test_roster`; mutation `no_such_mutation`", ""],
             ["a", "`test_roster`; mutations `line_lost`, `no_such_mutation`", ""],
-            ["a", "`Gate.no_such_function`: `test_roster`", ""],
+            ["a", "`RequestProxy.no_such_function`: `test_roster`", ""],
             ["a", "`NoSuchClass.serve`: `test_roster`", ""],
             ["a", "", ""],
             ["a", "`test_roster`"],
         ):
             self.assertEqual(len(find_faults([row], self.names)), 1, row)
-        sound = ["a", "`Gate.serve`: `all-killed`; mutations `line_lost`, `runs_unlimited`", ""]
+        sound = ["a", "`RequestProxy.serve`: `all-killed`; mutations `line_lost`, `runs_unlimited`", ""]
         self.assertEqual(len(find_faults([sound], self.names)), 1, "the second mutation does not exist")
-        self.assertEqual(find_faults([["a", "`Gate.serve`: `all-killed`", ""]], self.names), [])
+        self.assertEqual(find_faults([["a", "`RequestProxy.serve`: `all-killed`", ""]], self.names), [])
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -98,7 +98,7 @@
 
         def look(path: str, key: str) -> ErrorKind | None:
             request = OpaqueRequest("1", "POST", path, "h", path, HTTPHeaders(), b"", bench.now(), hash_key(key))
-            looked = gateway.gate._look(request)
+            looked = gateway.gate._resolve_route(request)
             return looked.err_value.kind if isinstance(looked, Err) else None
 
         self.assertEqual((look("/a/", "key"), look("/a/", "none")), (None, ErrorKind.BAD_KEY))
@@ -147,7 +147,7 @@
         spent = 0
         for _ in range(100):
             self.bench.now_micros += WINDOW_MICROS // 100
-            while budget.take_out("s", self.gateway.node_count()):
+            while budget.try_withdraw("s", self.gateway.node_count()):
                 spent += 1
         # Each of the nodes may be alone like this one, and all of them send to the same workers.
         self.assertLessEqual(spent, max(SLACK / NODE_COUNT, 1))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -41,7 +41,7 @@
         self.started_count = 0
         self.closed = asyncio.Event()
 
-    async def carry(
+    async def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
         self.started_count += 1
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Gate: what a caller is told, and how often a worker may be sent a request, for every way that it may go."""
+"""RequestProxy: what a caller is told, and how often a worker may be sent a request, for every way that it may go."""
 
 from __future__ import annotations
 
@@ -90,10 +90,10 @@
     def knows_workers(self) -> bool:
         return True
 
-    def stands(self, view: View, choice: WorkerChoice) -> bool:
+    def is_still_valid(self, view: View, choice: WorkerChoice) -> bool:
         return self.does_stand
 
-    def expect(self, worker: str, salt: str, parts: Iterable[str]) -> None:
+    def expect_cached(self, worker: str, salt: str, parts: Iterable[str]) -> None:
         self.expected.append(worker)
 
 
@@ -117,11 +117,11 @@
 
 
 class FakeDialect:
-    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders:
-        return HTTPHeaders({"Tenant": directions.tenant, "Last": directions.last_event_id})
+    def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
+        return HTTPHeaders({"Tenant": metadata.tenant, "Last": metadata.last_event_id})
 
     def read_head(
-        self, request: OpaqueRequest, directions: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
+        self, request: OpaqueRequest, metadata: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
     ) -> ResponseHead:
         verdict = {
             200: ResponseVerdict.SUCCESS,
@@ -228,7 +228,7 @@
             FakeDialect(),
             lambda: 1,
             lambda worker, head: None,
-            PrefillTracker(bench, self.placer.expect, tell),
+            PrefillTracker(bench, self.placer.expect_cached, tell),
         )
         request = OpaqueRequest(
             "id", "POST", path, "h", path, HTTPHeaders(), b"", bench.now(), hash_key(key), parts=parts
@@ -336,7 +336,7 @@
             pen = FakePen()
             await gate.serve(OpaqueRequest(f"id{number}", "POST", "/", "h", "/", HTTPHeaders(), b"", bench.now()), pen)
             self.assertEqual(pen.status, 503)
-        told = [refusal.come_back_micros for refusal in dialect.refusals if refusal.kind is ErrorKind.NOT_CURRENT]
+        told = [refusal.retry_after_micros for refusal in dialect.refusals if refusal.kind is ErrorKind.NOT_CURRENT]
         self.assertEqual(len(told), 50)
         self.assertTrue(1_000_000 <= min(told) and max(told) < 1_600_000, told)
         self.assertGreater(max(told) - min(told), 400_000)
@@ -427,7 +427,7 @@
             await self.pass_through(list(calls), parts=parts, tell=notes.append, tries=1, **STREAM)
             self.assertEqual(len(notes), 2)
             self.assertTrue(notes[-1].is_over)
-            self.assertEqual((notes[-1].is_kept, self.gate.reads.reads), (kept, {}))
+            self.assertEqual((notes[-1].is_kept, self.gate.prefills.prefills), (kept, {}))
 
     async def test_a_workers_own_failure_is_passed_on(self) -> None:
         failed = FakeCall((500, "Oh", HTTPHeaders({"Seal": "s"})), (b"why",))
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -96,9 +96,9 @@
     def __init__(self) -> None:
         self.seen: list[ForwardingMetadata] = []
 
-    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders:
-        self.seen.append(directions)
-        return super().outgoing_headers(request, directions)
+    def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
+        self.seen.append(metadata)
+        return super().outgoing_headers(request, metadata)
 
 
 class GateTimesTest(unittest.IsolatedAsyncioTestCase):
@@ -133,8 +133,8 @@
 
     async def test_no_request_is_held_past_its_routes_deadline_nor_its_callers(self) -> None:
         for wait_micros, held_micros in ((0, 4 * SECOND), (9 * SECOND, 4 * SECOND), (SECOND, SECOND)):
-            waited_micros, directions = await self.send(wait_micros)
-            self.assertEqual((waited_micros, directions.left_micros), (held_micros, held_micros))
+            waited_micros, metadata = await self.send(wait_micros)
+            self.assertEqual((waited_micros, metadata.left_micros), (held_micros, held_micros))
 
     async def test_a_tenants_rank_goes_before_its_routes(self) -> None:
         ranks = [(t, r, (await self.send(0, t, r))[1].urgency or 0) for t in range(4) for r in (0, 1)]
--- a/tests/test_load_book.py
+++ b/tests/test_load_book.py
@@ -1,4 +1,4 @@
-"""LoadBook and FleetBudget: what nodes know of one another's use, and what they may spend alone."""
+"""WorkerLoadTracker and FleetRetryBudget: what nodes know of one another's use, and what they may spend alone."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
         self.loads = WorkerLoadTracker(self.bench)
 
     def tell(self, teller: str, serial: int, running: int) -> None:
-        self.loads.take(teller, UseNote(serial=serial, use=[WorkerUse(worker="w", running=running, waiting_tokens=7)]))
+        self.loads.apply_report(
+            teller, UseNote(serial=serial, use=[WorkerUse(worker="w", running=running, waiting_tokens=7)])
+        )
 
     def test_own_and_told_use_add_up_and_silence_ends_what_was_told(self) -> None:
         self.loads.begin("w", 100, 150)
@@ -37,7 +39,7 @@
     def test_a_worker_that_fails_rests_longer_each_time_and_a_success_ends_it(self) -> None:
         rests = []
         for _ in range(4):
-            self.loads.take_fault("w")
+            self.loads.record_failure("w")
             rests.append(self.loads.backoff_until["w"] - self.bench.now())
         self.assertEqual(rests, [SECOND, 2 * SECOND, 4 * SECOND, 4 * SECOND])
         self.assertTrue(self.loads.is_backed_off("w"))
@@ -63,7 +65,7 @@
                         budget.deposit("s", nodes)
                 taken = 0
                 for budget in budgets:
-                    while budget.take_out("s", nodes):
+                    while budget.try_withdraw("s", nodes):
                         taken += 1
                 spent.append(taken)
             a_window = 100 * nodes if requests >= 10 else 10 * nodes
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -138,8 +138,8 @@
         gateway.rosters.is_asker = True
         gateway.relay.is_relaying = True
         gateway.view_replica.current_at = self.bench.now() - 250 * MILLI
-        gateway.gate.taken_count = 7
-        gateway.gate.passages = {mock.Mock(), mock.Mock()}
+        gateway.gate.accepted_count = 7
+        gateway.gate.in_flight_requests = {mock.Mock(), mock.Mock()}
         gateway.gate.outcomes.update(done=4, cut=1)
         self.edge.streams = {mock.Mock() for _ in range(9)}
         gateway.rpc_endpoint.multicast(["127.0.0.1:9", "127.0.0.1:8"], "use_note", UseNote())
@@ -452,13 +452,13 @@
     """Requests of which three are open when the drain begins and one at its end."""
 
     def __init__(self) -> None:
-        self.taken_count = 10
+        self.accepted_count = 10
         self.is_ended = False
 
     def open_count(self) -> int:
         if self.is_ended:
             return 0
-        return 3 if self.taken_count == 10 else 1
+        return 3 if self.accepted_count == 10 else 1
 
     def end_open(self) -> None:
         self.is_ended = True
@@ -486,7 +486,7 @@
         with self.assertLogs(LOGGER, "INFO") as caught:
             draining = asyncio.create_task(drain.run())
             await sleep_for(clock, 10 * MILLI)
-            requests.taken_count = 14
+            requests.accepted_count = 14
             await draining
         self.assertEqual(
             [record.getMessage() for record in caught.records],
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -39,8 +39,8 @@
     return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
-def outgoing(headers: dict[str, str], directions: ForwardingMetadata = DIRECTIONS) -> HTTPHeaders:
-    return PlatformDialect().outgoing_headers(read(headers), directions)
+def outgoing(headers: dict[str, str], metadata: ForwardingMetadata = DIRECTIONS) -> HTTPHeaders:
+    return PlatformDialect().outgoing_headers(read(headers), metadata)
 
 
 class DialectTest(unittest.TestCase):
@@ -218,9 +218,9 @@
         self.ends: list[int] = []
         self.note: Callable[[int], None] = lambda left_micros: None
 
-    def outgoing_headers(self, request: OpaqueRequest, directions: ForwardingMetadata) -> HTTPHeaders:
-        self.note(directions.left_micros)
-        return super().outgoing_headers(request, directions)
+    def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
+        self.note(metadata.left_micros)
+        return super().outgoing_headers(request, metadata)
 
 
 class SlowCall(FakeCall):
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Placer: which worker a request goes to, by what is known of loads, kept parts and memory."""
+"""WorkerSelector: which worker a request goes to, by what is known of loads, kept parts and memory."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
     def test_what_was_read_counts_as_kept_from_the_first_event_until_the_worker_tells(self) -> None:
         worker = self.choose(9_000, 500).backend.name
         self.assertEqual(self.choose(9_000, 500).missing_tokens, 9_500, "it is not read yet")
-        self.placer.expect(worker, "salt", ["p0"])
+        self.placer.expect_cached(worker, "salt", ["p0"])
         self.loads.begin(worker, 2_000, 9_600)
         again = self.choose(9_000, 500)
         self.assertEqual((again.backend.name, again.missing_tokens), (worker, 500))
@@ -151,8 +151,8 @@
             resumed = self.choose(*tokens, last_event_id="3")
             self.assertEqual(resumed.version, 2)
             self.assertIn(resumed.backend.name, ("w2", "w4"))
-        self.loads.take_fault("w2")
-        self.loads.take_fault("w4")
+        self.loads.record_failure("w2")
+        self.loads.record_failure("w4")
         self.assertEqual(self.choose(50, 200, last_event_id="3").version, 1, "none of them can be asked")
 
     def test_where_word_of_others_is_late_each_long_part_has_a_few_workers(self) -> None:
@@ -160,7 +160,7 @@
         for name in self.others_than("w3"):
             self.loads.begin(name, 12_000, 12_000)
         self.assertEqual({self.choose(9_000, 500, name=f"a{n}-").backend.name for n in range(60)}, {"w3"})
-        self.placer.is_word_late = lambda: True
+        self.placer.are_load_reports_late = lambda: True
         chosen = {self.choose(9_000, 500, name=f"a{n}-").backend.name for n in range(60)}
         self.assertGreater(len(chosen), 3)
         home = self.choose(9_000, 500, name="b").backend.name
@@ -168,7 +168,7 @@
         self.assertNotEqual(self.choose(9_000, 500, name="b").backend.name, home)
 
     def test_where_word_of_others_is_late_a_keeper_that_is_no_home_is_chosen_all_the_same(self) -> None:
-        self.placer.is_word_late = lambda: True
+        self.placer.are_load_reports_late = lambda: True
         homes = set()
         for _ in range(4):
             homes.add(home := self.choose(9_000, 500, name="c").backend.name)
--- a/tests/test_read_book.py
+++ b/tests/test_read_book.py
@@ -1,4 +1,4 @@
-"""ReadBook: who waits for whose read, and what every end of a read leaves behind."""
+"""PrefillTracker: who waits for whose read, and what every end of a read leaves behind."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         self.assertTrue(await waiter)
         self.assertEqual(self.kept, [("w1", "salt", ["p0"])])
         self.assertEqual([(n.is_over, n.is_kept) for n in self.told], [(False, False), (True, True)])
-        self.assertEqual(self.book.reads, {})
+        self.assertEqual(self.book.prefills, {})
 
     async def test_a_read_that_fails_lets_go_of_who_waits_and_keeps_nothing(self) -> None:
         read = self.book.begin(CHOICE, REQUEST)
@@ -67,19 +67,19 @@
         waiter = await self.start_waiting()
         read.end(False)
         self.assertTrue(await waiter)
-        self.assertEqual((self.kept, self.book.reads), ([], {}))
+        self.assertEqual((self.kept, self.book.prefills), ([], {}))
 
     async def test_another_nodes_read_is_waited_for_until_its_end_is_told(self) -> None:
         note = ReadNote(worker="w2", salt="salt", part=["p0"])
-        self.book.take(note)
+        self.book.apply_note(note)
         waiter = await self.start_waiting()
         self.assertFalse(waiter.done())
-        self.book.take(ReadNote(worker="w2", salt="salt", part=["p0"], is_over=True, is_kept=True))
+        self.book.apply_note(ReadNote(worker="w2", salt="salt", part=["p0"], is_over=True, is_kept=True))
         self.assertTrue(await waiter)
         self.assertEqual((self.kept, self.told), ([("w2", "salt", ["p0"])], []))
 
     async def test_nobody_waits_for_a_read_whose_end_was_lost_nor_beyond_its_limit(self) -> None:
-        self.book.take(ReadNote(worker="w2", salt="salt", part=["p0"]))
+        self.book.apply_note(ReadNote(worker="w2", salt="salt", part=["p0"]))
         self.assertFalse(await self.book.wait_for(CHOICE, REQUEST, 0))
         self.assertTrue(await self.book.wait_for(CHOICE, REQUEST, 1))
         self.bench.now_micros += 2 * SECOND
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -25,7 +25,7 @@
 from pearhead.router.fleet_retry_budget import FleetRetryBudget
 from pearhead.router.opaque_request import ForwardingMetadata, OpaqueRequest, ResponseVerdict
 from pearhead.router.request_proxy import RequestProxy
-from pearhead.router.upstream_pool import CallLimits, UpstreamPool, is_quiet
+from pearhead.router.upstream_pool import CallLimits, UpstreamPool, is_idle_and_open
 from pearhead.router.worker_control import Backend, LoadOrder, OrderOutcome
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.router.worker_selector import WorkerChoice
@@ -171,10 +171,10 @@
     def knows_workers(self) -> bool:
         return True
 
-    def stands(self, view: View, choice: WorkerChoice) -> bool:
+    def is_still_valid(self, view: View, choice: WorkerChoice) -> bool:
         return True
 
-    def expect(self, *told: object) -> None:
+    def expect_cached(self, *told: object) -> None:
         return None
 
 
@@ -285,14 +285,14 @@
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
         """Each status that promises, and a success: with another's id it is nobody's answer here."""
         request = PlatformDialect().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
-        directions = ForwardingMetadata(800 * MILLI, "w1")
+        metadata = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
             headers = HTTPHeaders({"X-Request-Id": "one", **more})
-            head = PlatformDialect().read_head(request, directions, status, "", headers)
+            head = PlatformDialect().read_head(request, metadata, status, "", headers)
             self.assertIs(head.verdict, ResponseVerdict.UNRECOGNIZED, status)
         own = HTTPHeaders({"X-Request-Id": "two", "X-Instance": "w2"})
         self.assertIs(
-            PlatformDialect().read_head(request, directions, 421, "", own).verdict, ResponseVerdict.OTHER_WORKER
+            PlatformDialect().read_head(request, metadata, 421, "", own).verdict, ResponseVerdict.OTHER_WORKER
         )
 
     async def test_what_follows_a_whole_answer_ends_its_connection_whenever_it_comes(self) -> None:
@@ -305,7 +305,7 @@
                 await site.ask("one")
                 kept = site.pool.idle[site.workers[0].address][0].stream
                 site.workers[0].writers[0].write(after)
-                await site.until(lambda kept=kept: not is_quiet(kept))  # type: ignore[misc]
+                await site.until(lambda kept=kept: not is_idle_and_open(kept))  # type: ignore[misc]
                 self.assertEqual(told(await site.ask("two")), (200, "whole", b"for two"))
                 self.assertEqual(site.workers[0].connections, 2)
 
@@ -451,7 +451,7 @@
         workers = [Worker(hold=asyncio.Event()), Worker(hold=asyncio.Event())]
         async with Site(*workers, connection_limit=50, nodes=10, capacity=4) as site:
             faults: list[str] = []
-            site.loads.take_fault = faults.append  # type: ignore[method-assign, assignment]
+            site.loads.record_failure = faults.append  # type: ignore[method-assign, assignment]
             pens = await self.burst(site, 12)
             self.assertEqual([pen.status for pen in pens], [200] * 12)
             self.assertEqual([len(worker.seen) for worker in workers], [8, 4])
@@ -530,7 +530,7 @@
             for kept in control.idle_connections.values():
                 writers[0].write(whole)
                 async with asyncio.timeout(PATIENCE_SECONDS):
-                    while is_quiet(kept):
+                    while is_idle_and_open(kept):
                         await asyncio.sleep(0)
             self.assertEqual((await control.list_workers(SECOND), len(writers)), (Ok([]), 2))
             control.close()
--- a/tests/test_router_admit.py
+++ b/tests/test_router_admit.py
@@ -1,4 +1,4 @@
-"""Admission: fairness between tenants and the retry times of refused callers."""
+"""AdmissionController: fairness between tenants and the retry times of refused callers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pearhead.config.description import CapabilityEntry, Tenant
 from pearhead.config.view import View
-from pearhead.router.admission import COME_BACK_LIMIT_MICROS, AdmissionController, AdmissionResult, _EntryQueue
+from pearhead.router.admission import MAX_RETRY_AFTER_MICROS, AdmissionController, AdmissionResult, _EntryQueue
 from pearhead.router.errors import ErrorKind
 from pearhead.router.job import Job, JobRequest
 from pearhead.runtime.clock import SECOND, BootClock
@@ -32,7 +32,7 @@
                 if not isinstance(admitted, Err):
                     order.append(tenant_name)
                     await asyncio.sleep(0)
-                    admission.leave_place(entry, tenant_name)
+                    admission.release_slot(entry, tenant_name)
                 return admitted
 
             return await asyncio.gather(*[run("large") for _ in range(8)], run("small"))
@@ -45,7 +45,7 @@
     def test_each_refused_caller_is_told_a_turn_of_its_own_within_the_limit(self) -> None:
         queue = _EntryQueue()
         queue.mean_micros = float(SECOND)
-        told = [queue.tell(3 * SECOND, 2, 0) for _ in range(40)]
+        told = [queue.next_retry_micros(3 * SECOND, 2, 0) for _ in range(40)]
         self.assertEqual(told[:3], [3_500_000, 4_000_000, 4_500_000])
-        self.assertEqual(told[-1], COME_BACK_LIMIT_MICROS)
-        self.assertEqual(queue.tell(0, 2, 60 * SECOND), SECOND // 2, "those turns are over")
+        self.assertEqual(told[-1], MAX_RETRY_AFTER_MICROS)
+        self.assertEqual(queue.next_retry_micros(0, 2, 60 * SECOND), SECOND // 2, "those turns are over")
--- a/tests/test_router_budget.py
+++ b/tests/test_router_budget.py
@@ -10,9 +10,9 @@
 class RetryBudgetTest(unittest.TestCase):
     def test_retries_stay_within_the_share(self) -> None:
         budget = RetryBudget()
-        self.assertFalse(budget.take_out("s"), "no credit at first")
+        self.assertFalse(budget.try_withdraw("s"), "no credit at first")
         taken = 0
         for _ in range(1_000):
             budget.deposit("s", 0.1)
-            taken += budget.take_out("s")
+            taken += budget.try_withdraw("s")
         self.assertEqual(taken, 100)
--- a/tests/test_router_costs.py
+++ b/tests/test_router_costs.py
@@ -1,4 +1,4 @@
-"""CostBook: rates are learned within bounds, and unknown ones have defaults."""
+"""CostEstimator: rates are learned within bounds, and unknown ones have defaults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         for tokens, micros in ((0, 5.0), (99, 1e6), (1_000, 0.0), (1_000, 1e12), (1_000, -5.0)):
             costs.record_prefill("l", "w1", tokens, micros)
         self.assertAlmostEqual(costs.prefill_rate("l", "w1"), 400.0, delta=1.0)
-        costs.take_fetch("w1", "w2", 1_000, 120_000)
+        costs.record_fetch("w1", "w2", 1_000, 120_000)
         self.assertEqual(costs.fetch_rate("w1", "w2"), 50.0)
         self.assertEqual(costs.stream_micros("e", "w1"), 0.0)
         costs.record_stream("e", "w1", 1_000_000)
--- a/tests/test_router_errors.py
+++ b/tests/test_router_errors.py
@@ -14,6 +14,6 @@
         self.assertEqual(unsure, [ErrorKind.OUTCOME_UNKNOWN])
 
     def test_a_refusal_says_when_to_come_back_in_whole_seconds(self) -> None:
-        self.assertEqual(Refusal(ErrorKind.OVERLOADED, "", 2_000_001).come_back_seconds(), 3)
-        self.assertEqual(Refusal(ErrorKind.OVERLOADED).come_back_seconds(), 1)
-        self.assertEqual(Refusal(ErrorKind.BAD_KEY, "", 2_000_001).come_back_seconds(), 0, "never")
+        self.assertEqual(Refusal(ErrorKind.OVERLOADED, "", 2_000_001).retry_after_seconds(), 3)
+        self.assertEqual(Refusal(ErrorKind.OVERLOADED).retry_after_seconds(), 1)
+        self.assertEqual(Refusal(ErrorKind.BAD_KEY, "", 2_000_001).retry_after_seconds(), 0, "never")
--- a/tests/test_router_job.py
+++ b/tests/test_router_job.py
@@ -1,4 +1,4 @@
-"""read_job: each malformed request has its own kind of error."""
+"""parse_job: each malformed request has its own kind of error."""
 
 from __future__ import annotations
 
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -1,4 +1,4 @@
-"""Nominator: which worker runs a job, and from where it fetches parts."""
+"""JobScheduler: which worker runs a job, and from where it fetches parts."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         self.index.record_verified_keys(self.view.loads.get(worker), life or f"life-{worker}", 10, keys)
 
     def place(self, job: Job | None = None) -> Placement:
-        return self.nominator.nominate(job or self.job()).unwrap()
+        return self.nominator.schedule_job(job or self.job()).unwrap()
 
     def test_the_keeper_is_chosen_until_its_wait_outgrows_the_prefill(self) -> None:
         self.keep("w2")
@@ -105,7 +105,7 @@
         self.assertEqual((placement.fetch_from.name, placement.fetch_parts), ("w2", 2))
         self.assertEqual(placement.fetch_limit_micros, 150_000)
         for _ in range(20):
-            self.nominator.costs.take_fetch("w2", placement.worker.name, 1_000, 200_000)
+            self.nominator.costs.record_fetch("w2", placement.worker.name, 1_000, 200_000)
         self.assertIsNone(self.place().fetch_from, "a link that slowed down")
 
     def test_a_stores_list_counts_only_for_keys_that_a_tied_worker_made(self) -> None:
@@ -134,21 +134,21 @@
             self.nominator.record_load_report(worker, 0, 50_000)
         job = self.job()
         job.deadlineMicros = self.bench.now() + 4 * SECOND
-        self.assertEqual(self.nominator.nominate(job).unwrap_err().kind, ErrorKind.OVERLOADED)
+        self.assertEqual(self.nominator.schedule_job(job).unwrap_err().kind, ErrorKind.OVERLOADED)
 
     def test_a_wrong_estimate_puts_itself_right_on_an_idle_worker(self) -> None:
         for worker in ("w1", "w2", "w3"):
             self.nominator.costs.record_stream("e", worker, 60 * SECOND)
         job = self.job()
         job.deadlineMicros = self.bench.now() + 4 * SECOND
-        self.assertIn(self.nominator.nominate(job).unwrap().worker.name, ("w1", "w2", "w3"))
+        self.assertIn(self.nominator.schedule_job(job).unwrap().worker.name, ("w1", "w2", "w3"))
         for worker in ("w1", "w2", "w3"):
             self.nominator.begin(worker, 0)
-        self.assertEqual(self.nominator.nominate(job).unwrap_err().kind, ErrorKind.OVERLOADED)
+        self.assertEqual(self.nominator.schedule_job(job).unwrap_err().kind, ErrorKind.OVERLOADED)
 
     def test_old_weights_serve_only_a_while_and_only_where_the_roll_out_was_seen(self) -> None:
         self.view.__dict__["weights"] = {"l": WeightsRecord("y", 6)}
-        self.assertEqual(self.nominator.nominate(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER)
+        self.assertEqual(self.nominator.schedule_job(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER)
         keeper = self.nominator.keeper
         keeper.first_seen["l", 6] = keeper.named_after["l", 6] = self.bench.now()
         self.assertEqual(self.place().worker.name, "w3", "the first wave is left alone")
@@ -159,5 +159,5 @@
         self.assertEqual(self.place().weights_name, "x")
         self.bench.now_micros += 2 * SECOND
         self.assertEqual(
-            self.nominator.nominate(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER, "a naming granted time anew"
+            self.nominator.schedule_job(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER, "a naming granted time anew"
         )
--- a/tests/test_stop_signal.py
+++ b/tests/test_stop_signal.py
@@ -18,7 +18,7 @@
 from pearhead.runtime.clock import SECOND, BootClock
 from pearhead.runtime.daemon import serve_until_stopped
 
-state = DrainState(BootClock(), DrainSchedule.of_grace(8 * SECOND))
+state = DrainState(BootClock(), DrainSchedule.for_grace_period(8 * SECOND))
 
 async def drain():
     state.begin()
--- a/tests/test_stream_model.py
+++ b/tests/test_stream_model.py
@@ -22,8 +22,8 @@
 class AskedVersionSequence(StreamSequence):
     """Knows only the weights that a run began on."""
 
-    def take(self, event: EventFields) -> Result[EventAction, StreamViolation]:
-        return super().take(EventFields(event.event_id, event.has_data))
+    def process_event(self, event: EventFields) -> Result[EventAction, StreamViolation]:
+        return super().process_event(EventFields(event.event_id, event.has_data))
 
 
 class UncheckedJoinSequence(StreamSequence):
@@ -37,8 +37,8 @@
 class RepeatingSequence(StreamSequence):
     """Passes on an event that comes twice."""
 
-    def take(self, event: EventFields) -> Result[EventAction, StreamViolation]:
-        taken = super().take(event)
+    def process_event(self, event: EventFields) -> Result[EventAction, StreamViolation]:
+        taken = super().process_event(event)
         return Ok(EventAction.FORWARD) if taken.err() is StreamViolation.ID_NOT_RISING else taken
 
 
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -531,7 +531,7 @@
     async def runs_at(self, *versions: int, first: Run) -> tuple[str, list[int]]:
         """How an answer ended, and how many requests each of its workers got, by the versions of their weights."""
         async with StreamSite([first], *[[continuing("b")] for _ in versions[1:]]) as site:
-            site.gate.placer = VersionsInTurn(site.workers, versions)  # type: ignore[assignment]
+            site.gate.selector = VersionsInTurn(site.workers, versions)  # type: ignore[assignment]
             received = await site.ask()
             return received.end, [len(worker.asked) for worker in site.workers]
 
@@ -555,7 +555,7 @@
         broken = Run(chunk(events(1, 2)), headers="X-Weight-Versions: 4\r\n", is_reset=True)
         older = Run(whole(events(3, PIECES, "b")), headers="X-Weight-Versions: 3\r\n")
         async with StreamSite([broken], [older]) as site:
-            site.gate.placer = VersionsInTurn(site.workers, (4, 4))  # type: ignore[assignment]
+            site.gate.selector = VersionsInTurn(site.workers, (4, 4))  # type: ignore[assignment]
             received = await site.ask()
         self.assertEqual(
             (received.end, received.body, site.violations), ("cut", events(1, 2), ["stream_version_went_back"])
--- a/tests/test_stream_sequence.py
+++ b/tests/test_stream_sequence.py
@@ -133,7 +133,7 @@
 
 class SequenceTest(unittest.TestCase):
     def take(self, sequence: StreamSequence, *ids: str) -> list[Result[EventAction, StreamViolation]]:
-        return [sequence.take(EventFields(event_id, True)) for event_id in ids]
+        return [sequence.process_event(EventFields(event_id, True)) for event_id in ids]
 
     def test_a_violation_takes_nothing_back_and_the_next_run_continues(self) -> None:
         sequence = StreamSequence()
@@ -145,7 +145,7 @@
         for steps, is_known in (((), False), ((7,), False), ((7, 7), True), ((7, 7, 3), False), ((7, 3, 3), False)):
             record = EventIdStepTracker()
             for step in steps:
-                record.take(step)
+                record.record_step(step)
             self.assertEqual((record.is_gap(8), record.is_gap(7)), (is_known, False), steps)
 
     def test_ids_that_count_something_else_are_joined_too(self) -> None:
@@ -155,7 +155,7 @@
             sequence.begin_run()
             self.take(sequence, *ids)
             sequence.begin_run()
-            self.assertTrue(sequence.take(EventFields(following, True)).is_ok(), ids)
+            self.assertTrue(sequence.process_event(EventFields(following, True)).is_ok(), ids)
 
     def test_the_version_of_an_answer_never_goes_back(self) -> None:
         sequence = StreamSequence()
@@ -174,10 +174,10 @@
         sequence.begin_run(3)
         self.take(sequence, "1")
         self.assertTrue(sequence.accepts_version(3))
-        sequence.take(EventFields("2", True, version=5))
+        sequence.process_event(EventFields("2", True, version=5))
         self.take(sequence, "3")
         self.assertEqual([sequence.accepts_version(version) for version in (3, 4, 5)], [False, False, True])
-        refused = sequence.take(EventFields("4", True, version=4))
+        refused = sequence.process_event(EventFields("4", True, version=4))
         self.assertEqual(refused.err(), StreamViolation.VERSION_WENT_BACK)
         self.assertEqual(sequence.last_id, "3", "nothing of it was given out")
 
@@ -193,7 +193,7 @@
         sequence.begin_run()
         found = []
         for event_id in ("1", "", "2", "x"):
-            sequence.take(EventFields(event_id, True))
+            sequence.process_event(EventFields(event_id, True))
             found.append(sequence.is_resumable())
         self.assertEqual(found, [True, False, True, False])
 
