--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -102,7 +102,9 @@
             httpAddress=startup.httpAddress,
         )
         self.directory = Directory(record, startup.seeds, self.rpc_endpoint, clock, chance)
-        self.view_replica = ViewReplica(self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros)
+        self.view_replica = ViewReplica(
+            self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros
+        )
         self.listener = RevisionListener(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
         )
@@ -137,7 +139,13 @@
             min_part_tokens=settings.min_cached_part_tokens,
         )
         self.relay = Relay(
-            self.identity, startup.area, self.rpc_endpoint, self.directory, clock, self.loads, self.cache_poller.apply_note
+            self.identity,
+            startup.area,
+            self.rpc_endpoint,
+            self.directory,
+            clock,
+            self.loads,
+            self.cache_poller.apply_note,
         )
         command_client = CoreCommandClient(self.view_replica, self.rpc_endpoint, chance)
         self.publisher = RosterPublisher(self.rosters, self.view_replica, command_client, clock)
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -71,7 +71,9 @@
             httpAddress=startup.httpAddress,
         )
         self.directory = Directory(self_record, startup.seeds, self.rpc_endpoint, clock, chance)
-        self.view_replica = ViewReplica(self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros)
+        self.view_replica = ViewReplica(
+            self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros
+        )
         self.listener = RevisionListener(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
         )
--- a/src/pearhead/testbed/capacity/hollow_nodes.py
+++ b/src/pearhead/testbed/capacity/hollow_nodes.py
@@ -104,7 +104,9 @@
     async def run(self, directory: SharedDirectory, term_micros: int) -> None:
         """Starts within one round of the others, as processes on many machines do."""
         self.directory = directory
-        self.view_replica = ViewReplica(self.rpc_endpoint, directory, self.clock, self.chance, self.task_group, term_micros)
+        self.view_replica = ViewReplica(
+            self.rpc_endpoint, directory, self.clock, self.chance, self.task_group, term_micros
+        )
         self.rpc_endpoint.on_message("hello", self._take_hello)
         self.rpc_endpoint.on_message("hello_result", directory._handle_hello_result)
         await self.net.open()
