--- a/src/pearhead/router/cache_salt_builder.py
+++ b/src/pearhead/router/cache_salt_builder.py
@@ -1,4 +1,4 @@
-"""CacheSaltBuilder (§6.7): the text under which parts are kept; it names all they were made of, as purge tells it."""
+"""Cache salts (§6.7): a worker caches parts under a salt, which covers all that the cached data depends on."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class CacheSalt:
-    """`is_fresh`: purge knows the revision of each part now, so fetches may be planned (§6.4)."""
+    """A salt. `is_fresh`: the present revision of each part is known, so fetches may be planned (§6.4)."""
 
     text: str
     is_fresh: bool
 
 
 class CacheSaltBuilder:
-    """Owner, line, weights version, and the revisions of parts that are not at the first."""
+    """Hashes owner, line, weights version, and the revisions of parts that have changed since the first one."""
 
     def __init__(self, listener: RevisionListener) -> None:
         self.listener = listener
@@ -32,8 +32,13 @@
     def salt(
         self, view: View, tenant: Tenant | None, line: str, version: int, parts: Sequence[PromptPart]
     ) -> CacheSalt:
+        """Returns the salt for a tenant's prompt on a weights version.
+
+        The last part is not shared, so its revision does not count. For a part whose present revision is unknown the
+        last known one is taken, and the salt is not fresh.
+        """
         owner = self._owner(view, tenant)
-        changed = []
+        changed_revisions = []
         is_fresh = True
         for part in parts[:-1]:
             number = part_number(part.part)
@@ -42,26 +47,29 @@
                 is_fresh = False
                 revision = self.listener.last_revision_of(owner, line, number)
             if revision != 1:
-                changed.append(f"{number}.{revision}")
-        text = f"{owner}\0{line}\0{version}\0{'/'.join(changed)}"
+                changed_revisions.append(f"{number}.{revision}")
+        text = f"{owner}\0{line}\0{version}\0{'/'.join(changed_revisions)}"
         return CacheSalt(hashlib.blake2b(text.encode(), digest_size=9).hexdigest(), is_fresh)
 
     def _owner(self, view: View, tenant: Tenant | None) -> str:
-        """A group's name is with those kept apart: who leaves a group shares nothing made before (§6.7)."""
+        """The owner of a tenant's cached parts; for a group it includes a hash of the tenants outside the group.
+
+        So a tenant that leaves a group shares nothing that was cached before (§6.7).
+        """
         if tenant is None or not tenant.group:
             return owner_of(tenant) if tenant is not None else "public:"
         if self.owners[0] is not view:
             self.owners = (view, {})
-        known = self.owners[1]
-        if tenant.group not in known:
-            apart = sorted(t.name for t in view.description.tenants if t.group != tenant.group)
-            digest = hashlib.blake2b("\0".join(apart).encode(), digest_size=6).hexdigest()
-            known[tenant.group] = f"{owner_of(tenant)}:{digest}"
-        return known[tenant.group]
+        owners_by_group = self.owners[1]
+        if tenant.group not in owners_by_group:
+            outside_group = sorted(t.name for t in view.description.tenants if t.group != tenant.group)
+            digest = hashlib.blake2b("\0".join(outside_group).encode(), digest_size=6).hexdigest()
+            owners_by_group[tenant.group] = f"{owner_of(tenant)}:{digest}"
+        return owners_by_group[tenant.group]
 
 
 def part_number(part: str) -> int:
-    """Parts are named in hexadecimal; other names are hashed."""
+    """The number by which revisions of a part are tracked: its hexadecimal name, or a hash of any other name."""
     try:
         return int(part, 16) % PART_NUMBER_LIMIT
     except ValueError:
--- a/src/pearhead/router/cost_estimator.py
+++ b/src/pearhead/router/cost_estimator.py
@@ -1,4 +1,4 @@
-"""CostEstimator (§8.5): what prefill and fetches cost, learned from the jobs of each worker and link."""
+"""Cost estimates (§8.5) for prefill, fetches and streaming, learned from the jobs of each worker and link."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 EWMA_WEIGHT = 0.3
 INITIAL_PREFILL_RATE = 100.0
 INITIAL_FETCH_RATE = 20.0
-# A figure outside is a defect of a clock or of a worker, and teaches nothing.
+# Microseconds per token. A sample outside these bounds comes from a faulty clock or worker and is ignored.
 MIN_RATE_MICROS, MAX_RATE_MICROS = 1.0, 5_000.0
 MIN_SAMPLE_TOKENS = 100
 
 
 class CostEstimator:
-    """Microseconds a token. What is not known yet is taken from the other workers of the line, else from
-    the beginning; each figure moves by a share of the way, and within bounds."""
+    """Exponentially weighted moving averages; rates are in microseconds per token.
+
+    A worker without samples gets the median of the line's other workers, or the initial value if there are none.
+    """
 
     def __init__(self) -> None:
         self.prefill_rates: dict[tuple[str, str], float] = {}
@@ -22,6 +24,7 @@
         self.smoothed_micros: dict[tuple[str, str], float] = {}
 
     def prefill_rate(self, line: str, worker: str) -> float:
+        """Microseconds per token that a worker takes to prefill a prompt on a line."""
         known = self.prefill_rates.get((line, worker))
         if known is not None:
             return known
@@ -29,10 +32,11 @@
         return statistics.median(others) if others else INITIAL_PREFILL_RATE
 
     def fetch_rate(self, source: str, target: str) -> float:
+        """Microseconds per token that a fetch from one worker or store to another worker takes."""
         return self.fetch_rates.get((source, target), INITIAL_FETCH_RATE)
 
     def stream_micros(self, entry: str, worker: str) -> float:
-        """How long results of an entry stream, from their first line to the closing one."""
+        """How long the results of an entry stream at a worker, from the first line to the last; 0 if unknown."""
         known = self.smoothed_micros.get((entry, worker))
         if known is not None:
             return known
@@ -40,13 +44,16 @@
         return statistics.median(others) if others else 0.0
 
     def record_stream(self, entry: str, worker: str, micros: int) -> None:
-        held_micros = self.stream_micros(entry, worker) or float(micros)
-        self.smoothed_micros[entry, worker] = held_micros + EWMA_WEIGHT * (micros - held_micros)
+        """Records how long one result took to stream."""
+        previous_micros = self.stream_micros(entry, worker) or float(micros)
+        self.smoothed_micros[entry, worker] = previous_micros + EWMA_WEIGHT * (micros - previous_micros)
 
     def record_prefill(self, line: str, worker: str, tokens: int, micros: float) -> None:
+        """Records how long a worker took to prefill so many tokens; short prefills are ignored."""
         self._update_rate(self.prefill_rates, (line, worker), self.prefill_rate(line, worker), tokens, micros)
 
     def record_fetch(self, source: str, target: str, tokens: int, micros: float) -> None:
+        """Records how long a fetch of so many tokens took; short fetches are ignored."""
         self._update_rate(self.fetch_rates, (source, target), self.fetch_rate(source, target), tokens, micros)
 
     def _update_rate(
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -1,4 +1,4 @@
-"""JobScheduler (§8.5): which worker runs a job, and whether it fetches parts first."""
+"""Job scheduling (§8.5): which worker runs a job, and whether it fetches cached parts first."""
 
 from __future__ import annotations
 
@@ -26,6 +26,11 @@
 
 
 class JobScheduler:
+    """Places jobs on workers and tracks this node's and other nodes' load on each worker.
+
+    `old_weights_micros` is how long superseded weights may still serve after newer ones were named.
+    """
+
     def __init__(
         self, keeper: ViewReplica, listener: RevisionListener, index: CopyIndex, clock: Clock, old_weights_micros: int
     ) -> None:
@@ -45,6 +50,11 @@
         self.uses_index = True
 
     def schedule_job(self, job: Job) -> Result[Placement, Refusal]:
+        """Chooses a worker for the job.
+
+        Refuses with NO_WORKER if no healthy worker is left to try, and with OVERLOADED if the job is not expected to
+        end before its deadline. Both refusals say when to try again.
+        """
         assert job.entry is not None and job.tenant is not None
         view = self.keeper.view
         is_model = self.is_model(view, job.entry.service)
@@ -62,10 +72,10 @@
             return Ok(Placement(chosen_worker, why="fewest running"))
         placement = self._place_on_model(view, job, candidates)
         wait_micros = self.wait_micros(job.entry, placement.worker.name, placement.missed_tokens)
-        # An idle worker is always tried: an estimate that refused all jobs would never be put right.
+        # An idle worker is always tried: an estimate that is too high and refused all jobs would never be corrected.
         is_idle = not self.waiting_tokens_of(placement.worker.name) and not self.running_jobs_of(placement.worker.name)
         if wait_micros > job.left_micros(self.clock.now()) and not is_idle:
-            # Refused while it has not run: sent, it would be cut at its deadline (§8.5).
+            # Refused before it runs; if it were sent, it would be cut off at its deadline (§8.5).
             return Err(
                 Refusal(
                     ErrorKind.OVERLOADED,
@@ -76,7 +86,7 @@
         return Ok(placement)
 
     def is_still_valid(self, job: Job, placement: Placement) -> bool:
-        """Whether this very placement could still be nominated, by what is known now (§8.4)."""
+        """Whether this placement could still be chosen, by what is known now (§8.4)."""
         assert job.entry is not None
         view = self.keeper.view
         worker = view.workers.get(placement.worker.name)
@@ -92,59 +102,67 @@
         )
 
     def is_model(self, view: View, service: str) -> bool:
+        """Whether the service runs a model, so that weights and cached parts matter for placement."""
         return view.role_by_service.get(service) == "model"
 
     def begin(self, worker: str, missed_tokens: int) -> None:
+        """Counts a job sent to a worker, with the prompt tokens that the worker has to prefill for it."""
         self.running_counts[worker] = self.running_counts.get(worker, 0) + 1
         self.pending_tokens[worker] = self.pending_tokens.get(worker, 0) + missed_tokens
 
     def end_prefill(self, worker: str, missed_tokens: int) -> None:
-        left_tokens = self.pending_tokens.get(worker, 0) - missed_tokens
-        if left_tokens:
-            self.pending_tokens[worker] = left_tokens
+        """Takes a job's prefill, counted by `begin`, off the worker's pending tokens."""
+        remaining_tokens = self.pending_tokens.get(worker, 0) - missed_tokens
+        if remaining_tokens:
+            self.pending_tokens[worker] = remaining_tokens
         else:
             self.pending_tokens.pop(worker, None)
 
     def end(self, worker: str) -> None:
+        """Takes a job, counted by `begin`, off the worker's running jobs."""
         self.running_counts[worker] -= 1
         if not self.running_counts[worker]:
             del self.running_counts[worker]
 
     def record_load_report(self, worker: str, running: int, waiting_tokens: int) -> None:
-        """What a worker says it runs, less what this node sent there, is the other nodes' (§8.5)."""
+        """Derives other nodes' load: what the worker reports, less what this node sent there (§8.5)."""
         self.remote_running_counts[worker] = max(0, running - self.running_counts.get(worker, 0))
         self.remote_pending_tokens[worker] = max(0, waiting_tokens - self.pending_tokens.get(worker, 0))
 
     def record_remote_start(self, worker: str, tokens: int) -> None:
-        """Another node sent a long prefill; the worker's next word says what is left of it."""
+        """Counts a long prefill sent by another node, until the worker's next load report replaces the figure."""
         self.remote_pending_tokens[worker] = self.remote_pending_tokens.get(worker, 0) + tokens
 
     def wait_micros(self, entry: CapabilityEntry, worker: str, missed_tokens: int) -> int:
-        """Until the job would end: what lies before it, its own prefill, and its stream (§8.5)."""
+        """Estimated time until the job would end: prefills ahead of it, its own prefill, and its stream (§8.5)."""
         prefill_rate = self.costs.prefill_rate(entry.line, worker)
         stream_micros = self.costs.stream_micros(entry.name, worker)
         return int((self.waiting_tokens_of(worker) + missed_tokens) * prefill_rate + stream_micros)
 
     def waiting_tokens_of(self, worker: str) -> int:
+        """Prompt tokens that the worker has yet to prefill, for jobs of all nodes."""
         return self.pending_tokens.get(worker, 0) + self.remote_pending_tokens.get(worker, 0)
 
     def running_jobs_of(self, worker: str) -> int:
+        """Jobs running at the worker, from all nodes."""
         return self.running_counts.get(worker, 0) + self.remote_running_counts.get(worker, 0)
 
     def record_failure(self, worker: str) -> None:
-        """A worker that failed a job rests a while; its soundness is judged by jobs, not by pings."""
+        """Backs off from a worker that failed a job; a worker's health is judged by jobs, not by pings."""
         self.unhealthy_until[worker] = self.clock.now() + FAILED_WORKER_BACKOFF_MICROS
 
     def record_reported_unhealthy(self, worker: str) -> None:
+        """Notes that the node that holds the worker's lease reports it unhealthy."""
         self.reported_unhealthy_until[worker] = self.clock.now() + REPORTED_UNHEALTHY_MICROS
 
     def record_success(self, worker: str) -> None:
+        """Ends the back-off from a worker that completed a job."""
         self.unhealthy_until.pop(worker, None)
 
     def _candidates(self, view: View, job: Job, is_model: bool) -> list[WorkerRecord]:
         assert job.entry is not None
         now_micros = self.clock.now()
-        found = [
+        matching_workers = [
             w
             for _, w in sorted(view.workers.items())
             if w.service == job.entry.service
@@ -152,29 +170,33 @@
             and w.name not in job.tried_workers
             and (not is_model or self.weights_allowed(view, job.entry.line, w.name))
         ]
-        healthy_workers = [w for w in found if self.unhealthy_until.get(w.name, 0) <= now_micros]
-        # What a holder told may be its own trouble: it decides only while others are left (§7.5).
+        healthy_workers = [w for w in matching_workers if self.unhealthy_until.get(w.name, 0) <= now_micros]
+        # The fault may be the reporting lease holder's own, so its report excludes a worker only while others are left
+        # (§7.5).
         return [
             w for w in healthy_workers if self.reported_unhealthy_until.get(w.name, 0) <= now_micros
         ] or healthy_workers
 
     def _backoff_remaining_micros(self, view: View, job: Job) -> int:
-        """When the first resting worker is tried again; a roll-out's wave, where none is loaded (§8.2)."""
+        """Time until the first back-off of one of the service's workers ends (§8.2).
+
+        If none is backed off, no worker may have loaded usable weights; then it is the time limit of a first wave.
+        """
         assert job.entry is not None
         now_micros = self.clock.now()
-        rests = [
+        remaining_micros = [
             until - now_micros
             for name, until in self.unhealthy_until.items()
             if until > now_micros and name in view.workers and view.workers[name].service == job.entry.service
         ]
-        return min(rests, default=FIRST_WAVE_TIMEOUT_MICROS)
+        return min(remaining_micros, default=FIRST_WAVE_TIMEOUT_MICROS)
 
     def weights_allowed(self, view: View, line: str, worker: str) -> bool:
-        """Present weights always; older ones only for a while after a roll-out is seen (§7.4)."""
-        load, present = view.loads.get(worker), view.weights.get(line)
-        if load is None or present is None or load.line != line:
+        """Whether the worker's weights may serve: current ones always, older ones for a grace period (§7.4)."""
+        load, current = view.loads.get(worker), view.weights.get(line)
+        if load is None or current is None or load.line != line:
             return False
-        if load.weights_revision == present.revision:
+        if load.weights_revision == current.revision:
             return True
         since_micros = self.keeper.superseded_since(line, load.weights_revision)
         return since_micros is not None and self.clock.now() - since_micros < self.old_weights_micros
@@ -183,8 +205,8 @@
         assert job.entry is not None and job.tenant is not None
         entry = job.entry
         line, owner = entry.line, owner_of(job.tenant)
-        present = view.weights[line]
-        on_current_weights = [w for w in candidates if view.loads[w.name].weights_revision == present.revision]
+        current = view.weights[line]
+        on_current_weights = [w for w in candidates if view.loads[w.name].weights_revision == current.revision]
         if len(on_current_weights) < len(candidates):
             candidates = self._candidates_in_roll_out(view, job, candidates, on_current_weights)
         parts = [p.part for p in job.request.prefix]
@@ -194,12 +216,12 @@
             if revision is None:
                 break
             revisions.append(revision)
-        known = list(zip(parts, revisions, strict=False))
+        known_parts = list(zip(parts, revisions, strict=False))
 
         def keys_for_weights(weights_revision: int) -> list[str]:
-            return chain_keys(owner, line, weights_revision, known)
+            return chain_keys(owner, line, weights_revision, known_parts)
 
-        current_keys = keys_for_weights(present.revision)
+        current_keys = keys_for_weights(current.revision)
         cached_part_counts = {
             w.name: self.index.longest_cached_prefix(
                 w.name,
@@ -210,17 +232,17 @@
             else 0
             for w in candidates
         }
-        # Bounded load: a hot prefix does not pile onto one worker (§8.5).
+        # Bounded load: keeps requests for a hot prefix from all going to one worker (§8.5).
         total_count = sum(self.running_jobs_of(w.name) for w in candidates) + 1
         load_limit = math.ceil(LOAD_FACTOR * total_count / len(candidates))
-        free = [w for w in candidates if self.running_jobs_of(w.name) < load_limit]
-        tokens = [p.tokens for p in job.request.prefix]
-        rank_text = current_keys[0] if current_keys and self.uses_index else job.job_id
+        under_limit = [w for w in candidates if self.running_jobs_of(w.name) < load_limit]
+        part_tokens = [p.tokens for p in job.request.prefix]
+        hash_subject = current_keys[0] if current_keys and self.uses_index else job.job_id
 
         def rank(worker: WorkerRecord) -> tuple[int, int, bytes]:
-            name_hash = hashlib.blake2b(f"{rank_text}/{worker.name}".encode(), digest_size=8).digest()
+            name_hash = hashlib.blake2b(f"{hash_subject}/{worker.name}".encode(), digest_size=8).digest()
             if current_keys and self.uses_index:
-                missed_tokens = sum(tokens[cached_part_counts[worker.name] :])
+                missed_tokens = sum(part_tokens[cached_part_counts[worker.name] :])
                 return (
                     self.wait_micros(entry, worker.name, missed_tokens),
                     -cached_part_counts[worker.name],
@@ -228,11 +250,11 @@
                 )
             return (0, self.running_jobs_of(worker.name), name_hash)
 
-        chosen_worker = min(free, key=rank)
+        chosen_worker = min(under_limit, key=rank)
         chosen_load = view.loads[chosen_worker.name]
         keys = keys_for_weights(chosen_load.weights_revision)
-        self.index.record_parts(owner, line, [p for p, _ in known], keys)
-        # With nothing known to be current, the salt is the job's own: nothing can be reused.
+        self.index.record_parts(owner, line, [p for p, _ in known_parts], keys)
+        # If no part's revision is known, the salt is unique to the job, so that nothing is reused.
         salt = cache_salt(owner, line, chosen_load.weights_revision) if keys else f"job:{job.job_id}"
         placement = Placement(
             chosen_worker,
@@ -241,7 +263,7 @@
             salt,
             keys,
             cached_part_counts[chosen_worker.name],
-            sum(tokens[cached_part_counts[chosen_worker.name] :]),
+            sum(part_tokens[cached_part_counts[chosen_worker.name] :]),
             why=f"keeps {cached_part_counts[chosen_worker.name]} of {len(parts)} parts",
         )
         if chosen_worker in on_current_weights and self.uses_index:
@@ -251,30 +273,34 @@
     def _candidates_in_roll_out(
         self, view: View, job: Job, candidates: list[WorkerRecord], on_current_weights: list[WorkerRecord]
     ) -> list[WorkerRecord]:
+        """Narrows the candidates while some of them are still on older weights (§7.3)."""
         assert job.entry is not None
         line = job.entry.line
-        present = view.weights[line]
-        wave_workers = first_wave(view, job.entry.service, present.revision)
-        # Those that load first are left alone while others on the old weights remain; these go on until the
-        # whole wave serves, or its first worker would be sent everything (§7.3).
-        waiting = [w for w in candidates if w not in on_current_weights and w.name not in wave_workers]
-        seen_micros = self.keeper.first_seen.get((line, present.revision), 0)
-        is_wave_finished = (line, present.revision) in self.finished_waves or (
-            is_wave_serving(view, job.entry.service, present.revision)
-            # The rest begins to load now, whoever of the wave is late.
+        current = view.weights[line]
+        wave_workers = first_wave(view, job.entry.service, current.revision)
+        # Workers of the first wave get no jobs while other workers on the old weights remain. Those keep serving until
+        # the whole wave serves; otherwise its first worker to finish loading would get all jobs (§7.3).
+        later_workers = [w for w in candidates if w not in on_current_weights and w.name not in wave_workers]
+        seen_micros = self.keeper.first_seen.get((line, current.revision), 0)
+        is_wave_finished = (line, current.revision) in self.finished_waves or (
+            is_wave_serving(view, job.entry.service, current.revision)
+            # The remaining workers begin to load now, even if some of the wave are late.
             or self.clock.now() - seen_micros > FIRST_WAVE_TIMEOUT_MICROS - VIEW_PROPAGATION_MICROS
         )
         if is_wave_finished:
-            # It stays over, whoever leaves of it: the rest has begun to load.
-            self.finished_waves.add((line, present.revision))
+            # It stays finished even if workers of it leave, as the remaining workers have begun to load.
+            self.finished_waves.add((line, current.revision))
         return (
             on_current_weights
             if is_wave_finished and on_current_weights
-            else on_current_weights + waiting or candidates
+            else on_current_weights + later_workers or candidates
         )
 
     def _plan_fetch(self, view: View, job: Job, placement: Placement, workers: list[WorkerRecord]) -> None:
-        """Fetches only what is current, tied, of the same owner, and quicker than prefill (§8.6)."""
+        """Plans a fetch if another worker or a store has a longer prefix and fetching is quicker than prefill.
+
+        Only current parts of the same owner count, in copies known to be made with the current weights (§8.6).
+        """
         assert job.entry is not None
         best_source, best_count = None, placement.reused_parts
         for worker in workers:
--- a/src/pearhead/router/load_waves.py
+++ b/src/pearhead/router/load_waves.py
@@ -1,4 +1,4 @@
-"""Waves (§7.3): which workers of a service load first, told alike by every node from the view."""
+"""Roll-out waves (§7.3): which workers load new weights first. All nodes with the same view derive the same wave."""
 
 from __future__ import annotations
 
@@ -7,28 +7,32 @@
 from pearhead.config.view import View
 from pearhead.runtime.clock import MILLI
 
-# By then every node that may serve has seen a change: a round of the term and some.
+# By then every node that may serve has seen a change: one term round and a margin.
 VIEW_PROPAGATION_MICROS = 500 * MILLI
-# The rest does not wait longer for a wave that is late.
+# The remaining workers wait no longer than this for a late first wave.
 FIRST_WAVE_TIMEOUT_MICROS = 7_500 * MILLI
-# Running jobs of the first wave have until then to end; what still runs is loaded over (§7.3).
+# Running jobs of the first wave's workers have until then to end; after that, loading begins regardless (§7.3).
 FIRST_WAVE_DRAIN_MICROS = 5_000 * MILLI
-# The second wave takes no new jobs by then, and its last ones have had their deadlines.
+# By then the second wave's workers get no new jobs, and the deadlines of their last ones have passed.
 SECOND_WAVE_DRAIN_MICROS = 16_000 * MILLI
 
 
 def first_wave(view: View, service: str, revision: int) -> list[str]:
-    """Who is still to load before half of those that stay, rounded up, serve these weights: the oldest loads
-    first, as their time to serve ends first. Leaving ones, and new ones that serve nothing yet, wait for nobody."""
-    staying = _remaining_workers(view, service)
+    """Workers still to load until half of the service's workers, rounded up, serve this revision.
+
+    Those with the oldest weights load first, as their grace period ends first. Workers that are leaving, and new ones
+    that serve nothing yet, don't count.
+    """
+    remaining = _remaining_workers(view, service)
     to_load = sorted(
-        (n for n in staying if _loaded_revision(view, n) != revision), key=lambda n: (_loaded_revision(view, n), n)
+        (n for n in remaining if _loaded_revision(view, n) != revision), key=lambda n: (_loaded_revision(view, n), n)
     )
-    done_count = len(staying) - len(to_load)
-    return to_load[: max(0, math.ceil(len(staying) / 2) - done_count)]
+    loaded_count = len(remaining) - len(to_load)
+    return to_load[: max(0, math.ceil(len(remaining) / 2) - loaded_count)]
 
 
 def is_wave_serving(view: View, service: str, revision: int) -> bool:
+    """Whether the whole first wave serves this revision."""
     return not first_wave(view, service, revision)
 
 
--- a/src/pearhead/router/prefill_tracker.py
+++ b/src/pearhead/router/prefill_tracker.py
@@ -1,4 +1,4 @@
-"""PrefillTracker (§8.8): long reads under way at workers, so that nobody reads the same parts at the same time."""
+"""Tracking of long prefills in progress (§8.8), so that no two workers prefill the same parts at the same time."""
 
 from __future__ import annotations
 
@@ -17,26 +17,32 @@
 
 
 class TrackedPrefill:
-    """One request that reads shared parts which nobody keeps; its owner ends it in any case."""
+    """The prefill, for one request, of shared parts that are not cached yet. Whoever began it must call `end`."""
 
-    def __init__(self, book: PrefillTracker, key: PrefillKey, note: ReadNote, until_micros: int) -> None:
-        self.book = book
+    def __init__(self, tracker: PrefillTracker, key: PrefillKey, note: ReadNote, until_micros: int) -> None:
+        self.tracker = tracker
         self.key = key
         self.note = note
         self.until_micros = until_micros
         self.is_over = asyncio.Event()
 
     def end(self, is_kept: bool) -> None:
-        """With its first event its parts are kept; when it failed before, somebody else has to read them."""
+        """Ends the prefill and tells the other nodes; later calls do nothing.
+
+        `is_kept`: the first event has come, so the parts are cached. Otherwise another request has to prefill them.
+        """
         if not self.is_over.is_set():
             self.note.is_over, self.note.is_kept = True, is_kept
-            self.book.close(self)
-            self.book.broadcast(self.note)
+            self.tracker.close(self)
+            self.tracker.broadcast(self.note)
 
 
 class PrefillTracker:
-    """Own reads and those that other nodes told of. `expect_cached`: a worker keeps parts now; `broadcast`: to all
-    nodes."""
+    """Prefills of this node and those announced by other nodes.
+
+    `expect_cached` is called with worker, salt and parts when a prefill has ended and the worker caches its parts.
+    `broadcast` sends a note to all nodes.
+    """
 
     def __init__(
         self,
@@ -50,17 +56,20 @@
         self.prefills: dict[PrefillKey, TrackedPrefill] = {}
 
     def begin(self, choice: WorkerChoice, request: OpaqueRequest) -> TrackedPrefill | None:
-        """Called once it is sent and counted as the worker's use; None if others gain nothing by knowing."""
+        """Announces the prefill of a request that was sent and counted in the worker's load.
+
+        Returns None if its missing shared parts are too short for other requests to wait for.
+        """
         key = _prefill_key(choice, request)
         if key is None:
             return None
         note = ReadNote(worker=choice.backend.name, salt=choice.salt, part=[p.part for p in request.parts[:-1]])
-        read = self.prefills[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
+        prefill = self.prefills[key] = TrackedPrefill(self, key, note, self.clock.now() + TRACKED_PREFILL_TTL_MICROS)
         self.broadcast(note)
-        return read
+        return prefill
 
     def apply_note(self, note: ReadNote) -> None:
-        """Another node's word."""
+        """Applies another node's note that a prefill has begun or ended."""
         key = (note.salt, note.part[-1]) if note.part else None
         if key is None:
             return
@@ -74,32 +83,36 @@
         elif note.is_kept:
             self.expect_cached(note.worker, note.salt, note.part)
 
-    def close(self, read: TrackedPrefill) -> None:
-        if self.prefills.get(read.key) is read:
-            del self.prefills[read.key]
-        if read.note.is_kept:
-            self.expect_cached(read.note.worker, read.note.salt, read.note.part)
-        read.is_over.set()
+    def close(self, prefill: TrackedPrefill) -> None:
+        """Forgets an ended prefill, reports its parts as cached if they are, and wakes who waits for it."""
+        if self.prefills.get(prefill.key) is prefill:
+            del self.prefills[prefill.key]
+        if prefill.note.is_kept:
+            self.expect_cached(prefill.note.worker, prefill.note.salt, prefill.note.part)
+        prefill.is_over.set()
 
     async def wait_for(self, choice: WorkerChoice, request: OpaqueRequest, limit_micros: int) -> bool:
-        """Waits for the end of a read of the same parts; whether there was one, so that it is placed anew."""
+        """Waits for the end of a prefill of the same parts, within limits.
+
+        Returns whether it waited, also after a timeout; the caller then chooses a worker again.
+        """
         key = _prefill_key(choice, request)
-        read = self.prefills.get(key) if key is not None else None
-        if read is None:
+        prefill = self.prefills.get(key) if key is not None else None
+        if prefill is None:
             return False
-        left_micros = min(read.until_micros - self.clock.now(), MAX_PREFILL_WAIT_MICROS, limit_micros)
-        if left_micros <= 0:
+        timeout_micros = min(prefill.until_micros - self.clock.now(), MAX_PREFILL_WAIT_MICROS, limit_micros)
+        if timeout_micros <= 0:
             return False
         try:
-            await asyncio.wait_for(read.is_over.wait(), left_micros / SECOND)
+            await asyncio.wait_for(prefill.is_over.wait(), timeout_micros / SECOND)
         except TimeoutError:
             pass
         return True
 
 
 def _prefill_key(choice: WorkerChoice, request: OpaqueRequest) -> PrefillKey | None:
-    """The last shared part: it is kept only behind all before it."""
-    shared = request.parts[:-1]
-    if not shared or choice.missing_tokens - request.parts[-1].tokens < LONG_TOKENS:
+    """Salt and last shared part, which is cached only together with all parts before it; None if little is missing."""
+    shared_parts = request.parts[:-1]
+    if not shared_parts or choice.missing_tokens - request.parts[-1].tokens < LONG_TOKENS:
         return None
-    return choice.salt, shared[-1].part
+    return choice.salt, shared_parts[-1].part
--- a/src/pearhead/router/rendezvous.py
+++ b/src/pearhead/router/rendezvous.py
@@ -1,4 +1,4 @@
-"""rendezvous_rank (§7.2): who does a thing that one node should do, told alike by all that know the same nodes."""
+"""Rendezvous hashing (§7.2): which node does a task that one should do, agreed on by all that know the same nodes."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 @lru_cache(maxsize=65_536)
 def rendezvous_score(identity: str, subject: str) -> bytes:
-    """Rendezvous: the highest score goes first, and a node that goes changes nobody else's order."""
+    """A node's score for a subject. The highest comes first; the order of the others stays when a node leaves."""
     return hashlib.blake2b(f"{identity}/{subject}".encode(), digest_size=8).digest()
 
 
 def rendezvous_rank(identity: str, others: Iterable[str], subject: str) -> int:
-    """How many of the others go before this node; zero is the first."""
+    """How many of the other nodes come before this one; 0 means that it is the first."""
     own_score = rendezvous_score(identity, subject)
     return sum(rendezvous_score(other, subject) > own_score for other in set(others) if other != identity)
 
 
 class RankCache:
-    """Ranks of one node, kept until the others change: they are asked for many times a second."""
+    """Caches one node's ranks until the other nodes change; ranks are needed many times a second."""
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
@@ -28,10 +28,10 @@
         self.ranks: dict[str, int] = {}
 
     def rank(self, others: list[str], subject: str) -> int:
-        """As `rendezvous_rank`."""
+        """Returns the same as `rendezvous_rank`."""
         if others != self.others:
             self.others, self.ranks = others, {}
-        found = self.ranks.get(subject)
-        if found is None:
-            found = self.ranks[subject] = rendezvous_rank(self.identity, others, subject)
-        return found
+        rank = self.ranks.get(subject)
+        if rank is None:
+            rank = self.ranks[subject] = rendezvous_rank(self.identity, others, subject)
+        return rank
--- a/src/pearhead/router/weights_grace_period.py
+++ b/src/pearhead/router/weights_grace_period.py
@@ -1,4 +1,4 @@
-"""WeightsGracePeriod (§7.4): how long weights may still be used after newer ones were named."""
+"""Grace period of weights (§7.4): how long weights may still be used after newer ones were named."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 
 
 class WeightsGracePeriod:
-    """The first naming after a version counts, from when this node last knew of none: that was before its yes.
+    """The grace period of a version begins with the first newer version that is named.
 
-    Each view is noted as it comes in. Noted with the next request only, those that came before a node's first request
-    would be missed, and a node that has just started would grant old weights a time anew.
+    It is counted from the last time that this node knew of no newer version, which is before the naming was
+    acknowledged. Each view is recorded when it arrives. If views were recorded with the next request only, those that
+    arrive before a node's first request would be missed, and a node that has just started would grant old weights a
+    new grace period.
     """
 
     def __init__(self, clock: Clock, view_replica: ViewReplica, grace_period_micros: int) -> None:
@@ -20,20 +22,21 @@
         self.grace_period_micros = grace_period_micros
         self.seen_view: View | None = None
         self.named_at: dict[tuple[str, int], int] = {}
-        view_replica.view_observers.append(self._note)
+        view_replica.view_observers.append(self._record_view)
 
     def may_use(self, view: View, line: str, version: int) -> bool:
+        """Whether a version is not superseded, or its grace period has not ended."""
         if view is not self.seen_view:
-            self._note(view)
-        superseded = min(
+            self._record_view(view)
+        superseded_at = min(
             (at for (named_line, named), at in self.named_at.items() if named_line == line and named > version),
             default=None,
         )
-        return superseded is None or self.clock.now() - superseded < self.grace_period_micros
+        return superseded_at is None or self.clock.now() - superseded_at < self.grace_period_micros
 
-    def _note(self, view: View) -> None:
+    def _record_view(self, view: View) -> None:
         self.seen_view = view
-        for line, fact in view.weights.items():
-            if fact.weights.isdigit():
-                at_micros = self.view_replica.named_after.get((line, fact.revision), self.clock.now())
-                self.named_at.setdefault((line, int(fact.weights)), at_micros)
+        for line, record in view.weights.items():
+            if record.weights.isdigit():
+                at_micros = self.view_replica.named_after.get((line, record.revision), self.clock.now())
+                self.named_at.setdefault((line, int(record.weights)), at_micros)
--- a/src/pearhead/router/worker_load_tracker.py
+++ b/src/pearhead/router/worker_load_tracker.py
@@ -1,4 +1,4 @@
-"""WorkerLoadTracker (§8.8): how busy each worker is, by this node's requests and by what other nodes told of theirs."""
+"""Worker load (§8.8): how busy each worker is, by this node's requests and by what other nodes report of theirs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class WorkerLoad:
-    """Requests at a worker, the prompt tokens that it has yet to read, and all tokens that its requests hold."""
+    """Requests at a worker, prompt tokens it has yet to prefill, and all tokens its requests hold in the cache."""
 
     running: int = 0
     waiting_tokens: int = 0
@@ -26,7 +26,11 @@
 
 
 class WorkerLoadTracker:
-    """Own use is exact; told use is up to a round and a way old and ends with its teller's silence."""
+    """Load, failures and slowdown of each worker.
+
+    This node's own load is exact. Other nodes' load is as old as one report interval and the network delay, and
+    expires when the node stops reporting.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -41,26 +45,30 @@
         self.is_changed = False
 
     def begin(self, worker: str, waiting_tokens: int, held_tokens: int) -> None:
-        use = self.own.setdefault(worker, WorkerLoad())
-        use.running += 1
-        use.waiting_tokens += waiting_tokens
-        use.held_tokens += held_tokens
-        self._change(worker, 1, waiting_tokens, held_tokens)
+        """Counts a request sent to a worker."""
+        load = self.own.setdefault(worker, WorkerLoad())
+        load.running += 1
+        load.waiting_tokens += waiting_tokens
+        load.held_tokens += held_tokens
+        self._apply_change(worker, 1, waiting_tokens, held_tokens)
 
     def record_first_event(self, worker: str, waiting_tokens: int) -> None:
+        """Takes off a request's waiting tokens, as its prefill is done."""
         self.own[worker].waiting_tokens -= waiting_tokens
-        self._change(worker, 0, -waiting_tokens, 0)
+        self._apply_change(worker, 0, -waiting_tokens, 0)
 
     def end(self, worker: str, waiting_tokens: int, held_tokens: int) -> None:
-        use = self.own[worker]
-        use.running -= 1
-        use.waiting_tokens -= waiting_tokens
-        use.held_tokens -= held_tokens
-        if not use.running:
+        """Takes off a request; `waiting_tokens` are those that `record_first_event` has not taken off."""
+        load = self.own[worker]
+        load.running -= 1
+        load.waiting_tokens -= waiting_tokens
+        load.held_tokens -= held_tokens
+        if not load.running:
             del self.own[worker]
-        self._change(worker, -1, -waiting_tokens, -held_tokens)
+        self._apply_change(worker, -1, -waiting_tokens, -held_tokens)
 
     def note(self) -> UseNote:
+        """This node's own load, to be sent to the other nodes; clears `is_changed`."""
         self.is_changed = False
         return UseNote(
             serial=self.clock.now(),
@@ -73,6 +81,7 @@
         )
 
     def apply_report(self, reporter: str, note: UseNote) -> None:
+        """Replaces what another node reported before; ignores a note that is not newer."""
         previous = self.reports.get(reporter)
         if previous is not None and previous[0] >= note.serial:
             return
@@ -84,40 +93,47 @@
         self.totals_until = 0
 
     def current_load(self, worker: str) -> WorkerLoad:
-        """Of all nodes together."""
+        """A worker's load from all nodes together."""
         if self.clock.now() >= self.totals_until:
             self._rebuild_totals()
         return self.totals.get(worker, WorkerLoad())
 
     def own_running(self) -> int:
+        """Requests of this node that are at any worker."""
         return sum(use.running for use in self.own.values())
 
-    # ---- judged by what a worker did -----------------------------------------------------------
+    # ---- health and speed, judged by the outcome of requests -----------------------------------
 
     def record_failure(self, worker: str) -> None:
-        """It failed a request or could not be reached: it rests, longer each time, and then gets one anew."""
-        count = self.consecutive_failures[worker] = self.consecutive_failures.get(worker, 0) + 1
-        rest_micros = min(FAILURE_BACKOFF_MICROS * 2 ** (count - 1), MAX_FAILURE_BACKOFF_MICROS)
-        self.backoff_until[worker] = self.clock.now() + rest_micros
+        """Backs off from a worker that failed a request or could not be reached, longer each time up to a limit."""
+        failure_count = self.consecutive_failures[worker] = self.consecutive_failures.get(worker, 0) + 1
+        backoff_micros = min(FAILURE_BACKOFF_MICROS * 2 ** (failure_count - 1), MAX_FAILURE_BACKOFF_MICROS)
+        self.backoff_until[worker] = self.clock.now() + backoff_micros
 
     def record_success(self, worker: str) -> None:
+        """Ends the back-off and resets its length."""
         self.backoff_until.pop(worker, None)
         self.consecutive_failures.pop(worker, None)
 
     def is_backed_off(self, worker: str) -> bool:
+        """Whether a recent failure keeps requests from the worker."""
         return self.backoff_until.get(worker, 0) > self.clock.now()
 
     def learn_slowdown(self, worker: str, read_tokens: int, expected_micros: int, seen_micros: int) -> None:
-        """How much longer than reckoned its first events take, within bounds; short requests pass by what waits."""
+        """Averages how much longer than estimated a worker's first events take, within bounds.
+
+        Requests with few tokens to prefill are ignored: they overtake the requests that wait.
+        """
         if read_tokens < MIN_SLOWDOWN_SAMPLE_TOKENS:
             return
-        seen = min(max(seen_micros / max(expected_micros, 5 * MILLI), MIN_SLOWDOWN), MAX_SLOWDOWN)
-        self.slowdowns[worker] = self.slowdown_of(worker) * (1 - SLOWDOWN_EWMA_WEIGHT) + seen * SLOWDOWN_EWMA_WEIGHT
+        ratio = min(max(seen_micros / max(expected_micros, 5 * MILLI), MIN_SLOWDOWN), MAX_SLOWDOWN)
+        self.slowdowns[worker] = self.slowdown_of(worker) * (1 - SLOWDOWN_EWMA_WEIGHT) + ratio * SLOWDOWN_EWMA_WEIGHT
 
     def slowdown_of(self, worker: str) -> float:
+        """The factor by which a worker is slower than estimated; 1 until something was learned."""
         return self.slowdowns.get(worker, 1.0)
 
-    def _change(self, worker: str, running: int, waiting_tokens: int, held_tokens: int) -> None:
+    def _apply_change(self, worker: str, running: int, waiting_tokens: int, held_tokens: int) -> None:
         self.is_changed = True
         total = self.totals.setdefault(worker, WorkerLoad())
         total.running += running
@@ -130,8 +146,8 @@
         self.totals = {
             worker: WorkerLoad(use.running, use.waiting_tokens, use.held_tokens) for worker, use in self.own.items()
         }
-        for _, _, uses in self.reports.values():
-            for worker, use in uses.items():
+        for _, _, reported_uses in self.reports.values():
+            for worker, use in reported_uses.items():
                 total = self.totals.setdefault(worker, WorkerLoad())
                 total.running += use.running
                 total.waiting_tokens += use.waiting_tokens
--- a/src/pearhead/router/worker_selector.py
+++ b/src/pearhead/router/worker_selector.py
@@ -1,4 +1,4 @@
-"""WorkerSelector (§8.8): which worker runs an opaque request, under which salt, and what it fetches before."""
+"""Worker selection for opaque requests (§8.8): the worker, the cache salt, and the cached parts to fetch first."""
 
 from __future__ import annotations
 
@@ -24,21 +24,23 @@
 FETCH_OVERHEAD_MICROS = 6 * MILLI
 RUNNING_REQUEST_MICROS = 600
 QUEUED_REQUEST_MICROS = 60 * MILLI
-# What a keeper has is fetched even where reading it again would be somewhat quicker: that takes the batch's steps.
+# Cached parts are fetched even where recomputing them would be somewhat quicker, as prefill takes steps of the batch.
 RECOMPUTE_COST_WEIGHT = 2.0
-# What is kept elsewhere and read here takes room and steps from later requests, and is worth a wait.
+# A part that is cached elsewhere and prefilled here again takes cache space and batch steps from later requests;
+# avoiding that is worth some waiting.
 DUPLICATE_CACHE_MICROS_PER_TOKEN = 300
 MAX_DUPLICATE_CACHE_MICROS = 600 * MILLI
-# A worker that runs out of memory puts a request back and reads all of it anew.
+# A worker that runs out of cache memory preempts a request and prefills all of it again.
 USABLE_CACHE_FRACTION = 0.92
 MEMORY_SHORTAGE_MICROS = SECOND
 EXPECTED_CACHE_TTL_MICROS = SECOND
 MAX_EXPECTED_CACHE_ENTRIES = 4_000
 LONG_TOKENS = 1_000
-# So many workers may read a long part that nobody keeps, where the word of what others are busy with is late.
+# While other nodes' load reports are late, a long part that no worker caches may go to this many workers only.
 HOME_WORKER_COUNT = 4
 AFFINITY_COST_FRACTION = 0.5
-# Where all have long prompts to read, short ones would wait behind them: these workers are spared as far as that goes.
+# If all workers had long prompts to prefill, short prompts would wait behind them. Long prompts avoid this share of
+# the workers, unless that costs them more than the penalty below.
 RESERVED_WORKER_FRACTION = 0.4
 RESERVATION_BACKLOG_MICROS = 300 * MILLI
 RESERVED_PENALTY_WEIGHT = 3
@@ -47,7 +49,12 @@
 
 @dataclass(frozen=True)
 class WorkerChoice:
-    """`missing_tokens` are read by the worker; `expected_micros` until its first event, before the worker's pace."""
+    """A worker chosen for a request, with what it is told about cached parts.
+
+    `missing_tokens` are prefilled by the worker. `kept_tokens` include what it fetches from the address `fetch_from`.
+    `save_to` is the address of a store that should get a copy of the shared parts. `expected_micros` is the estimated
+    time to the first event, before it is scaled by the worker's slowdown factor.
+    """
 
     backend: Backend
     service: str
@@ -62,6 +69,12 @@
 
 
 class WorkerSelector:
+    """Chooses workers by estimated time to the first event, cached prefixes, free cache memory and load.
+
+    `may_use` tells whether a weights version of a line may still serve. `sample` limits the candidates of short
+    requests. `are_load_reports_late` tells whether the loads announced by other nodes are delayed.
+    """
+
     def __init__(
         self,
         clock: Clock,
@@ -90,23 +103,29 @@
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
     ) -> Result[WorkerChoice, Refusal]:
-        """The worker where the first event is expected soonest; an error if none can run it."""
+        """Returns the worker with the lowest estimated cost; a NO_WORKER refusal if no worker can run the request.
+
+        Services are tried in the order of the route's traffic split. `excluded` are names of workers.
+        """
         roster = self.roster()
         for service_name in _services_by_share(route, request.request_id):
             service = view.services.get(service_name)
             if service is None or service.role == "store":
                 continue
-            found = self._choose_in_service(view, roster, service, request, tenant, excluded)
-            if found is not None:
-                return Ok(found)
+            choice = self._choose_in_service(view, roster, service, request, tenant, excluded)
+            if choice is not None:
+                return Ok(choice)
         return Err(Refusal(ErrorKind.NO_WORKER, "no worker can run it now", 600 * MILLI))
 
     def knows_workers(self) -> bool:
-        """A node that starts hears of workers last; later an empty roster says that there are none."""
+        """Whether any worker is known.
+
+        A node that starts learns of workers last; later an empty roster means that there are none.
+        """
         return bool(self.roster().backends)
 
     def is_still_valid(self, view: View, choice: WorkerChoice) -> bool:
-        """Whether this very choice could still be made: asked in one step with the first byte (§8.4)."""
+        """Whether this choice could still be made; checked in the same step that sends the first byte (§8.4)."""
         backend = self.roster().backends.get(choice.backend.name)
         if backend is None or backend.is_leaving or backend.address != choice.backend.address:
             return False
@@ -146,8 +165,8 @@
             return self._choose_least_loaded(candidates, service)
         if request.last_event_id:
             candidates = self._with_newest_weights(candidates, line)
-        # Nodes spare the same workers, whichever each of them looks at.
-        quiet, reserved_penalty_micros = self._reserved_workers(service, candidates, request)
+        # Computed before candidates are narrowed, so that all nodes reserve the same workers.
+        reserved_names, reserved_penalty_micros = self._reserved_workers(service, candidates, request)
         if request.prompt_tokens() < LONG_TOKENS:
             candidates = self.sample(candidates)
         elif self.are_load_reports_late():
@@ -174,14 +193,17 @@
                 request,
                 home_worker_ranks[backend.name],
             )
-            if backend.name in quiet and choice.missing_tokens >= LONG_TOKENS:
+            if backend.name in reserved_names and choice.missing_tokens >= LONG_TOKENS:
                 cost += reserved_penalty_micros
             choices.append((cost, backend.name, choice))
         return min(choices, key=lambda item: item[:2])[2]
 
     def _with_newest_weights(self, candidates: list[Backend], line: str) -> list[Backend]:
-        """For a caller that has a part of its answer, perhaps from another node: which weights made that part is not
-        told, and no later part should be made by older ones."""
+        """Limits the candidates to those with the newest weights, for a caller that resumes an answer.
+
+        Another node may have served the first part of the answer, and the request does not say which weights
+        generated it. No later part may be generated by older weights.
+        """
         versions = {backend.name: self.versions.version_of(backend.name, line) or 0 for backend in candidates}
         newest = max(versions.values())
         return [backend for backend in candidates if versions[backend.name] == newest]
@@ -189,10 +211,10 @@
     def _home_and_caching_workers(
         self, view: View, candidates: list[Backend], tenant: Tenant | None, line: str, request: OpaqueRequest
     ) -> list[Backend]:
-        """The first few by rendezvous over the first part, and who keeps it.
+        """Limits the candidates to the first part's home workers, by rendezvous hashing, and the workers that cache it.
 
-        Nodes whose word of all workers is late would all choose the one that was idle then. With a few choices for each
-        part they spread by the parts, and each still passes by those of its workers that are busy.
+        Nodes with late load reports would all choose the worker that was idle at the time of the reports. A few home
+        workers for each part spread requests by their parts, and a busy home worker can still be avoided.
         """
         if not request.parts:
             return candidates
@@ -228,42 +250,50 @@
         version = self.versions.version_of(backend.name, line)
         assert version is not None
         salt = salts[version]
-        prompt = request.prompt_tokens()
-        kept = self._cached_tokens(backend.name, salt.text, request)
-        missing = prompt - kept
-        fetch_from, fetched, fetch_micros = "", 0, 0.0
-        if salt.is_fresh and missing >= LONG_TOKENS:
-            fetch_from, fetched, fetch_micros = self._best_fetch(
-                view, roster, service, backend, version, line, salt.text, request, kept
+        prompt_tokens = request.prompt_tokens()
+        cached_tokens = self._cached_tokens(backend.name, salt.text, request)
+        missing_tokens = prompt_tokens - cached_tokens
+        fetch_from, fetched_tokens, fetch_micros = "", 0, 0.0
+        if salt.is_fresh and missing_tokens >= LONG_TOKENS:
+            fetch_from, fetched_tokens, fetch_micros = self._best_fetch(
+                view, roster, service, backend, version, line, salt.text, request, cached_tokens
             )
-        use = self.loads.current_load(backend.name)
-        pace = self.loads.slowdown_of(backend.name)
-        read = missing - fetched
-        rate = self.loads.read_rates.factor(service.name)
-        own_micros = rate * prefill_read_micros(read, kept + fetched) + fetch_micros + FIRST_EVENT_MICROS
-        waiting_micros = rate * use.waiting_tokens * MICROS_PER_TOKEN + use.running * RUNNING_REQUEST_MICROS
+        load = self.loads.current_load(backend.name)
+        slowdown = self.loads.slowdown_of(backend.name)
+        prefill_tokens = missing_tokens - fetched_tokens
+        rate_factor = self.loads.read_rates.factor(service.name)
+        request_micros = (
+            rate_factor * prefill_read_micros(prefill_tokens, cached_tokens + fetched_tokens)
+            + fetch_micros
+            + FIRST_EVENT_MICROS
+        )
+        waiting_micros = rate_factor * load.waiting_tokens * MICROS_PER_TOKEN + load.running * RUNNING_REQUEST_MICROS
         capacity = backend.capacity or service.capacity or 1
-        if use.running >= capacity:
-            waiting_micros += QUEUED_REQUEST_MICROS * (1 + use.running - capacity)
-        estimated_micros = own_micros + waiting_micros
-        # A long prefix that is kept nowhere goes where all nodes send it, unless that is much busier.
-        shared = sum(part.tokens for part in request.parts[:-1])
-        placement_penalty_micros = _memory_shortage_micros(service, use.held_tokens + prompt + request.output_tokens)
-        again = min(max_cached_by_version.get(version, 0), shared) - kept - fetched
-        placement_penalty_micros += min(max(again, 0) * DUPLICATE_CACHE_MICROS_PER_TOKEN, MAX_DUPLICATE_CACHE_MICROS)
-        if shared >= LONG_TOKENS and kept < shared:
+        if load.running >= capacity:
+            waiting_micros += QUEUED_REQUEST_MICROS * (1 + load.running - capacity)
+        estimated_micros = request_micros + waiting_micros
+        # A long prefix that is not cached goes to its home worker, the same for all nodes, unless that is much busier.
+        shared_tokens = sum(part.tokens for part in request.parts[:-1])
+        placement_penalty_micros = _memory_shortage_micros(
+            service, load.held_tokens + prompt_tokens + request.output_tokens
+        )
+        duplicate_tokens = min(max_cached_by_version.get(version, 0), shared_tokens) - cached_tokens - fetched_tokens
+        placement_penalty_micros += min(
+            max(duplicate_tokens, 0) * DUPLICATE_CACHE_MICROS_PER_TOKEN, MAX_DUPLICATE_CACHE_MICROS
+        )
+        if shared_tokens >= LONG_TOKENS and cached_tokens < shared_tokens:
             placement_penalty_micros += (
-                rate * min(home_worker_rank, 3) * AFFINITY_COST_FRACTION * shared * MICROS_PER_TOKEN / 3
+                rate_factor * min(home_worker_rank, 3) * AFFINITY_COST_FRACTION * shared_tokens * MICROS_PER_TOKEN / 3
             )
-        save_to = self._store_for(view, salt.text, request, kept) if salt.is_fresh else ""
-        return estimated_micros * pace + placement_penalty_micros, WorkerChoice(
+        save_to = self._store_for(view, salt.text, request, cached_tokens) if salt.is_fresh else ""
+        return estimated_micros * slowdown + placement_penalty_micros, WorkerChoice(
             backend,
             service.name,
             line,
             version,
             salt.text,
-            kept + fetched,
-            read,
+            cached_tokens + fetched_tokens,
+            prefill_tokens,
             fetch_from,
             save_to,
             int(estimated_micros),
@@ -272,15 +302,15 @@
     def _reserved_workers(
         self, service: Service, candidates: list[Backend], request: OpaqueRequest
     ) -> tuple[frozenset[str], float]:
-        """Workers that a long prompt spares, and how much longer it waits for that: none while there is little to read.
+        """Workers that long prompts avoid, and the penalty in microseconds for using one all the same.
 
-        Nodes agree on them without talking.
+        There are none while the average prefill backlog is short. Rendezvous hashing makes nodes choose the same ones.
         """
         if request.prompt_tokens() < LONG_TOKENS:
             return frozenset(), 0.0
         waiting_tokens = sum(self.loads.current_load(backend.name).waiting_tokens for backend in candidates)
-        rate = self.loads.read_rates.factor(service.name)
-        excess_micros = rate * waiting_tokens * MICROS_PER_TOKEN / len(candidates) - RESERVATION_BACKLOG_MICROS
+        rate_factor = self.loads.read_rates.factor(service.name)
+        excess_micros = rate_factor * waiting_tokens * MICROS_PER_TOKEN / len(candidates) - RESERVATION_BACKLOG_MICROS
         if excess_micros <= 0:
             return frozenset(), 0.0
         names = _rendezvous_order(f"quiet/{service.name}", candidates)[
@@ -289,17 +319,17 @@
         return frozenset(names), min(RESERVED_PENALTY_WEIGHT * excess_micros, MAX_RESERVED_PENALTY_MICROS)
 
     def _cached_tokens(self, worker: str, salt: str, request: OpaqueRequest) -> int:
-        kept = self.index.cached_prefix_tokens(worker, salt, request.parts)
+        indexed_tokens = self.index.cached_prefix_tokens(worker, salt, request.parts)
         now_micros = self.clock.now()
-        expected = 0
+        expected_tokens = 0
         for part in request.parts:
             if self.expected_cached.get((worker, salt, part.part), 0) <= now_micros:
                 break
-            expected += part.tokens
-        return max(kept, expected)
+            expected_tokens += part.tokens
+        return max(indexed_tokens, expected_tokens)
 
     def _max_cached_tokens(self, salt: str, request: OpaqueRequest, candidates: list[Backend]) -> int:
-        """The most that any keeper has of it."""
+        """The longest prefix of the request that any worker or store caches, in tokens."""
         if not request.parts:
             return 0
         first = request.parts[0].part
@@ -318,55 +348,61 @@
         line: str,
         salt: str,
         request: OpaqueRequest,
-        kept: int,
+        cached_tokens: int,
     ) -> tuple[str, int, float]:
-        """Where from, how many tokens, how long: only what is kept under this salt and comes quicker than reading."""
+        """Returns the best source's address, the tokens to fetch from it, and the transfer time in microseconds.
+
+        Only parts cached under this salt count. The address is empty if no transfer costs less than prefill.
+        """
         if not request.parts or not service.token_bytes:
             return "", 0, 0.0
         best = ("", 0, 0.0)
-        best_gain = 0.0
-        for keeper in self.index.cache_locations_of(salt, request.parts[0].part):
-            if keeper == backend.name:
+        best_saved_micros = 0.0
+        for holder in self.index.cache_locations_of(salt, request.parts[0].part):
+            if holder == backend.name:
                 continue
-            source = roster.backends.get(keeper)
-            store = view.services.get(keeper) if source is None else None
+            source = roster.backends.get(holder)
+            store = view.services.get(holder) if source is None else None
             if source is not None:
                 if source.is_leaving or self.versions.version_of(source.name, line) != version:
                     continue
                 if self.versions.is_loading(source.name) or self.loads.is_backed_off(source.name):
                     continue
-                address, zone, mbps = source.address, source.zone, service.link_mbps
+                address, zone, link_mbps = source.address, source.zone, service.link_mbps
             elif store is not None and store.role == "store":
-                address, zone, mbps = store.store_address, store.store_zone, store.link_mbps or service.link_mbps
+                address, zone, link_mbps = store.store_address, store.store_zone, store.link_mbps or service.link_mbps
             else:
                 continue
-            tokens = self.index.cached_prefix_tokens(keeper, salt, request.parts) - kept
-            if tokens < LONG_TOKENS or not mbps:
+            extra_tokens = self.index.cached_prefix_tokens(holder, salt, request.parts) - cached_tokens
+            if extra_tokens < LONG_TOKENS or not link_mbps:
                 continue
-            move_micros = tokens * service.token_bytes * 8 / min(mbps, service.link_mbps or mbps)
-            move_micros = move_micros * (1 if zone == backend.zone else 2) + FETCH_OVERHEAD_MICROS
-            rate = self.loads.read_rates.factor(service.name)
-            gain = RECOMPUTE_COST_WEIGHT * rate * prefill_read_micros(tokens, kept) - move_micros
-            if gain > best_gain:
-                best, best_gain = (address, tokens, move_micros), gain
+            transfer_micros = extra_tokens * service.token_bytes * 8 / min(link_mbps, service.link_mbps or link_mbps)
+            transfer_micros = transfer_micros * (1 if zone == backend.zone else 2) + FETCH_OVERHEAD_MICROS
+            rate_factor = self.loads.read_rates.factor(service.name)
+            saved_micros = (
+                RECOMPUTE_COST_WEIGHT * rate_factor * prefill_read_micros(extra_tokens, cached_tokens) - transfer_micros
+            )
+            if saved_micros > best_saved_micros:
+                best, best_saved_micros = (address, extra_tokens, transfer_micros), saved_micros
         return best
 
-    def _store_for(self, view: View, salt: str, request: OpaqueRequest, kept: int) -> str:
-        """A store that does not keep the shared parts yet."""
-        shared = request.parts[:-1]
-        shared_tokens = sum(part.tokens for part in shared)
+    def _store_for(self, view: View, salt: str, request: OpaqueRequest, cached_tokens: int) -> str:
+        """The address of a store that does not have the shared parts yet; empty if there is none."""
+        shared_parts = request.parts[:-1]
+        shared_tokens = sum(part.tokens for part in shared_parts)
         if shared_tokens < LONG_TOKENS:
             return ""
         for service in view.services.values():
             if service.role == "store" and service.store_address:
-                if self.index.cached_prefix_tokens(service.name, salt, shared) < shared_tokens:
+                if self.index.cached_prefix_tokens(service.name, salt, shared_parts) < shared_tokens:
                     return service.store_address
         return ""
 
     def expect_cached(self, worker: str, salt: str, parts: Iterable[str]) -> None:
-        """The first event of their reader is here, so they are kept; the worker's own word of it comes later.
+        """Counts parts as cached for a while, until the worker reports them itself.
 
-        Not sooner: a request that starts while they are being read reads them too.
+        Called when the first event of the request that prefills them arrives. Before that they are not reusable: a
+        request that starts during the prefill has to prefill them too.
         """
         now_micros = self.clock.now()
         for part in parts:
@@ -376,40 +412,44 @@
 
 
 def _memory_shortage_micros(service: Service, held_tokens: int) -> float:
-    """What it costs to ask a worker for more than its memory; more of it the more is asked."""
-    room = service.cache_tokens * USABLE_CACHE_FRACTION
-    return MEMORY_SHORTAGE_MICROS * held_tokens / room if room and held_tokens > room else 0.0
+    """The penalty for exceeding a worker's usable cache memory; it grows with the tokens held."""
+    usable_tokens = service.cache_tokens * USABLE_CACHE_FRACTION
+    return (
+        MEMORY_SHORTAGE_MICROS * held_tokens / usable_tokens if usable_tokens and held_tokens > usable_tokens else 0.0
+    )
 
 
 def _line_of(request: OpaqueRequest, service: Service) -> str:
-    """A request that names no line goes on the first that its service runs."""
+    """The request's line, or the service's first one if it names none; empty if the service does not run the line."""
     if not request.line and service.lines:
         return service.lines[0]
     return request.line if request.line in service.lines else ""
 
 
 def _services_by_share(route: Route, request_id: str) -> Iterable[str]:
-    """The service that the split gives this request, then the others."""
-    total = sum(split.share for split in route.splits)
-    hash_point = int.from_bytes(hashlib.blake2b(request_id.encode(), digest_size=4).digest(), "big") % max(total, 1)
-    names: list[str] = []
+    """The service to which the split assigns this request id, then the others that have a share."""
+    total_share = sum(split.share for split in route.splits)
+    hash_point = int.from_bytes(hashlib.blake2b(request_id.encode(), digest_size=4).digest(), "big") % max(
+        total_share, 1
+    )
+    service_names: list[str] = []
     for split in route.splits:
         if split.share and 0 <= hash_point < split.share:
-            names.insert(0, split.service)
+            service_names.insert(0, split.service)
         elif split.share:
-            names.append(split.service)
+            service_names.append(split.service)
         hash_point -= split.share
-    return dict.fromkeys(names)
+    return dict.fromkeys(service_names)
 
 
 def _home_worker_ranks(request: OpaqueRequest, candidates: list[Backend]) -> dict[str, int]:
-    """By the first part."""
-    first = request.parts[0].part if request.parts else request.request_id
-    return {name: rank for rank, name in enumerate(_rendezvous_order(first, candidates))}
+    """Each candidate's rank in the rendezvous order of the request's first part; 0 is the home worker."""
+    subject = request.parts[0].part if request.parts else request.request_id
+    return {name: rank for rank, name in enumerate(_rendezvous_order(subject, candidates))}
 
 
 def _rendezvous_order(subject: str, candidates: list[Backend]) -> list[str]:
-    """So that nodes agree without talking."""
+    """Worker names by rendezvous hashing, so that all nodes get the same order without communication."""
 
     def weight(name: str) -> bytes:
         return hashlib.blake2b(f"{subject}/{name}".encode(), digest_size=8).digest()
--- a/src/pearhead/router/worker_version_table.py
+++ b/src/pearhead/router/worker_version_table.py
@@ -1,4 +1,4 @@
-"""WorkerVersionTable (§7.7): which weights' version each worker runs, by all that was told of it."""
+"""Weights versions of workers (§7.7): which version each worker runs, by everything reported about it."""
 
 from __future__ import annotations
 
@@ -13,32 +13,41 @@
 
 @dataclass
 class _WorkerVersions:
+    """Known versions by line, and loads in progress by line, as version and expiry time."""
+
     versions: dict[str, int] = field(default_factory=dict)
     loading: dict[str, tuple[int, int]] = field(default_factory=dict)
 
 
 class WorkerVersionTable:
-    """A version never goes down within a life, and a name is a life: whatever is told late or twice does nothing."""
+    """The highest version of each line reported for each worker, and the loads in progress.
+
+    A worker's version never decreases during its life, and a restarted worker has a new name. So late and duplicate
+    reports have no effect.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.workers: dict[str, _WorkerVersions] = {}
 
     def version_of(self, worker: str, line: str) -> int | None:
-        """The highest version told of it; None while nothing was."""
+        """The highest version reported; None if there is no report."""
         known = self.workers.get(worker)
         return None if known is None else known.versions.get(line)
 
     def is_loading(self, worker: str) -> bool:
-        """Whether requests should stay away; ends by word, or 3 s after the last word of it."""
+        """Whether a load is in progress, so that requests avoid the worker; ends by a note, or 3 s after the last."""
         known = self.workers.get(worker)
         if known is None:
             return False
         now_micros = self.clock.now()
-        return any(end_micros > now_micros for _, end_micros in known.loading.values())
+        return any(expiry_micros > now_micros for _, expiry_micros in known.loading.values())
 
     def record(self, worker: str, line: str, version: int) -> bool:
-        """Told by the list, a report, an order or an answer; whether it was news."""
+        """Records a version from the worker list, a report, a load order or an answer.
+
+        Returns whether it is higher than what was known.
+        """
         known = self.workers.setdefault(worker, _WorkerVersions())
         if version <= known.versions.get(line, -1):
             return False
@@ -48,7 +57,10 @@
         return True
 
     def apply_note(self, note: ModelNote) -> bool:
-        """A node that orders tells when a load begins and ends; whether it was news."""
+        """Applies a note from a node that orders a load, sent when the load begins and ends.
+
+        Returns whether the note told anything new.
+        """
         known = self.workers.setdefault(note.worker, _WorkerVersions())
         if note.loading:
             if note.version <= known.versions.get(note.line, -1):
@@ -59,7 +71,7 @@
         return self.record(note.worker, note.line, note.version) or was_loading
 
     def apply_roster(self, roster: Roster) -> None:
-        """Whom the roster no longer names is forgotten; the list's old versions count where none newer is known."""
+        """Forgets workers that the roster no longer names; records its versions where no newer one is known."""
         for name in set(self.workers) - set(roster.backends):
             del self.workers[name]
         for backend in roster.backends.values():
