--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -32,9 +32,14 @@
     """
 
     def __init__(
-        self, keeper: ViewReplica, listener: RevisionListener, index: CopyIndex, clock: Clock, old_weights_micros: int
+        self,
+        view_replica: ViewReplica,
+        listener: RevisionListener,
+        index: CopyIndex,
+        clock: Clock,
+        old_weights_micros: int,
     ) -> None:
-        self.keeper = keeper
+        self.view_replica = view_replica
         self.listener = listener
         self.index = index
         self.clock = clock
@@ -56,7 +61,7 @@
         end before its deadline. Both refusals say when to try again.
         """
         assert job.entry is not None and job.tenant is not None
-        view = self.keeper.view
+        view = self.view_replica.view
         is_model = self.is_model(view, job.entry.service)
         candidates = self._candidates(view, job, is_model)
         if not candidates:
@@ -88,7 +93,7 @@
     def is_still_valid(self, job: Job, placement: Placement) -> bool:
         """Whether this placement could still be chosen, by what is known now (§8.4)."""
         assert job.entry is not None
-        view = self.keeper.view
+        view = self.view_replica.view
         worker = view.workers.get(placement.worker.name)
         if worker is None or worker != placement.worker:
             return False
@@ -198,7 +203,7 @@
             return False
         if load.weights_revision == current.revision:
             return True
-        since_micros = self.keeper.superseded_since(line, load.weights_revision)
+        since_micros = self.view_replica.superseded_since(line, load.weights_revision)
         return since_micros is not None and self.clock.now() - since_micros < self.old_weights_micros
 
     def _place_on_model(self, view: View, job: Job, candidates: list[WorkerRecord]) -> Placement:
@@ -281,7 +286,7 @@
         # Workers of the first wave get no jobs while other workers on the old weights remain. Those keep serving until
         # the whole wave serves; otherwise its first worker to finish loading would get all jobs (§7.3).
         later_workers = [w for w in candidates if w not in on_current_weights and w.name not in wave_workers]
-        seen_micros = self.keeper.first_seen.get((line, current.revision), 0)
+        seen_micros = self.view_replica.first_seen.get((line, current.revision), 0)
         is_wave_finished = (line, current.revision) in self.finished_waves or (
             is_wave_serving(view, job.entry.service, current.revision)
             # The remaining workers begin to load now, even if some of the wave are late.
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -1,4 +1,4 @@
-"""Lines of the platform's later pages that no other test brings about (docs/failures.md, the last section)."""
+"""Cases from the platform's later pages that no other test covers (docs/failures.md, the last section)."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 SEAL = "X-Answer-Seal"
 SENT = {"X-Request-Id": "r1", "Authorization": "Token k", "X-Deadline": "800"}
-DIRECTIONS = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
+METADATA = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
@@ -37,10 +37,10 @@
 
 class DialectTest(unittest.TestCase):
     def verdict(self, status: int, headers: dict[str, str]) -> ResponseVerdict:
-        return PlatformDialect().read_head(read(SENT), DIRECTIONS, status, "", HTTPHeaders(headers)).verdict
+        return PlatformDialect().read_head(read(SENT), METADATA, status, "", HTTPHeaders(headers)).verdict
 
     def test_no_answer_of_our_own_bears_a_seal(self) -> None:
-        """MIXED: a failure that bears a worker's seal has the status that this worker gave."""
+        """MIXED: a failure with a worker's seal has the status that this worker gave; our own have no seal."""
         for kind in ErrorKind:
             for request in (None, read({**SENT, SEAL: "3e1b.07.5a2.600.0.c9f2a4d1"})):
                 status, headers, body = PlatformDialect().refusal(request, Refusal(kind))
@@ -75,15 +75,15 @@
 
     def test_a_worker_gets_neither_key_nor_what_the_caller_says_of_its_tenant(self) -> None:
         request = read({**SENT, "X-Tenant": "other", "X-Urgency": "0", "X-Expect-Version": "9", "Own": "kept"})
-        outgoing = PlatformDialect().outgoing_headers(request, DIRECTIONS)
+        outgoing = PlatformDialect().outgoing_headers(request, METADATA)
         self.assertEqual((outgoing["X-Tenant"], outgoing["X-Expect-Instance"], outgoing["Own"]), ("t", "i-1", "kept"))
         self.assertEqual({"Authorization", "X-Urgency", "X-Expect-Version"} & set(outgoing), set())
-        nobody = PlatformDialect().outgoing_headers(request, ForwardingMetadata(800 * MILLI, "i-1"))
-        self.assertNotIn("X-Tenant", nobody)
+        without_tenant = PlatformDialect().outgoing_headers(request, ForwardingMetadata(800 * MILLI, "i-1"))
+        self.assertNotIn("X-Tenant", without_tenant)
 
 
-class NotingCall(FakeCall):
-    """Notes for how long its head is waited for."""
+class RecordingCall(FakeCall):
+    """Records how long the caller waits for the response head."""
 
     waited_micros = 0
 
@@ -92,7 +92,7 @@
         return await super().head(limit_micros)
 
 
-class NotingDirections(FakeDialect):
+class RecordingDialect(FakeDialect):
     def __init__(self) -> None:
         self.seen: list[ForwardingMetadata] = []
 
@@ -105,20 +105,20 @@
     async def send(
         self, wait_micros: int, tenant_urgency: int = 5, route_urgency: int = 5
     ) -> tuple[int, ForwardingMetadata]:
-        """How long a worker's answer is waited for, and what the worker is told."""
-        bench, call, dialect = FakeRuntime(), NotingCall(HEAD, (b"ok",)), NotingDirections()
+        """Returns how long a worker's answer is waited for, and the metadata sent to the worker."""
+        runtime, call, dialect = FakeRuntime(), RecordingCall(HEAD, (b"ok",)), RecordingDialect()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, urgency=route_urgency)
         view = View()
         tenant = Tenant("t", [hash_key("k")], urgency=tenant_urgency)
         view.__dict__["description"] = Description(tenants=[tenant], routes=[route])
-        placer: Any = FakePlacer()
+        selector: Any = FakePlacer()
         pool: Any = FakePool([call])
-        budget = FleetRetryBudget(bench, 0.2, 50, 10 * SECOND)
-        gate = RequestProxy(
-            bench,
+        budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
+        proxy = RequestProxy(
+            runtime,
             FakeCurrent(view),
-            placer,
-            WorkerLoadTracker(bench),
+            selector,
+            WorkerLoadTracker(runtime),
             pool,
             budget,
             dialect,
@@ -126,9 +126,9 @@
             lambda worker, head: None,
         )
         request = OpaqueRequest(
-            "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", bench.now(), hash_key("k"), wait_micros
+            "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", runtime.now(), hash_key("k"), wait_micros
         )
-        await gate.serve(request, FakePen())
+        await proxy.serve(request, FakePen())
         return call.waited_micros, dialect.seen[0]
 
     async def test_no_request_is_held_past_its_routes_deadline_nor_its_callers(self) -> None:
@@ -144,15 +144,17 @@
 
 class ListInTroubleTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_list_that_turns_calls_away_says_nothing(self) -> None:
-        """Its body is no list, also where it looks like an empty one: nobody goes for it."""
+        """The body of an error response is not read as a worker list, so an empty-looking one removes no workers."""
         statuses = [429, 500, 503, 404]
-        told: list[int] = []
+        sent_statuses: list[int] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            told.append(statuses[len(told)])
+            sent_statuses.append(statuses[len(sent_statuses)])
             body = b'{"Servers": [], "NextPage": null}'
-            writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % (told[-1], len(body)))
+            writer.write(
+                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % (sent_statuses[-1], len(body))
+            )
             writer.write(body)
             writer.close()
 
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -1,4 +1,4 @@
-"""Lines of the platform's newest pages on requests and answers that no other test brings about (docs/failures.md)."""
+"""Requests and answers: cases from the platform's newest pages that no other test covers (docs/failures.md)."""
 
 from __future__ import annotations
 
@@ -32,54 +32,54 @@
 from request_dialect import PlatformDialect  # noqa: E402
 
 SENT = {"X-Request-Id": "r1", "X-Model": "m", "X-Token-Count": "30,5", "X-Prompt-Prefix": "a1:20,b2:10"}
-DIRECTIONS = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
+METADATA = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
     return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
-def outgoing(headers: dict[str, str], metadata: ForwardingMetadata = DIRECTIONS) -> HTTPHeaders:
+def outgoing(headers: dict[str, str], metadata: ForwardingMetadata = METADATA) -> HTTPHeaders:
     return PlatformDialect().outgoing_headers(read(headers), metadata)
 
 
 class DialectTest(unittest.TestCase):
     def test_what_names_a_request_and_its_prompt_reaches_the_worker_as_the_client_sent_it(self) -> None:
         sent = {**SENT, "X-Prompt-Prefix": "A1:20,  b2:10", "X-Request-Id": "R1 -x"}
-        given = outgoing(sent)
-        self.assertEqual({name: given[name] for name in sent}, sent)
+        forwarded = outgoing(sent)
+        self.assertEqual({name: forwarded[name] for name in sent}, sent)
 
     def test_no_word_of_a_client_on_kept_parts_reaches_a_worker(self) -> None:
-        own = {"X-Cache-Salt": "other", "X-Cache-Source": "10.0.0.1:1", "X-Cache-Target": "10.0.0.2:1"}
-        self.assertEqual(set(own) & set(outgoing({**SENT, **own})), set())
-        told = outgoing({**SENT, **own}, ForwardingMetadata(SECOND, "i-1", salt="ours"))
-        self.assertEqual(told["X-Cache-Salt"], "ours")
-        self.assertEqual({"X-Cache-Source", "X-Cache-Target"} & set(told), set())
+        client_headers = {"X-Cache-Salt": "other", "X-Cache-Source": "10.0.0.1:1", "X-Cache-Target": "10.0.0.2:1"}
+        self.assertEqual(set(client_headers) & set(outgoing({**SENT, **client_headers})), set())
+        forwarded = outgoing({**SENT, **client_headers}, ForwardingMetadata(SECOND, "i-1", salt="ours"))
+        self.assertEqual(forwarded["X-Cache-Salt"], "ours")
+        self.assertEqual({"X-Cache-Source", "X-Cache-Target"} & set(forwarded), set())
 
     def test_the_version_of_an_answer_is_a_whole_number_of_the_requests_model(self) -> None:
         def versions(text: str, sent: dict[str, str]) -> dict[str, int]:
             headers = HTTPHeaders({"X-Request-Id": "r1", "X-Weight-Versions": text})
-            return dict(PlatformDialect().read_head(read(sent), DIRECTIONS, 200, "", headers).versions)
+            return dict(PlatformDialect().read_head(read(sent), METADATA, 200, "", headers).versions)
 
         self.assertEqual(versions("7", SENT), {"m": 7})
         self.assertEqual(versions(" 12 ", SENT), {"m": 12})
-        self.assertEqual(versions("7", {"X-Request-Id": "r1"}), {}, "of which model is not told")
+        self.assertEqual(versions("7", {"X-Request-Id": "r1"}), {}, "the request names no model")
         for unreadable in ("", "x", "-1", "1.5", "m=", "²"):
             self.assertEqual(versions(unreadable, SENT), {}, unreadable)
 
     def test_another_worker_at_an_address_tells_no_version_of_the_one_that_was_meant(self) -> None:
         for instance, versions in (("i-1", {"m": 7}), ("i-2", {})):
             headers = HTTPHeaders({"X-Weight-Versions": "7", "X-Instance": instance})
-            self.assertEqual(PlatformDialect().read_head(read(SENT), DIRECTIONS, 421, "", headers).versions, versions)
+            self.assertEqual(PlatformDialect().read_head(read(SENT), METADATA, 421, "", headers).versions, versions)
 
     def test_no_deadline_of_a_client_is_an_exception_or_counts_as_none(self) -> None:
         for text in ("inf", "-inf", "nan", "1e400", "soon"):
-            given = PlatformDialect().read("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
-            self.assertTrue(given.is_err(), text)
-            self.assertIs(given.unwrap_err().kind, ErrorKind.MALFORMED, text)
+            result = PlatformDialect().read("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
+            self.assertTrue(result.is_err(), text)
+            self.assertIs(result.unwrap_err().kind, ErrorKind.MALFORMED, text)
         for text in ("0", "0.0001", "-5"):
             wait_micros = read({**SENT, "X-Deadline": text}).wait_micros
-            self.assertTrue(wait_micros and wait_micros < MILLI, f"{text}: as if none was told")
+            self.assertTrue(wait_micros and wait_micros < MILLI, f"{text}: read as no deadline")
         self.assertEqual(read(SENT).wait_micros, 0)
 
     def test_an_event_that_names_a_version_first_is_passed_on_and_counted_by_its_id(self) -> None:
@@ -88,11 +88,11 @@
         self.assertEqual(splitter.feed(events[0] + events[1] + events[2][:5]), events[0] + events[1])
         self.assertEqual(splitter.last_id, "2")
         splitter.begin_run()
-        self.assertEqual(splitter.feed(b"".join(events)), events[2], "neither a hole nor a repeat")
+        self.assertEqual(splitter.feed(b"".join(events)), events[2], "no event is missing or repeated")
 
 
 class SaltTest(unittest.TestCase):
-    """WALL: what an isolated tenant's requests are kept under is found by no other's."""
+    """WALL: no other tenant's requests reuse what was cached for an isolated tenant."""
 
     def salts(self, *isolated: bool) -> list[str]:
         tenants = []
@@ -103,9 +103,9 @@
         view.__dict__["description"] = Description(tenants=tenants)
         listener: Any = FakeListener()
         parts = [PromptPart("a1", 20), PromptPart("b2", 10)]
-        given = [CacheSaltBuilder(listener).salt(view, tenant, "m", 1, parts).text for tenant in [*tenants, None]]
-        self.assertNotIn("", given, "without a salt, all share")
-        return given
+        salts = [CacheSaltBuilder(listener).salt(view, tenant, "m", 1, parts).text for tenant in [*tenants, None]]
+        self.assertNotIn("", salts, "an empty salt is shared by all")
+        return salts
 
     def test_an_isolated_tenant_shares_with_nobody(self) -> None:
         first, second, third, fourth, nobody = self.salts(False, False, True, True)
@@ -113,9 +113,9 @@
         self.assertEqual(len({first, third, fourth, nobody}), 4)
 
     def test_who_becomes_isolated_finds_nothing_that_was_shared_and_leaves_nothing(self) -> None:
-        shared, apart = self.salts(False, False), self.salts(False, True)
-        self.assertNotIn(apart[1], shared)
-        self.assertNotIn(apart[0], shared, "the others don't use what it made while it shared")
+        shared, isolated = self.salts(False, False), self.salts(False, True)
+        self.assertNotIn(isolated[1], shared)
+        self.assertNotIn(isolated[0], shared, "the others reuse nothing that was cached while it shared")
 
 
 class FakeListener:
@@ -127,19 +127,19 @@
 
 
 class SharesTest(unittest.TestCase):
-    """Duty and CONFIG: the parts of a split get their shares of the requests."""
+    """Duty and CONFIG: the services of a split get their shares of the requests."""
 
     COUNT = 3_000
     BOUND = 0.03
 
-    def placer(self, *services: str) -> WorkerSelector:
+    def make_selector(self, *services: str) -> WorkerSelector:
         backends = {f"w-{name}": Backend(f"w-{name}", "10.0.0.1:1", "z", name, 8) for name in services}
         unused: Any = None
-        bench = FakeRuntime()
+        runtime = FakeRuntime()
         roster = Roster(backends)
-        loads = WorkerLoadTracker(bench)
+        loads = WorkerLoadTracker(runtime)
         return WorkerSelector(
-            bench, "z", lambda: roster, WorkerVersionTable(bench), unused, loads, unused, lambda *given: True
+            runtime, "z", lambda: roster, WorkerVersionTable(runtime), unused, loads, unused, lambda *given: True
         )
 
     def shares(self, splits: list[Split], ready: tuple[str, ...], excluded: frozenset[str]) -> dict[str, float]:
@@ -149,17 +149,17 @@
         view.__dict__["description"] = Description(
             services=[Service(name, "application") for name in dict.fromkeys(names)], routes=[route]
         )
-        placer = self.placer(*ready)
+        selector = self.make_selector(*ready)
         counts = dict.fromkeys(names, 0)
         for number in range(self.COUNT):
             request = OpaqueRequest(f"{number:016x}", "GET", "/a/", "h", "/a/", HTTPHeaders(), b"", 0)
-            counts[placer.choose(view, route, request, None, excluded).unwrap().service] += 1
+            counts[selector.choose(view, route, request, None, excluded).unwrap().service] += 1
         return {name: count / self.COUNT for name, count in counts.items()}
 
-    def assert_shares(self, splits: list[Split], **wanted: float) -> None:
-        given = self.shares(splits, tuple(split.service for split in splits), frozenset())
-        for name, share in wanted.items():
-            self.assertAlmostEqual(given[name], share, delta=self.BOUND, msg=str(splits))
+    def assert_shares(self, splits: list[Split], **expected: float) -> None:
+        shares = self.shares(splits, tuple(split.service for split in splits), frozenset())
+        for name, share in expected.items():
+            self.assertAlmostEqual(shares[name], share, delta=self.BOUND, msg=str(splits))
 
     def test_each_part_gets_its_share(self) -> None:
         self.assert_shares([Split("a", 90), Split("b", 10)], a=0.9, b=0.1)
@@ -175,22 +175,22 @@
 
 
 class HandedTimeTest(unittest.IsolatedAsyncioTestCase):
-    """BUDGET: what a worker is told to have is never longer than the client's, also when it is sent once more."""
+    """BUDGET: the time that a worker is given never exceeds the client's remaining time, also for a retry."""
 
     async def ends(self, client_micros: int, turned_away_after_micros: int) -> list[int]:
-        bench, dialect = FakeRuntime(), TimingDialect()
-        turned_away = SlowCall(bench, turned_away_after_micros, (503, "", HTTPHeaders()))
+        runtime, dialect = FakeRuntime(), TimingDialect()
+        turned_away = SlowCall(runtime, turned_away_after_micros, (503, "", HTTPHeaders()))
         pool: Any = FakePool([turned_away, FakeCall(HEAD, (b"ok",))])
-        placer: Any = FakePlacer()
+        selector: Any = FakePlacer()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, tries=2)
         view = make_view()
         view.__dict__["description"] = Description(tenants=view.description.tenants, routes=[route])
-        budget = FleetRetryBudget(bench, 0.2, 50, 10 * SECOND)
-        gate = RequestProxy(
-            bench,
+        budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
+        proxy = RequestProxy(
+            runtime,
             FakeCurrent(view),
-            placer,
-            WorkerLoadTracker(bench),
+            selector,
+            WorkerLoadTracker(runtime),
             pool,
             budget,
             dialect,
@@ -198,13 +198,13 @@
             lambda worker, head: None,
         )
         request = OpaqueRequest(
-            "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", bench.now(), hash_key("k"), client_micros
+            "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", runtime.now(), hash_key("k"), client_micros
         )
-        began_micros = bench.now()
-        pen = FakePen()
-        dialect.note = lambda left_micros: dialect.ends.append(bench.now() + left_micros - began_micros)
-        await gate.serve(request, pen)
-        self.assertEqual(pen.status, 200)
+        began_micros = runtime.now()
+        writer = FakePen()
+        dialect.note = lambda left_micros: dialect.ends.append(runtime.now() + left_micros - began_micros)
+        await proxy.serve(request, writer)
+        self.assertEqual(writer.status, 200)
         return dialect.ends
 
     async def test_each_send_ends_with_the_client(self) -> None:
@@ -224,31 +224,31 @@
 
 
 class SlowCall(FakeCall):
-    """Answers after a while."""
+    """Answers after a delay."""
 
-    def __init__(self, bench: FakeRuntime, after_micros: int, head: Any) -> None:
+    def __init__(self, runtime: FakeRuntime, after_micros: int, head: Any) -> None:
         super().__init__(head)
-        self.bench = bench
+        self.runtime = runtime
         self.after_micros = after_micros
 
     async def head(self, limit_micros: int) -> Any:
-        self.bench.now_micros += self.after_micros
+        self.runtime.now_micros += self.after_micros
         return await super().head(limit_micros)
 
 
 class UnknownConfigurationTest(unittest.IsolatedAsyncioTestCase):
-    """DENIED: who knows no configuration says 503, whatever is asked for."""
+    """DENIED: a node without configuration answers every request with 503."""
 
     async def test_no_key_and_no_route_is_refused_by_a_node_that_knows_nothing(self) -> None:
         for key, path in (("k", "/a/x"), ("wrong", "/a/x"), ("", "/a/x"), ("k", "/nowhere")):
-            bench, pen = FakeRuntime(), FakePen()
+            runtime, writer = FakeRuntime(), FakePen()
             unused: Any = None
-            placer: Any = FakePlacer()
-            gate = RequestProxy(
-                bench,
+            selector: Any = FakePlacer()
+            proxy = RequestProxy(
+                runtime,
                 FakeCurrent(None),
-                placer,
-                WorkerLoadTracker(bench),
+                selector,
+                WorkerLoadTracker(runtime),
                 unused,
                 unused,
                 FakeDialect(),
@@ -256,5 +256,5 @@
                 lambda worker, head: None,
             )
             request = OpaqueRequest("id", "GET", path, "h", path, HTTPHeaders(), b"", 0, hash_key(key) if key else "")
-            await gate.serve(request, pen)
-            self.assertEqual((pen.status, pen.end), (503, "whole"), (key, path))
+            await proxy.serve(request, writer)
+            self.assertEqual((writer.status, writer.end), (503, "whole"), (key, path))
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""WorkerSelector: which worker a request goes to, by what is known of loads, kept parts and memory."""
+"""WorkerSelector: which worker a request goes to, by known loads, cached parts and cache memory."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 class PlacerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = FakeRuntime()
+        self.runtime = FakeRuntime()
         self.service = Service(
             "s", "model", ["l"], capacity=24, cache_tokens=100_000, token_bytes=160_000, link_mbps=500_000.0
         )
         self.store = Service("k", "store", store_address="10.0.0.9:1", store_zone="z", link_mbps=150_000.0)
         self.backends = {f"w{n}": Backend(f"w{n}", f"10.0.0.{n}:1", "z", "s", 24, False, {"l": 1}) for n in range(1, 7)}
-        self.loads = WorkerLoadTracker(self.bench)
+        self.loads = WorkerLoadTracker(self.runtime)
         self.index = PrefixCacheIndex()
         roster = Roster(self.backends)
-        versions = WorkerVersionTable(self.bench)
+        versions = WorkerVersionTable(self.runtime)
         versions.apply_roster(roster)
-        self.placer = WorkerSelector(
-            self.bench,
+        self.selector = WorkerSelector(
+            self.runtime,
             "z",
             lambda: roster,
             versions,
@@ -66,7 +66,7 @@
             "/a/x",
             HTTPHeaders(),
             b"",
-            self.bench.now(),
+            self.runtime.now(),
             line="l",
             parts=parts,
             output_tokens=100,
@@ -75,12 +75,12 @@
 
     def choose(self, *tokens: int, name: str = "p", last_event_id: str = "") -> WorkerChoice:
         request = self.request(*tokens, name=name, last_event_id=last_event_id)
-        return self.placer.choose(self.view, ROUTE, request, None, frozenset()).unwrap()
+        return self.selector.choose(self.view, ROUTE, request, None, frozenset()).unwrap()
 
-    def keep(self, keeper: str, *tokens: int, name: str = "p") -> None:
+    def report_cached(self, holder: str, *tokens: int, name: str = "p") -> None:
         self.index.apply_note(
             KeptNote(
-                worker=keeper,
+                worker=holder,
                 life="a",
                 sequence=1,
                 whole=True,
@@ -88,36 +88,38 @@
             )
         )
 
-    def others_than(self, worker: str) -> list[str]:
+    def all_but(self, worker: str) -> list[str]:
         return [name for name in self.backends if name != worker]
 
     def test_no_worker_is_asked_for_more_than_its_memory_while_another_has_room(self) -> None:
         full = self.choose(12_000, 2_000).backend.name
-        self.keep(full, 12_000)
+        self.report_cached(full, 12_000)
         self.loads.begin(full, 0, 90_000)
-        self.assertNotEqual(self.choose(12_000, 2_000).backend.name, full, "although it keeps the shared part")
-        for name in self.others_than(full):
+        self.assertNotEqual(self.choose(12_000, 2_000).backend.name, full, "although it caches the shared part")
+        for name in self.all_but(full):
             self.loads.begin(name, 0, 99_000)
-        self.assertEqual(self.choose(12_000, 2_000).backend.name, full, "all lack room: the one that lacks least")
+        self.assertEqual(
+            self.choose(12_000, 2_000).backend.name, full, "all exceed their memory: the one that exceeds it least"
+        )
 
     def test_long_prompts_spare_some_workers_only_while_there_is_much_to_read(self) -> None:
         chosen = {self.choose(9_000, 500, name=f"n{n}-").backend.name for n in range(200)}
         self.assertEqual(len(chosen), 6, "all idle")
         for name in self.backends:
             self.loads.begin(name, 20_000, 20_000)
-        busy = {self.choose(9_000, 500, name=f"m{n}-").backend.name for n in range(200)}
-        self.assertEqual(len(busy), 4, "all with as much to read")
-        for name in busy:
+        unreserved = {self.choose(9_000, 500, name=f"m{n}-").backend.name for n in range(200)}
+        self.assertEqual(len(unreserved), 4, "all with the same prefill backlog")
+        for name in unreserved:
             self.loads.begin(name, 90_000, 20_000)
-        self.assertNotIn(self.choose(9_000, 500, name="late-").backend.name, busy, "the others are much busier")
+        self.assertNotIn(self.choose(9_000, 500, name="late-").backend.name, unreserved, "the others are much busier")
 
     def test_short_prompts_go_where_nothing_long_is_read(self) -> None:
-        for name in self.others_than("w3"):
+        for name in self.all_but("w3"):
             self.loads.begin(name, 9_000, 9_500)
         self.assertEqual(self.choose(50, 200).backend.name, "w3")
 
     def test_a_short_prompt_goes_back_to_its_keeper_unless_that_is_much_busier(self) -> None:
-        self.keep("w5", 60, 40)
+        self.report_cached("w5", 60, 40)
         for _ in range(15):
             self.loads.begin("w5", 0, 200)
         self.assertEqual(self.choose(60, 40, 200).backend.name, "w5")
@@ -126,41 +128,43 @@
 
     def test_what_was_read_counts_as_kept_from_the_first_event_until_the_worker_tells(self) -> None:
         worker = self.choose(9_000, 500).backend.name
-        self.assertEqual(self.choose(9_000, 500).missing_tokens, 9_500, "it is not read yet")
-        self.placer.expect_cached(worker, "salt", ["p0"])
+        self.assertEqual(self.choose(9_000, 500).missing_tokens, 9_500, "not prefilled yet")
+        self.selector.expect_cached(worker, "salt", ["p0"])
         self.loads.begin(worker, 2_000, 9_600)
-        again = self.choose(9_000, 500)
-        self.assertEqual((again.backend.name, again.missing_tokens), (worker, 500))
-        self.bench.now_micros += 2 * SECOND
-        self.assertEqual(self.choose(9_000, 500).missing_tokens, 9_500, "the worker told nothing of it")
+        second_choice = self.choose(9_000, 500)
+        self.assertEqual((second_choice.backend.name, second_choice.missing_tokens), (worker, 500))
+        self.runtime.now_micros += 2 * SECOND
+        self.assertEqual(self.choose(9_000, 500).missing_tokens, 9_500, "the worker never reported it")
 
     def test_what_a_keeper_has_is_fetched_though_reading_would_be_somewhat_quicker(self) -> None:
-        self.keep("k", 9_000)
+        self.report_cached("k", 9_000)
         choice = self.choose(9_000, 500)
         self.assertEqual((choice.fetch_from, choice.missing_tokens), (self.store.store_address, 500))
         self.store.__dict__["link_mbps"] = 20_000.0
-        self.assertEqual(self.choose(9_000, 500).fetch_from, "", "three times as long as reading")
+        self.assertEqual(self.choose(9_000, 500).fetch_from, "", "three times as long as prefill")
 
     def test_a_caller_that_has_a_part_of_its_answer_goes_on_with_the_newest_weights(self) -> None:
-        """Another node may have given it that part by them, long before most workers have them."""
+        """Another node may have served the first part with the newest weights, before most workers have loaded them."""
         for newest in ("w4", "w2"):
-            self.placer.versions.record(newest, "l", 2)
+            self.selector.versions.record(newest, "l", 2)
             self.loads.begin(newest, 50_000, 50_000)
         for tokens in ((50, 200), (9_000, 500)):
-            self.assertEqual(self.choose(*tokens).version, 1, "the others are idle")
+            self.assertEqual(self.choose(*tokens).version, 1, "workers on the older weights are idle")
             resumed = self.choose(*tokens, last_event_id="3")
             self.assertEqual(resumed.version, 2)
             self.assertIn(resumed.backend.name, ("w2", "w4"))
         self.loads.record_failure("w2")
         self.loads.record_failure("w4")
-        self.assertEqual(self.choose(50, 200, last_event_id="3").version, 1, "none of them can be asked")
+        self.assertEqual(
+            self.choose(50, 200, last_event_id="3").version, 1, "all workers on the newest weights are backed off"
+        )
 
     def test_where_word_of_others_is_late_each_long_part_has_a_few_workers(self) -> None:
-        """One worker that seems idle is not chosen by all nodes at once; a busy home is still passed by."""
-        for name in self.others_than("w3"):
+        """With late reports, all nodes would choose the one worker that seems idle. A busy home worker is avoided."""
+        for name in self.all_but("w3"):
             self.loads.begin(name, 12_000, 12_000)
         self.assertEqual({self.choose(9_000, 500, name=f"a{n}-").backend.name for n in range(60)}, {"w3"})
-        self.placer.are_load_reports_late = lambda: True
+        self.selector.are_load_reports_late = lambda: True
         chosen = {self.choose(9_000, 500, name=f"a{n}-").backend.name for n in range(60)}
         self.assertGreater(len(chosen), 3)
         home = self.choose(9_000, 500, name="b").backend.name
@@ -168,16 +172,16 @@
         self.assertNotEqual(self.choose(9_000, 500, name="b").backend.name, home)
 
     def test_where_word_of_others_is_late_a_keeper_that_is_no_home_is_chosen_all_the_same(self) -> None:
-        self.placer.are_load_reports_late = lambda: True
+        self.selector.are_load_reports_late = lambda: True
         homes = set()
         for _ in range(4):
             homes.add(home := self.choose(9_000, 500, name="c").backend.name)
             self.loads.begin(home, 90_000, 90_000)
         self.loads.own.clear()
         self.loads.totals_until = 0
-        keeper = min(set(self.backends) - homes)
-        self.keep(keeper, 9_000, name="c")
-        self.assertEqual(self.choose(9_000, 500, name="c").backend.name, keeper)
+        holder = min(set(self.backends) - homes)
+        self.report_cached(holder, 9_000, name="c")
+        self.assertEqual(self.choose(9_000, 500, name="c").backend.name, holder)
 
     def test_what_was_seen_of_an_engine_scales_all_that_is_reckoned_of_it(self) -> None:
         expected_micros = self.choose(9_000, 500).expected_micros
@@ -189,7 +193,7 @@
         for name in self.backends:
             self.loads.begin(name, 20_000, 20_000)
         chosen = {self.choose(9_000, 500, name=f"m{n}-").backend.name for n in range(200)}
-        self.assertEqual(len(chosen), 6, "it is read soon: no worker is spared")
+        self.assertEqual(len(chosen), 6, "the backlog is short: no worker is reserved")
 
     def test_the_reckoning_does_not_hold_the_pace_that_it_teaches(self) -> None:
         choice = self.choose(9_000, 500)
@@ -198,5 +202,5 @@
             for _ in range(100):
                 self.loads.learn_slowdown(name, 9_500, choice.expected_micros, 2 * choice.expected_micros)
             self.assertAlmostEqual(self.loads.slowdown_of(name), 2.0, places=2)
-        self.bench.now_micros += 10 * SECOND
+        self.runtime.now_micros += 10 * SECOND
         self.assertEqual(self.choose(9_000, 500).expected_micros, choice.expected_micros)
--- a/tests/test_router_costs.py
+++ b/tests/test_router_costs.py
@@ -1,4 +1,4 @@
-"""CostEstimator: rates are learned within bounds, and unknown ones have defaults."""
+"""CostEstimator: rates are learned from samples within bounds; unknown ones come from the line or a default."""
 
 from __future__ import annotations
 
--- a/tests/test_router_index.py
+++ b/tests/test_router_index.py
@@ -1,4 +1,4 @@
-"""CopyIndex: which reports of cached parts count."""
+"""CopyIndex: which cache reports count for a worker's loaded weights."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
         index = CopyIndex()
         load = LoadRecord(line="l", life="A", fence=1, weights_revision=1, sequence=10)
         index.apply_cache_report("w", "A", 5, 9, ["k1"], [], False)
-        self.assertEqual(index.longest_cached_prefix("w", load, ["k1"]), 0, "kept before the load")
+        self.assertEqual(index.longest_cached_prefix("w", load, ["k1"]), 0, "cached before the load")
         index.apply_cache_report("w", "A", 9, 12, ["k2"], [], False)
-        self.assertEqual(index.longest_cached_prefix("w", load, ["k2"]), 0, "span begins before the load")
+        self.assertEqual(index.longest_cached_prefix("w", load, ["k2"]), 0, "the span begins before the load")
         index.apply_cache_report("w", "A", 12, 13, ["k1", "k3"], [], False)
         self.assertEqual(index.longest_cached_prefix("w", load, ["k1", "k3", "k4"]), 2)
         index.apply_cache_report("w", "A", 9, 12, [], ["k3"], False)
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -1,4 +1,4 @@
-"""JobScheduler: which worker runs a job, and from where it fetches parts."""
+"""JobScheduler: which worker runs a job, and from which worker or store it fetches parts."""
 
 from __future__ import annotations
 
@@ -23,17 +23,19 @@
 
 
 class NominatorTest(unittest.TestCase):
-    """Three workers on weights of revision 5; parts 1 and 2 of a kept tenant; a store."""
+    """Three workers on weights of revision 5, a store, and jobs of a tenant with prefix parts 1 and 2."""
 
     def setUp(self) -> None:
-        self.bench = FakeRuntime()
-        rpc_endpoint = RpcEndpoint("me", "a:1", self.bench, self.bench)
-        directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, self.bench, random.Random(1))
+        self.runtime = FakeRuntime()
+        rpc_endpoint = RpcEndpoint("me", "a:1", self.runtime, self.runtime)
+        directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, self.runtime, random.Random(1))
         task_group = BackgroundTaskGroup("t")
-        keeper = ViewReplica(rpc_endpoint, directory, self.bench, random.Random(1), task_group, SECOND)
-        self.listener = RevisionListener(rpc_endpoint, directory, self.bench, random.Random(1), task_group, 30 * SECOND)
+        view_replica = ViewReplica(rpc_endpoint, directory, self.runtime, random.Random(1), task_group, SECOND)
+        self.listener = RevisionListener(
+            rpc_endpoint, directory, self.runtime, random.Random(1), task_group, 30 * SECOND
+        )
         self.index = CopyIndex()
-        self.nominator = JobScheduler(keeper, self.listener, self.index, self.bench, 8 * SECOND)
+        self.scheduler = JobScheduler(view_replica, self.listener, self.index, self.runtime, 8 * SECOND)
         names = ("w1", "w2", "w3")
         self.view = View()
         self.entry = CapabilityEntry("e", "l", ["*"], ["k"], "models")
@@ -45,10 +47,10 @@
             loads={n: LoadRecord("l", f"life-{n}", 1, 5, 10, "x") for n in names},
             weights={"l": WeightsRecord("x", 5)},
         )
-        keeper.view = self.view
-        self.know(True)
+        view_replica.view = self.view
+        self.set_revisions_known(True)
 
-    def know(self, is_known: bool) -> None:
+    def set_revisions_known(self, is_known: bool) -> None:
         self.listener.revision_of("tenant:t", "l", 1)
         self.listener.volumes["tenant:t", "l"].expiry_micros = 2**60 if is_known else 0
 
@@ -56,34 +58,34 @@
         request = JobRequest("l", "k", "b", [PrefixPart(1, 500), PrefixPart(2, 1_000)])
         return Job(request, "j", 0, self.view, 2**60, tenant or Tenant("t", []), self.entry)
 
-    def keep(self, worker: str, length: int = 2, weights_revision: int = 5, life: str = "") -> None:
+    def report_cached(self, worker: str, length: int = 2, weights_revision: int = 5, life: str = "") -> None:
         keys = chain_keys("tenant:t", "l", weights_revision, [(1, 1), (2, 1)])[:length]
         self.index.apply_cache_report(worker, life or f"life-{worker}", 10, 12, keys, [], False)
         self.index.record_verified_keys(self.view.loads.get(worker), life or f"life-{worker}", 10, keys)
 
     def place(self, job: Job | None = None) -> Placement:
-        return self.nominator.schedule_job(job or self.job()).unwrap()
+        return self.scheduler.schedule_job(job or self.job()).unwrap()
 
     def test_the_keeper_is_chosen_until_its_wait_outgrows_the_prefill(self) -> None:
-        self.keep("w2")
+        self.report_cached("w2")
         self.assertEqual((self.place().worker.name, self.place().reused_parts), ("w2", 2))
-        self.nominator.record_load_report("w2", 0, 1_400)
+        self.scheduler.record_load_report("w2", 0, 1_400)
         self.assertEqual(self.place().worker.name, "w2")
-        self.nominator.record_load_report("w2", 0, 1_600)
+        self.scheduler.record_load_report("w2", 0, 1_600)
         self.assertNotEqual(self.place().worker.name, "w2")
-        self.nominator.record_load_report("w2", 0, 0)
-        self.nominator.record_remote_start("w2", 1_600)
+        self.scheduler.record_load_report("w2", 0, 0)
+        self.scheduler.record_remote_start("w2", 1_600)
         self.assertNotEqual(self.place().worker.name, "w2", "another node's prefill")
-        self.nominator.record_load_report("w2", 5, 0)
-        self.assertNotEqual(self.place().worker.name, "w2", "over the bound of the load")
+        self.scheduler.record_load_report("w2", 5, 0)
+        self.assertNotEqual(self.place().worker.name, "w2", "over the load limit")
 
     def test_nothing_is_reused_or_fetched_that_is_not_current_tied_and_its_own(self) -> None:
-        self.keep("w2")
-        self.know(False)
+        self.report_cached("w2")
+        self.set_revisions_known(False)
         placement = self.place()
         self.assertEqual((placement.keys, placement.salt, placement.fetch_from), ([], "job:j", None))
-        self.know(True)
-        self.listener.volumes["tenant:t", "l"].changing[2] = (b"t", self.bench.now())
+        self.set_revisions_known(True)
+        self.listener.volumes["tenant:t", "l"].changing[2] = (b"t", self.runtime.now())
         self.assertEqual(len(self.place().keys), 1, "the chain ends before a part that changes")
         self.listener.volumes["tenant:t", "l"].changing.clear()
         other = Tenant("other", [])
@@ -92,72 +94,74 @@
         placement = self.place(self.job(other))
         self.assertEqual((placement.reused_parts, placement.fetch_from), (0, None), "another tenant's")
         self.index.copies.clear()
-        self.keep("w2", weights_revision=4)
+        self.report_cached("w2", weights_revision=4)
         self.assertEqual((self.place().reused_parts, self.place().fetch_from), (0, None), "other weights")
-        self.keep("w2", life="another")
+        self.report_cached("w2", life="another")
         self.assertEqual((self.place().reused_parts, self.place().fetch_from), (0, None), "another life")
 
     def test_a_fetch_is_planned_only_where_it_is_quicker(self) -> None:
-        self.keep("w2")
-        self.nominator.record_load_report("w2", 5, 0)
+        self.report_cached("w2")
+        self.scheduler.record_load_report("w2", 5, 0)
         placement = self.place()
         assert placement.fetch_from is not None
         self.assertEqual((placement.fetch_from.name, placement.fetch_parts), ("w2", 2))
         self.assertEqual(placement.fetch_limit_micros, 150_000)
         for _ in range(20):
-            self.nominator.costs.record_fetch("w2", placement.worker.name, 1_000, 200_000)
-        self.assertIsNone(self.place().fetch_from, "a link that slowed down")
+            self.scheduler.costs.record_fetch("w2", placement.worker.name, 1_000, 200_000)
+        self.assertIsNone(self.place().fetch_from, "the link has slowed down")
 
     def test_a_stores_list_counts_only_for_keys_that_a_tied_worker_made(self) -> None:
         keys = chain_keys("tenant:t", "l", 5, [(1, 1), (2, 1)])
         self.index.apply_cache_report("store", "s", 0, 9, keys, [], True)
         self.assertIsNone(self.place().fetch_from)
         self.index.record_verified_keys(self.view.loads["w1"], "life-w1", 9, keys)
-        self.assertIsNone(self.place().fetch_from, "told of before the load")
+        self.assertIsNone(self.place().fetch_from, "reported as cached before the load")
         self.index.record_verified_keys(self.view.loads["w1"], "life-w1", 10, keys)
         fetch_from = self.place().fetch_from
         assert fetch_from is not None
         self.assertEqual(fetch_from.name, "store")
 
     def test_told_unsoundness_decides_only_while_others_are_left(self) -> None:
-        self.keep("w2")
-        self.nominator.record_reported_unhealthy("w2")
+        self.report_cached("w2")
+        self.scheduler.record_reported_unhealthy("w2")
         self.assertNotEqual(self.place().worker.name, "w2")
-        self.nominator.record_reported_unhealthy("w1")
-        self.nominator.record_reported_unhealthy("w3")
-        self.assertEqual(self.place().worker.name, "w2", "a holder that is cut off tells all unsound")
-        self.bench.now_micros += REPORTED_UNHEALTHY_MICROS
+        self.scheduler.record_reported_unhealthy("w1")
+        self.scheduler.record_reported_unhealthy("w3")
+        self.assertEqual(self.place().worker.name, "w2", "a lease holder that is cut off reports all workers unhealthy")
+        self.runtime.now_micros += REPORTED_UNHEALTHY_MICROS
         self.assertEqual(self.place().worker.name, "w2")
 
     def test_a_job_that_can_not_begin_in_time_is_refused_at_once(self) -> None:
         for worker in ("w1", "w2", "w3"):
-            self.nominator.record_load_report(worker, 0, 50_000)
+            self.scheduler.record_load_report(worker, 0, 50_000)
         job = self.job()
-        job.deadlineMicros = self.bench.now() + 4 * SECOND
-        self.assertEqual(self.nominator.schedule_job(job).unwrap_err().kind, ErrorKind.OVERLOADED)
+        job.deadlineMicros = self.runtime.now() + 4 * SECOND
+        self.assertEqual(self.scheduler.schedule_job(job).unwrap_err().kind, ErrorKind.OVERLOADED)
 
     def test_a_wrong_estimate_puts_itself_right_on_an_idle_worker(self) -> None:
         for worker in ("w1", "w2", "w3"):
-            self.nominator.costs.record_stream("e", worker, 60 * SECOND)
+            self.scheduler.costs.record_stream("e", worker, 60 * SECOND)
         job = self.job()
-        job.deadlineMicros = self.bench.now() + 4 * SECOND
-        self.assertIn(self.nominator.schedule_job(job).unwrap().worker.name, ("w1", "w2", "w3"))
+        job.deadlineMicros = self.runtime.now() + 4 * SECOND
+        self.assertIn(self.scheduler.schedule_job(job).unwrap().worker.name, ("w1", "w2", "w3"))
         for worker in ("w1", "w2", "w3"):
-            self.nominator.begin(worker, 0)
-        self.assertEqual(self.nominator.schedule_job(job).unwrap_err().kind, ErrorKind.OVERLOADED)
+            self.scheduler.begin(worker, 0)
+        self.assertEqual(self.scheduler.schedule_job(job).unwrap_err().kind, ErrorKind.OVERLOADED)
 
     def test_old_weights_serve_only_a_while_and_only_where_the_roll_out_was_seen(self) -> None:
         self.view.__dict__["weights"] = {"l": WeightsRecord("y", 6)}
-        self.assertEqual(self.nominator.schedule_job(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER)
-        keeper = self.nominator.keeper
-        keeper.first_seen["l", 6] = keeper.named_after["l", 6] = self.bench.now()
-        self.assertEqual(self.place().worker.name, "w3", "the first wave is left alone")
+        self.assertEqual(self.scheduler.schedule_job(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER)
+        view_replica = self.scheduler.view_replica
+        view_replica.first_seen["l", 6] = view_replica.named_after["l", 6] = self.runtime.now()
+        self.assertEqual(self.place().worker.name, "w3", "workers of the first wave get no jobs")
         self.assertEqual(self.place().weights_name, "x")
-        self.bench.now_micros += 6 * SECOND
+        self.runtime.now_micros += 6 * SECOND
         self.view.__dict__["weights"] = {"l": WeightsRecord("z", 7)}
-        keeper.first_seen["l", 7] = keeper.named_after["l", 7] = self.bench.now()
+        view_replica.first_seen["l", 7] = view_replica.named_after["l", 7] = self.runtime.now()
         self.assertEqual(self.place().weights_name, "x")
-        self.bench.now_micros += 2 * SECOND
+        self.runtime.now_micros += 2 * SECOND
         self.assertEqual(
-            self.nominator.schedule_job(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER, "a naming granted time anew"
+            self.scheduler.schedule_job(self.job()).unwrap_err().kind,
+            ErrorKind.NO_WORKER,
+            "a later naming extended the grace period",
         )
--- a/tests/test_router_wave.py
+++ b/tests/test_router_wave.py
@@ -18,9 +18,9 @@
         self.assertEqual(first_wave(view, "s", 6), ["w1", "w2", "w3"])
         loads["w1"] = LoadRecord("l", "life", 1, 6, 0)
         self.assertEqual(first_wave(view, "s", 6), ["w2", "w3"], "the wave stays the same as it loads")
-        self.assertEqual(first_wave(view, "s", 7), ["w2", "w3", "w4"], "what was just loaded comes last")
+        self.assertEqual(first_wave(view, "s", 7), ["w2", "w3", "w4"], "workers that have just loaded come last")
         loads["w5"] = loads["w3"] = loads["w1"]
         self.assertEqual(first_wave(view, "s", 6), [])
         self.assertTrue(is_wave_serving(view, "s", 6) and not is_wave_serving(view, "s", 7))
         workers["w9"] = WorkerRecord("w9", "a", "z", "s", leaving=False)
-        self.assertTrue(is_wave_serving(view, "s", 6), "a new one that is not loaded holds no wave up")
+        self.assertTrue(is_wave_serving(view, "s", 6), "a new worker without weights does not delay the wave")
--- a/tests/test_weights_clock.py
+++ b/tests/test_weights_clock.py
@@ -1,4 +1,4 @@
-"""How long old weights may still be used at a node that has just started."""
+"""WeightsGracePeriod: how long old weights may still be used, also at a node that has just started."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 OLD_MICROS = 6 * SECOND
 
 
-def naming(index: int, version: int) -> TermResult:
-    """A whole view in which these weights are the present ones."""
+def make_term_result(index: int, version: int) -> TermResult:
+    """A whole view in which this version is the current one."""
     body = json.dumps({LINE: {"weights": str(version), "revision": index}}).encode()
     sections = {**View().sections, "weights": (index, body)}
     delta = ViewDelta(index=index, hash=hash_sections(sections))
@@ -31,47 +31,47 @@
 
 class WeightsClockTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = FakeRuntime()
-        rpc_endpoint = RpcEndpoint("me", "a:1", self.bench, self.bench)
-        directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, self.bench, random.Random(1))
-        self.keeper = ViewReplica(
-            rpc_endpoint, directory, self.bench, random.Random(1), BackgroundTaskGroup("test"), SECOND
+        self.runtime = FakeRuntime()
+        rpc_endpoint = RpcEndpoint("me", "a:1", self.runtime, self.runtime)
+        directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, self.runtime, random.Random(1))
+        self.view_replica = ViewReplica(
+            rpc_endpoint, directory, self.runtime, random.Random(1), BackgroundTaskGroup("test"), SECOND
         )
-        self.clock = WeightsGracePeriod(self.bench, self.keeper, OLD_MICROS)
+        self.grace_period = WeightsGracePeriod(self.runtime, self.view_replica, OLD_MICROS)
 
-    def take(self, index: int, version: int) -> None:
-        """A view comes in, as from a core, and the node knows itself current."""
-        self.keeper._apply_view_delta(naming(index, version))
-        self.keeper.current_at = self.bench.now()
+    def apply_view(self, index: int, version: int) -> None:
+        """Applies a view as if a core had sent it; the node then knows that its view is current."""
+        self.view_replica._apply_view_delta(make_term_result(index, version))
+        self.view_replica.current_at = self.runtime.now()
 
     def may_use(self, version: int) -> bool:
-        return self.clock.may_use(self.keeper.view, LINE, version)
+        return self.grace_period.may_use(self.view_replica.view, LINE, version)
 
     def test_old_weights_serve_for_a_while_after_newer_ones_were_named(self) -> None:
-        self.take(1, 1)
+        self.apply_view(1, 1)
         self.assertTrue(self.may_use(1))
-        self.take(2, 2)
+        self.apply_view(2, 2)
         self.assertTrue(self.may_use(1))
-        self.bench.now_micros += OLD_MICROS
+        self.runtime.now_micros += OLD_MICROS
         self.assertFalse(self.may_use(1))
         self.assertTrue(self.may_use(2))
 
     def test_a_node_that_starts_grants_weights_before_the_present_ones_nothing(self) -> None:
-        self.take(2, 2)
+        self.apply_view(2, 2)
         self.assertFalse(self.may_use(1))
 
     def test_so_it_stays_if_others_are_named_before_its_first_request(self) -> None:
-        """Nobody asks before the first request; what was named until then counts all the same."""
-        self.take(2, 2)
-        self.take(3, 3)
+        """Nothing calls `may_use` before the first request; versions named until then count all the same."""
+        self.apply_view(2, 2)
+        self.apply_view(3, 3)
         self.assertFalse(self.may_use(1), "2 was named before this node started")
         self.assertTrue(self.may_use(2))
 
     def test_each_naming_counts_from_its_own_time_if_no_request_comes_between(self) -> None:
-        self.take(1, 1)
-        self.take(2, 2)
-        self.bench.now_micros += OLD_MICROS
-        self.keeper.current_at = self.bench.now()
-        self.take(3, 3)
+        self.apply_view(1, 1)
+        self.apply_view(2, 2)
+        self.runtime.now_micros += OLD_MICROS
+        self.view_replica.current_at = self.runtime.now()
+        self.apply_view(3, 3)
         self.assertFalse(self.may_use(1))
         self.assertTrue(self.may_use(2))
