--- a/src/pearhead/router/cost_estimator.py
+++ b/src/pearhead/router/cost_estimator.py
@@ -15,7 +15,8 @@
 class CostEstimator:
     """Exponentially weighted moving averages; rates are in microseconds per token.
 
-    A worker without samples gets the median of the line's other workers, or the initial value if there are none.
+    For prefill and streaming, a worker without samples gets the median of the other workers, of the same line or entry;
+    without those, and for an unknown link, the initial value counts.
     """
 
     def __init__(self) -> None:
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -278,7 +278,7 @@
     def _candidates_in_roll_out(
         self, view: View, job: Job, candidates: list[WorkerRecord], on_current_weights: list[WorkerRecord]
     ) -> list[WorkerRecord]:
-        """Narrows the candidates while some of them are still on older weights (§7.3)."""
+        """Narrows the candidates while some of them are still on older weights."""
         assert job.entry is not None
         line = job.entry.line
         current = view.weights[line]
--- a/src/pearhead/router/worker_selector.py
+++ b/src/pearhead/router/worker_selector.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class WorkerChoice:
-    """A worker chosen for a request, with what it is told about cached parts.
+    """The worker chosen for a request, and how the request uses cached parts there.
 
     `missing_tokens` are prefilled by the worker. `kept_tokens` include what it fetches from the address `fetch_from`.
     `save_to` is the address of a store that should get a copy of the shared parts. `expected_micros` is the estimated
--- a/src/pearhead/router/worker_version_table.py
+++ b/src/pearhead/router/worker_version_table.py
@@ -59,7 +59,7 @@
     def apply_note(self, note: ModelNote) -> bool:
         """Applies a note from a node that orders a load, sent when the load begins and ends.
 
-        Returns whether the note told anything new.
+        Returns whether the note contained anything new.
         """
         known = self.workers.setdefault(note.worker, _WorkerVersions())
         if note.loading:
