--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -175,11 +175,11 @@
             self.loads,
             CacheSaltBuilder(self.listener),
             self.weights_grace_period.may_use,
-            self._sample,
+            self._sample_candidates,
             self.relay.is_active,
         )
         budget = FleetRetryBudget(clock, settings.retry_ratio, settings.retry_slack, settings.retry_window_micros)
-        self.reads = PrefillTracker(clock, self.placer.expect_cached, self._announce_read)
+        self.reads = PrefillTracker(clock, self.placer.expect_cached, self._announce_prefill)
         self.rpc_endpoint.on_message("read_note", self._handle_read_note)
         self.drain = DrainState(clock, settings.drain_schedule, self._record_drain_violation)
         self.gate = RequestProxy(
@@ -282,7 +282,7 @@
         is_fresh = self.rosters.is_fresh_within(bound_micros)
         self.invariants.check(Invariant.ROSTER_IS_FRESH, is_fresh, self.rosters.age_micros())
 
-    def _sample(self, backends: list[Backend]) -> list[Backend]:
+    def _sample_candidates(self, backends: list[Backend]) -> list[Backend]:
         """Picks a few workers at random to choose from, while load reports go through relays (§8.8).
 
         Relayed reports are late and the same for all nodes, which would otherwise all choose the same worker.
@@ -306,7 +306,7 @@
                 last_sent_micros = now_micros
                 self._broadcast_use()
 
-    def _announce_read(self, note: ReadNote) -> None:
+    def _announce_prefill(self, note: ReadNote) -> None:
         """Announces a long prefill to all nodes at once (§8.8).
 
         Until the next periodic report other nodes would send long prompts to the same worker.
--- a/src/pearhead/router/main.py
+++ b/src/pearhead/router/main.py
@@ -64,7 +64,7 @@
 
 
 class RouterCommand:
-    """A front node of pearhead."""
+    """A router node of pearhead."""
 
     def run(self, startup: str = "", **flags: Any) -> None:
         """Serves until SIGTERM. Flags are startup fields, such as --address=127.0.0.1:7001."""
--- a/src/pearhead/router/view_replica.py
+++ b/src/pearhead/router/view_replica.py
@@ -113,10 +113,10 @@
             dict.fromkeys(self.core_addresses() + [r.address for r in self.directory.members("control_plane")])
         )
         reported_indexes: dict[str, int] = {}
-        has_quorum_answered = False
+        is_counted = False
 
         async def ask_core(address: str) -> None:
-            nonlocal has_quorum_answered
+            nonlocal is_counted
             response = await self.rpc_endpoint.call(
                 address, "term_ask", TermAsk(have_index=NO_DELTA), VIEW_ASK_TIMEOUT_MICROS
             )
@@ -130,8 +130,8 @@
             if result.member:
                 reported_indexes[address] = result.last_visible_index
             reporting_voters = {i: a for i, a in self.membership.voters.items() if a in reported_indexes}
-            if not has_quorum_answered and self.membership.has_quorum(reporting_voters):
-                has_quorum_answered = True
+            if not is_counted and self.membership.has_quorum(reporting_voters):
+                is_counted = True
                 self.pending_confirmations.append(
                     (asked_micros, max(reported_indexes[a] for a in reporting_voters.values()))
                 )
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -64,6 +64,8 @@
 
 @dataclass
 class _WorkerLease:
+    """A lease held by this node; `claimed_life` is the worker's life that has confirmed the fence, or "" if none."""
+
     fence: int
     valid_until: int
     renew_at: int
@@ -73,6 +75,8 @@
 
 @dataclass
 class _PollState:
+    """The last poll of a worker: where its events continue, and its load (running jobs, waiting tokens)."""
+
     life: str = ""
     sequence: int = 0
     load: tuple[int, int] = (0, 0)
@@ -261,7 +265,7 @@
     def _may_load(self, view: View, worker: WorkerRecord, line: str, revision: int, poll_state: _PollState) -> bool:
         """Whether the worker may load now: workers load in two waves, so that one half serves (§7.3).
 
-        The first wave loads at once, the second when the first serves or is late. Nodes send a worker no jobs once
+        The first wave loads immediately, the second when the first serves or is late. Nodes send a worker no jobs once
         its wave has begun. Its last jobs are waited for, up to a limit: not every worker lets them end before it loads.
         """
         now_micros = self.clock.now()
