--- a/src/pearhead/router/admission.py
+++ b/src/pearhead/router/admission.py
@@ -1,4 +1,4 @@
-"""AdmissionController (§8.3): places by entry, bounded queues, and turns between tenants."""
+"""AdmissionController (§8.3): a concurrency limit and a bounded queue per entry, with fairness between tenants."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 EWMA_WEIGHT = 0.1
 MAX_RETRY_AFTER_MICROS = 12 * SECOND
-# Ok(True): it may begin. Ok(False): its entry moved, and it queues anew. Err: it can't run any more.
+# Ok(True): the job may begin. Ok(False): its entry changed, so it has to queue again. Err: it can't run any more.
 AdmissionResult = Result[bool, Refusal]
 
 
@@ -44,7 +44,7 @@
         self.last_retry_micros = 0
 
     def next_retry_micros(self, wait_micros: int, concurrency: int, now_micros: int) -> int:
-        """When to come back: a turn of its own behind those who were told before (§8.2)."""
+        """Returns the retry delay for a rejected client: a slot of its own, behind those given out before (§8.2)."""
         self.last_retry_micros = max(self.last_retry_micros, now_micros + wait_micros) + int(
             self.mean_micros / concurrency
         )
@@ -52,27 +52,38 @@
         return self.last_retry_micros - now_micros
 
     def expected_wait(self, entry: CapabilityEntry, tenant_name: str) -> float:
-        """Turns go round the waiting tenants, so a tenant waits for its own queue times theirs."""
+        """Estimates the wait of a tenant's next job, in microseconds.
+
+        Slots go round the waiting tenants, so the jobs ahead are the tenant's own waiting ones times the number of
+        waiting tenants.
+        """
         own_count = len(self.waiters_by_tenant.get(tenant_name, ()))
         ahead_count = min(self.waiting_count, own_count * max(1, len(self.waiters_by_tenant)))
         return self.mean_micros * (ahead_count + 1) / entry.concurrency
 
 
 class AdmissionController:
+    """Admits jobs to their entries; at the concurrency limit they wait in a queue that the tenants share fairly."""
+
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.queues: dict[str, _EntryQueue] = {}
 
     async def admit(self, job: Job) -> AdmissionResult:
+        """Waits until the job may begin; the caller then has to call `release_slot` when the job ends.
+
+        Refuses at once where the queue or the tenant's share of it is full, or the job would not start before its
+        deadline, and later when the deadline passes in the queue. A cancelled call leaves the queue.
+        """
         assert job.entry is not None and job.tenant is not None
         entry, tenant_name = job.entry, job.tenant.name
         queue = self.queues.setdefault(entry.name, _EntryQueue())
         if queue.running_count < entry.concurrency and not queue.waiting_count:
-            self._begin(queue, tenant_name)
+            self._occupy_slot(queue, tenant_name)
             return Ok(True)
         wait_micros = int(queue.expected_wait(entry, tenant_name))
         own_count = len(queue.waiters_by_tenant.get(tenant_name, ()))
-        # A tenant may fill no more than its share of the queue, so that others find room.
+        # Caps each tenant at its share of the queue, to leave room for others.
         share_limit = max(1, entry.queueLimit // max(2, len(queue.waiters_by_tenant)))
         if queue.waiting_count >= entry.queueLimit:
             retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
@@ -81,7 +92,7 @@
             retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
             return Err(Refusal(ErrorKind.TENANT_BUSY, "the tenant's share of the queue is full", retry_after_micros))
         if wait_micros > job.left_micros(self.clock.now()):
-            # Told at once: waiting to the deadline would only hide it (§8.3).
+            # Refused at once: waiting until the deadline would only delay the same answer (§8.3).
             retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
             return Err(Refusal(ErrorKind.OVERLOADED, "its turn would come after its deadline", retry_after_micros))
         waiter = _Waiter(job, asyncio.get_running_loop().create_future())
@@ -95,23 +106,25 @@
             )
 
         deadline_timer = self.clock.after(job.left_micros(self.clock.now()), reject_at_deadline)
-        is_over = False
+        was_resolved = False
         try:
             admission_result = await waiter.admission_future
-            is_over = True
+            was_resolved = True
             return admission_result
         finally:
             deadline_timer.cancel()
-            # Out of the queue before the refusal goes out, so that it never runs (§8.3).
+            # Leaves the queue before the refusal is sent, so that a refused job never runs (§8.3).
             self._remove_waiter(queue, tenant_name, waiter)
-            if not is_over and waiter.was_admitted():
+            if not was_resolved and waiter.was_admitted():
+                # Cancelled in the same step as it was admitted.
                 self.release_slot(entry, tenant_name)
 
     def waiting_count(self) -> int:
+        """Returns how many jobs wait, over all entries."""
         return sum(queue.waiting_count for queue in self.queues.values())
 
     def recheck_waiting(self, recheck: Callable[[Job], AdmissionResult]) -> None:
-        """What waits and can't run any more gets its final answer now, not at its turn (§8.3)."""
+        """Resolves waiting jobs for which `recheck` does not return Ok(True), now instead of at their turn (§8.3)."""
         for queue in self.queues.values():
             for waiters in list(queue.waiters_by_tenant.values()):
                 for waiter in list(waiters):
@@ -120,6 +133,10 @@
                         waiter.resolve(admission_result)
 
     def release_slot(self, entry: CapabilityEntry, tenant_name: str, held_micros: int = 0) -> None:
+        """Frees the slot of an ended job and admits the next ones.
+
+        `held_micros`: how long the slot was held, for the mean that wait estimates use; 0 leaves the mean as it is.
+        """
         queue = self.queues[entry.name]
         if held_micros:
             queue.mean_micros += EWMA_WEIGHT * (held_micros - queue.mean_micros)
@@ -132,7 +149,7 @@
                 break
 
     def _wake_next(self, queue: _EntryQueue) -> bool:
-        """The waiting tenant with the fewest running jobs is next; among equals, turns go round."""
+        """Admits a job of the waiting tenant with the fewest running jobs; equals take turns. False if none waits."""
         waiting = [t for t, waiters in queue.waiters_by_tenant.items() if waiters]
         if not waiting:
             return False
@@ -143,11 +160,11 @@
         if not queue.waiters_by_tenant[next_tenant]:
             del queue.waiters_by_tenant[next_tenant]
         if not waiter.admission_future.done():
-            self._begin(queue, next_tenant)
+            self._occupy_slot(queue, next_tenant)
             waiter.resolve(Ok(True))
         return True
 
-    def _begin(self, queue: _EntryQueue, tenant_name: str) -> None:
+    def _occupy_slot(self, queue: _EntryQueue, tenant_name: str) -> None:
         queue.running_count += 1
         queue.running_by_tenant[tenant_name] = queue.running_by_tenant.get(tenant_name, 0) + 1
 
--- a/src/pearhead/router/client_http_server.py
+++ b/src/pearhead/router/client_http_server.py
@@ -1,7 +1,7 @@
-"""ClientConnectionManager (§8.7): the HTTP edge to callers of opaque requests: whole requests in, answers as they come.
+"""ClientConnectionManager (§8.7): the HTTP server for clients; it buffers whole requests and streams responses.
 
-It follows the limits in force for what a caller may send and how long it may take. A connection is only ever ended for
-its time where nothing of it is left to be read, so never one whose request was read whole.
+It enforces the limits in force on what a client may send and how long it may take. A connection is closed for a timeout
+only if it has no unread bytes, so never one whose request was completely read.
 """
 
 from __future__ import annotations
@@ -39,26 +39,26 @@
 
 LOGGER = logging.getLogger("pearhead")
 OpaqueRequestHandler = Callable[[OpaqueRequest, ResponseWriter], Awaitable[None]]
-# A head that is too large is read on this far, so that it can be answered.
+# How far an oversized head is read past its limit, so that it can be answered.
 OVERSIZED_HEAD_MARGIN_BYTES = 65_536
 BODY_TIMEOUT_SECONDS = 30.0
-# So long is the rest of a request that was refused read away, as a caller that still sends may miss the answer.
+# How long the rest of a rejected request is read and discarded: a client that is still sending may miss the response.
 REJECTED_BODY_READ_SECONDS = 2.0
-# Tornado's own bound; the limits in force are checked here.
+# Disables Tornado's own body limit; this module checks the limits in force.
 NO_BODY_LIMIT = 2**62
 MAX_CONTENT_LENGTH_DIGITS = 18
-# At the end no more connections are accepted than this, however fast callers make them.
+# Bounds how many backlogged connections are accepted at shutdown, however fast clients open new ones.
 MAX_FINAL_ACCEPTS = 4_096
 MIN_TIMEOUT_CHECK_MICROS = 20 * MILLI
-# SO_LINGER switched on with no time to linger: closing sends a reset and drops what was not sent.
+# SO_LINGER with a timeout of zero: closing sends a reset and discards unsent data.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-# Limits that became shorter are followed this late at most.
+# The longest delay until a shortened timeout takes effect.
 MAX_TIMEOUT_CHECK_MICROS = SECOND
 
 
 @dataclass(frozen=True)
 class ClientLimits:
-    """What a caller may send and how long it may take; these are the values while none are in force."""
+    """What a client may send and how long it may take. The defaults hold while no limits are in force."""
 
     header_bytes: int = 65_536
     body_bytes: int = 16 * 1024 * 1024
@@ -67,23 +67,25 @@
 
     @classmethod
     def of(cls, limits: Limits) -> ClientLimits:
-        """From a description's; one that is not told keeps its default."""
-        told = {name: getattr(limits, name) for name in cls.__dataclass_fields__}
-        return cls(**{name: value for name, value in told.items() if value > 0})
+        """Returns the limits of a description; a limit that is not positive there keeps its default."""
+        values = {name: getattr(limits, name) for name in cls.__dataclass_fields__}
+        return cls(**{name: value for name, value in values.items() if value > 0})
 
 
 class RequestParser(Protocol):
-    """Reads what came as a request, in the words of the place where the node runs."""
+    """Parses requests and formats errors, in the header and error formats of the platform the node runs on."""
 
     def read(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes, arrived_micros: int
-    ) -> Result[OpaqueRequest, Refusal]: ...
+    ) -> Result[OpaqueRequest, Refusal]:
+        """Parses a request; `arrived_micros` is when its head was complete."""
 
-    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]: ...
+    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
+        """Returns the status, headers and body of an error response; `request` is None if it was not parsed."""
 
 
 class ConnectionResponseWriter:
-    """The caller's end, written as it comes. After a drain began, each answer ends its connection."""
+    """Writes a response to the client as it arrives. During a drain each response closes its connection."""
 
     def __init__(self, connection: HTTPConnection, closes_after_response: Callable[[], bool]) -> None:
         assert isinstance(connection, HTTP1Connection)
@@ -93,38 +95,46 @@
         self.is_over = False
         self.is_delimited_by_close = False
         self.on_disconnect: Callable[[], object] = lambda: None
-        connection.set_close_callback(self._close)
+        connection.set_close_callback(self._on_connection_closed)
 
     def begin(self, status: int, reason: str, headers: HTTPHeaders) -> None:
+        """Writes the status line and headers; an empty `reason` is replaced by the standard phrase."""
         if self.closes_after_response():
             headers["Connection"] = "close"
             self.connection._disconnect_on_finish = True
-        start = ResponseStartLine("HTTP/1.1", status, reason or _reason_phrase(status))
-        self._ignore_write_result(self.connection.write_headers(start, headers))
+        start_line = ResponseStartLine("HTTP/1.1", status, reason or _reason_phrase(status))
+        self._ignore_write_result(self.connection.write_headers(start_line, headers))
         self.is_delimited_by_close = not (self.connection._chunking_output or "Content-Length" in headers)
         if not self.gone:
             self.connection.stream.set_nodelay(True)
 
     def write(self, chunk: bytes) -> None:
+        """Writes a part of the body; dropped if the client is gone."""
         if not self.gone:
             self._ignore_write_result(self.connection.write(chunk))
 
     def finish(self) -> None:
+        """Completes the response."""
         self.is_over = True
         if not self.gone:
             self.connection.finish()
 
     def abort(self) -> None:
-        """Without chunks or a length, a plain close would say that the answer is complete: it is reset instead."""
+        """Cuts the response by closing the connection.
+
+        Without chunked encoding or a length, an orderly close would mark the response as complete, so the connection is
+        reset instead.
+        """
         self.is_over = True
         if self.is_delimited_by_close and not self.is_gone():
             self.connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.connection.close()
 
     def is_gone(self) -> bool:
+        """Returns whether the connection to the client is closed."""
         return self.gone or self.connection.stream is None or self.connection.stream.closed()
 
-    def _close(self) -> None:
+    def _on_connection_closed(self) -> None:
         self.gone = True
         self.on_disconnect()
 
@@ -137,60 +147,65 @@
     def __init__(self, manager: ClientConnectionManager, connection: HTTPConnection) -> None:
         self.manager = manager
         self.connection = connection
-        self.start: Any = None
+        self.start_line: Any = None
         self.headers = HTTPHeaders()
         self.chunks: list[bytes] = []
         self.body_size = 0
         self.arrived_micros = 0
-        self.refused: ConnectionResponseWriter | None = None
+        self.rejection_writer: ConnectionResponseWriter | None = None
 
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
         assert isinstance(start_line, RequestStartLine)
-        self.start, self.headers = start_line, headers
+        self.start_line, self.headers = start_line, headers
         self.arrived_micros = self.manager.clock.now()
         stream = self.manager.complete_head(self.connection)
         self.manager.reading[self] = None
         if not self.manager.drain.may_accept():
             self.refuse_draining()
         elif stream.is_head_too_large:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+            self._reject_too_large(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         elif _declared_content_length(headers) > self.manager.limits().body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            self._reject_too_large(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def data_received(self, chunk: bytes) -> None:
-        if self.refused is not None:
+        if self.rejection_writer is not None:
             return
         self.chunks.append(chunk)
         self.body_size += len(chunk)
         if self.body_size > self.manager.limits().body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            self._reject_too_large(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def refuse_draining(self) -> None:
-        """Answers that this node leaves; the request goes to no worker."""
-        if self.refused is not None:
+        """Rejects the request because this node is draining; it is not sent to a worker."""
+        if self.rejection_writer is not None:
             return
-        told = self.manager.reader.read(self.start.method, self.start.path, self.headers, b"", self.arrived_micros)
-        request = None if isinstance(told, Err) else told.ok_value
+        parsed = self.manager.reader.read(
+            self.start_line.method, self.start_line.path, self.headers, b"", self.arrived_micros
+        )
+        request = None if isinstance(parsed, Err) else parsed.ok_value
         self._respond_early(Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request)
 
-    def _refuse(self, status: HTTPStatus, detail: str) -> None:
+    def _reject_too_large(self, status: HTTPStatus, detail: str) -> None:
         self._respond_early(Refusal(ErrorKind.TOO_LARGE, detail), status)
 
     def _respond_early(self, refusal: Refusal, status: int = 0, request: OpaqueRequest | None = None) -> None:
-        """Answers at once and ends the connection; what still comes is read and dropped for a while first."""
+        """Starts a rejection before the request is complete.
+
+        What the client still sends is read and discarded for a while; then the connection is closed.
+        """
         assert isinstance(self.connection, HTTP1Connection)
         self.chunks = []
         self.headers.pop("Expect", None)
         self.connection.set_body_timeout(REJECTED_BODY_READ_SECONDS)
-        self.refused = ConnectionResponseWriter(self.connection, lambda: True)
-        self.manager.refuse(self.refused, self.start.method, refusal, status, request)
+        self.rejection_writer = ConnectionResponseWriter(self.connection, lambda: True)
+        self.manager.refuse(self.rejection_writer, self.start_line.method, refusal, status, request)
 
     def finish(self) -> None:
         self.manager.reading.pop(self, None)
-        if self.refused is not None:
-            return self.refused.finish()
+        if self.rejection_writer is not None:
+            return self.rejection_writer.finish()
         body, self.chunks = b"".join(self.chunks), []
-        self.manager.handle_request(self.connection, self.start, self.headers, body, self.arrived_micros)
+        self.manager.handle_request(self.connection, self.start_line, self.headers, body, self.arrived_micros)
 
     def on_connection_close(self) -> None:
         self.manager.reading.pop(self, None)
@@ -198,7 +213,7 @@
 
 
 class ClientStream(IOStream):
-    """A caller's connection that tells the edge of each head as it comes in."""
+    """A client's connection; it reports to its manager how much of a head was read."""
 
     def __init__(self, connection: socket.socket, manager: ClientConnectionManager, **settings: Any) -> None:
         super().__init__(connection, **settings)
@@ -206,25 +221,25 @@
         self.is_head_too_large = False
 
     def _check_max_bytes(self, delimiter: bytes | Pattern[bytes], size: int) -> None:
-        """Called with what was read of a head, each time that more came."""
+        """Reports the size of a partly read head: Tornado calls this each time more of it has arrived."""
         if self._read_regex is None:
             return super()._check_max_bytes(delimiter, size)
         self.manager.track_head(self, size)
 
     def close_fd(self) -> None:
-        """While the node drains, a connection ends once its last answer is delivered."""
+        """Closes the socket, during a drain only once the last response is delivered."""
         if self.socket is not None and self.manager.linger(self.socket):
-            # The socket has a new owner.
+            # The manager owns the socket now.
             self.socket = None  # type: ignore[assignment]
         else:
             super().close_fd()
 
     def has_next_request(self) -> bool:
-        """Between two requests: whether the next has begun to arrive."""
-        return bool(self._read_buffer_size) or self.has_unread_bytes()  # The library has no other word for it.
+        """Returns, between two requests, whether the next has begun to arrive."""
+        return bool(self._read_buffer_size) or self.has_unread_bytes()  # Tornado has no public API for this.
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes wait that this process has not read yet."""
+        """Returns whether the kernel holds bytes that this process has not read yet."""
         if self.socket is None:
             return False
         try:
@@ -234,11 +249,12 @@
 
 
 class ClientHttpServer(HTTPServer):
-    """Takes callers' connections for an edge, which bounds their times instead of Tornado."""
+    """Accepts client connections for a ClientConnectionManager, which handles timeouts in place of Tornado."""
 
     manager: ClientConnectionManager
 
     def initialize(self, manager: ClientConnectionManager) -> None:  # type: ignore[override]
+        """Called by Tornado in place of `__init__`."""
         super().initialize(manager, max_body_size=NO_BODY_LIMIT, body_timeout=BODY_TIMEOUT_SECONDS)
         self.conn_params.header_timeout = None
         self.manager = manager
@@ -249,14 +265,14 @@
         self.handle_stream(stream, address)
 
     def stop_accepting(self) -> None:
-        """Takes the connections that are made already, closes the listening sockets and all idle connections."""
+        """Accepts the connections in the backlog, then closes the listening sockets and all idle connections."""
         for listener in list(self._sockets.values()):
             self._accept_backlog(listener)
         self.stop()
         self.manager.close_idle()
 
     def _accept_backlog(self, listener: socket.socket) -> None:
-        """The kernel would reset those that nobody accepted."""
+        """Accepts established connections: the kernel resets those still in the backlog when the listener closes."""
         for _ in range(MAX_FINAL_ACCEPTS):
             try:
                 connection, address = listener.accept()
@@ -266,15 +282,19 @@
             self._handle_connection(connection, address)
 
     def refuse_incoming(self) -> None:
+        """Rejects requests that have not been read completely; see ClientConnectionManager."""
         self.manager.refuse_incoming()
 
     def open_count(self) -> int:
+        """Returns how many connections are open or have an undelivered response."""
         return self.manager.open_count()
 
     def unanswered_count(self) -> int:
+        """Returns how many requests are being read or handled."""
         return sum(not task.done() for task in self.manager.tasks) + len(self.manager.reading)
 
     def on_close(self, server_conn: object) -> None:
+        """Called by Tornado when a connection is closed."""
         assert isinstance(server_conn, HTTP1ServerConnection) and isinstance(server_conn.stream, ClientStream)
         self.manager.forget(server_conn.stream)
         self.manager.streams.discard(server_conn.stream)
@@ -282,9 +302,12 @@
 
 
 class ClientConnectionManager(HTTPServerConnectionDelegate):
-    """`limits`: those in force now; asked for each head, so cheap. `idle_since` and `pending_heads` hold since when a
-    connection has been idle, or its head coming in, the longest first; `reading`: requests whose body comes in;
-    `streams`: all connections. Without a `drain` it never drains."""
+    """Tracks client connections, enforces their limits and timeouts, and passes complete requests to `handler`.
+
+    `limits`: returns the limits in force; called for each head, so it has to be cheap. `idle_since`, `pending_heads`:
+    since when (in microseconds) a connection has been idle or its head arriving, longest first. `reading`: requests
+    whose body is arriving. `streams`: all connections. Without a `drain` it never drains.
+    """
 
     def __init__(
         self,
@@ -308,21 +331,27 @@
         self.timeout_check_timer: Timer | None = None
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> HTTPMessageDelegate:
+        """Called by Tornado before each request, to get its delegate; the connection is idle from then on."""
         assert isinstance(request_conn, HTTP1Connection) and isinstance(request_conn.stream, ClientStream)
         stream = request_conn.stream
         stream.is_head_too_large = False
         self.idle_since[stream] = self.clock.now()
         self._schedule_timeout_check()
         if not self.drain.may_accept() and not stream.has_next_request():
-            # The library finds it closed when it goes on to read.
+            # Tornado notices that it is closed on its next read.
             stream.close()
         return _RequestDelegate(self, request_conn)
 
     def on_close(self, server_conn: object) -> None:
+        """Does nothing: ClientHttpServer.on_close removes the connection."""
         return None
 
     def track_head(self, stream: ClientStream, size: int) -> None:
-        """So much of a head was read by now."""
+        """Records that `size` bytes of a head have been read so far.
+
+        A head beyond its limit is marked for rejection; one beyond OVERSIZED_HEAD_MARGIN_BYTES as well is answered
+        here and raises UnsatisfiableReadError, so that Tornado closes the connection.
+        """
         if stream not in self.pending_heads:
             self.idle_since.pop(stream, None)
             self.pending_heads[stream] = self.clock.now()
@@ -334,12 +363,13 @@
             raise UnsatisfiableReadError("the head is too large")
 
     def complete_head(self, connection: HTTPConnection) -> ClientStream:
-        """A head was read whole: from now on its connection is neither idle nor late."""
+        """Records that a head was completely read, which ends its timeouts; returns its stream."""
         assert isinstance(connection, HTTP1Connection) and isinstance(connection.stream, ClientStream)
         self.forget(connection.stream)
         return connection.stream
 
     def forget(self, stream: ClientStream) -> None:
+        """Stops the idle and head timeouts of a connection."""
         self.idle_since.pop(stream, None)
         self.pending_heads.pop(stream, None)
 
@@ -348,13 +378,13 @@
             return
         limits, now_micros = self.limits(), self.clock.now()
         left_micros = MAX_TIMEOUT_CHECK_MICROS
-        for book, limit_micros in ((self.pending_heads, limits.header_micros), (self.idle_since, limits.idle_micros)):
-            for since_micros in list(book.values())[:1]:
+        for starts, limit_micros in ((self.pending_heads, limits.header_micros), (self.idle_since, limits.idle_micros)):
+            for since_micros in list(starts.values())[:1]:
                 left_micros = min(left_micros, since_micros + limit_micros - now_micros)
         self.timeout_check_timer = self.clock.after(max(left_micros, MIN_TIMEOUT_CHECK_MICROS), self._close_timed_out)
 
     def _close_timed_out(self) -> None:
-        """Ends connections whose time is over, but none that has sent what is not read yet or not taken yet."""
+        """Closes timed-out connections, except those with bytes that are not read or not processed yet."""
         self.timeout_check_timer = None
         limits, now_micros = self.limits(), self.clock.now()
         for stream in _started_by(self.pending_heads, now_micros - limits.header_micros):
@@ -367,13 +397,13 @@
         self._schedule_timeout_check()
 
     def close_idle(self) -> None:
-        """Ends the connections of which nothing is left to be read; what has begun to arrive is read and answered."""
+        """Closes idle connections without unread bytes; a request that has begun to arrive is still answered."""
         for stream in list(self.idle_since):
             if stream.reading() and not stream.has_unread_bytes():
                 stream.close()
 
     def refuse_incoming(self) -> None:
-        """Answers what has not arrived whole, and ends its connection."""
+        """Rejects requests that have not arrived completely, and closes their connections."""
         for delegate in list(self.reading):
             delegate.refuse_draining()
             delegate.finish()
@@ -382,11 +412,14 @@
             stream.close()
 
     def open_count(self) -> int:
-        """Connections that are not closed, and closed ones whose last answer is not delivered yet."""
+        """Returns how many connections are open, or closed with an undelivered last response."""
         return sum(not stream.closed() for stream in self.streams) + self.lingering.count()
 
     def linger(self, connection: socket.socket) -> bool:
-        """Whether this edge takes over a connection that is to be closed."""
+        """Takes over a connection that is to be closed once its last response is delivered.
+
+        Returns False outside a drain, or if nothing is undelivered; the stream then closes it itself.
+        """
         return self.drain.is_draining() and self.lingering.take_over(connection)
 
     def refuse(
@@ -397,12 +430,15 @@
         status: int = 0,
         request: OpaqueRequest | None = None,
     ) -> None:
-        """Writes an answer of this node itself; `status` is the reader's own unless it is told."""
-        default_status, headers, answer = self.reader.refusal(request, refusal)
-        headers["Content-Length"] = str(len(answer))
+        """Writes an error response of this node, without completing it.
+
+        `status`: overrides the reader's status if not 0.
+        """
+        default_status, headers, body = self.reader.refusal(request, refusal)
+        headers["Content-Length"] = str(len(body))
         writer.begin(status or default_status, "", headers)
         if method != "HEAD":
-            writer.write(answer)
+            writer.write(body)
 
     def handle_request(
         self,
@@ -412,21 +448,22 @@
         body: bytes,
         arrived_micros: int,
     ) -> None:
+        """Parses a complete request and starts a task that handles it; rejects it if invalid or during a drain."""
         writer = ConnectionResponseWriter(connection, self.drain.is_draining)
-        request = self.reader.read(start.method, start.path, headers, body, arrived_micros)
-        if isinstance(request, Err):
-            self.refuse(writer, start.method, request.err_value)
+        parsed = self.reader.read(start.method, start.path, headers, body, arrived_micros)
+        if isinstance(parsed, Err):
+            self.refuse(writer, start.method, parsed.err_value)
             return writer.finish()
         if not self.drain.may_accept():
-            self.refuse(writer, start.method, Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=request.ok_value)
+            self.refuse(writer, start.method, Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=parsed.ok_value)
             return writer.finish()
-        task = asyncio.get_running_loop().create_task(self._run(request.ok_value, writer))
-        # Nobody reads the answer any more: its worker is let go of.
+        task = asyncio.get_running_loop().create_task(self._run_handler(parsed.ok_value, writer))
+        # When the client disconnects, the task is cancelled, which frees its worker.
         writer.on_disconnect = task.cancel
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _run(self, request: OpaqueRequest, writer: ConnectionResponseWriter) -> None:
+    async def _run_handler(self, request: OpaqueRequest, writer: ConnectionResponseWriter) -> None:
         try:
             await self.handler(request, writer)
         except StreamClosedError:
@@ -446,17 +483,18 @@
 
 
 def _declared_content_length(headers: HTTPHeaders) -> int:
-    """What can't be read is left to Tornado, which answers 400."""
+    """Returns the Content-Length, or 0 if it is missing or invalid; Tornado answers 400 to an invalid one."""
     text = headers.get("Content-Length", "")
     return int(text) if text.isdecimal() and len(text) <= MAX_CONTENT_LENGTH_DIGITS else 0
 
 
-def _started_by(book: dict[ClientStream, int], begun_micros: int) -> list[ClientStream]:
-    return list(takewhile(lambda stream: book[stream] <= begun_micros, book))
+def _started_by(starts: dict[ClientStream, int], latest_micros: int) -> list[ClientStream]:
+    """Returns the streams with a start no later than `latest_micros`; `starts` is ordered by time."""
+    return list(takewhile(lambda stream: starts[stream] <= latest_micros, starts))
 
 
 def _write_bare_response(stream: IOStream, status: HTTPStatus) -> None:
-    """An answer where there is no request to answer yet; a caller that is gone misses it."""
+    """Writes a response without a body before a request was read; write errors are ignored."""
     head = f"HTTP/1.1 {status.value} {status.phrase}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     written = stream.write(head.encode())
     written.add_done_callback(lambda future: future.cancelled() or future.exception())
--- a/src/pearhead/router/drain.py
+++ b/src/pearhead/router/drain.py
@@ -1,7 +1,7 @@
-"""Drain (§8.11): how a front node ends after SIGTERM without cutting what it accepted.
+"""Drain (§8.11): graceful shutdown of a router after SIGTERM, without dropping accepted requests.
 
-Two phases. In the handover phase requests are served as usual while callers learn to go elsewhere. In the finishing
-phase nothing is accepted or sent to a worker any more; what was accepted in time is carried to its end.
+There are two phases. In the handover phase requests are served as usual while clients learn to use other nodes. In the
+finishing phase no request is accepted or sent to a worker any more; requests accepted in time run to completion.
 """
 
 from __future__ import annotations
@@ -17,20 +17,21 @@
 
 LOGGER = logging.getLogger("pearhead")
 POLL_MICROS = 20 * MILLI
-# Long enough for two missed readiness checks. What a caller sends until 3 s after SIGTERM is to be answered, and the
-# process may hear of SIGTERM late.
+# Long enough for two missed readiness checks. Requests that clients send within 3 s after SIGTERM have to be answered,
+# and the process may receive SIGTERM late.
 MAX_HANDOVER_MICROS = 2_700 * MILLI
 HANDOVER_SHARE = 3 / 8
-# From the last end to the kill: what is left to write, and the teardown of the process on a slow machine.
+# Time between the forced end of open requests and the kill: for writing the last responses and for the teardown of the
+# process on a slow machine.
 MAX_END_MARGIN_MICROS = SECOND
 END_MARGIN_SHARE = 1 / 8
-# Of that margin, so much may go to writing out the last answers.
+# The share of that margin that may be spent on writing the last responses.
 FLUSH_SHARE = 1 / 4
 DRAINING_DETAIL = "this node is leaving"
 
 
 class DrainPhase(enum.Enum):
-    """Where a front node is between its start and its end."""
+    """Lifecycle phase of a router process."""
 
     SERVING = "serving"
     HANDOVER = "handover"
@@ -40,10 +41,11 @@
 
 @dataclass(frozen=True)
 class DrainSchedule:
-    """Times since SIGTERM.
+    """Times of a drain, in microseconds.
 
-    `handover_micros`: the end of the handover phase; `end_micros`: when requests that are
-    still open are ended; `flush_micros`: how long their answers may then take to be written out."""
+    `handover_micros`: from SIGTERM to the end of the handover phase. `end_micros`: from SIGTERM until requests that are
+    still open are ended by force. `flush_micros`: how long writing their responses may take after that.
+    """
 
     handover_micros: int
     end_micros: int
@@ -51,7 +53,7 @@
 
     @classmethod
     def for_grace_period(cls, grace_micros: int) -> DrainSchedule:
-        """For a process that is killed `grace_micros` after SIGTERM."""
+        """Returns the schedule of a process that is killed `grace_micros` after SIGTERM."""
         margin_micros = min(MAX_END_MARGIN_MICROS, int(grace_micros * END_MARGIN_SHARE))
         return cls(
             handover_micros=min(MAX_HANDOVER_MICROS, int(grace_micros * HANDOVER_SHARE)),
@@ -61,15 +63,16 @@
 
 
 def log_violation(detail: str) -> None:
-    """Tells the operator that the drain broke its own rule."""
-    LOGGER.error("router: The drain broke its own rule. detail=%r", detail)
+    """Logs a violated drain invariant as an error."""
+    LOGGER.error("router: A drain invariant was violated. detail=%r", detail)
 
 
 class DrainState:
-    """The phase of this process by its clock, asked wherever work would be accepted or sent.
+    """The drain phase of this process, checked wherever a request would be accepted or sent to a worker.
 
-    Invariant: no request is sent to a worker after the handover phase, and none is open at the end without its answer,
-    but those sent in time that were cut at the last end. `on_violation` is called with what broke it.
+    Invariant: no request is sent to a worker after the handover phase, and at the end no request is left without a
+    response, except those sent in time that were cut by the forced end. `on_violation` is called with a description of
+    each violation.
     """
 
     def __init__(
@@ -82,73 +85,76 @@
         self.has_ended = False
 
     def begin(self) -> None:
-        """Called at SIGTERM; later calls change nothing."""
+        """Starts the drain; called at SIGTERM. Later calls have no effect."""
         if self.begun_micros is None:
             self.begun_micros = self.clock.now()
 
     def end(self) -> None:
-        """Called at the last end, whatever the time is."""
+        """Moves to the ENDED phase at once, regardless of the schedule; called at the forced end."""
         self.begin()
         self.has_ended = True
 
     def phase(self) -> DrainPhase:
-        """Goes on by time alone, so that a late event loop accepts nothing too late."""
+        """Returns the current phase, from the clock alone: a delayed event loop must not accept requests too late."""
         if self.begun_micros is None:
             return DrainPhase.SERVING
-        passed_micros = self.clock.now() - self.begun_micros
-        if self.has_ended or passed_micros >= self.schedule.end_micros:
+        elapsed_micros = self.clock.now() - self.begun_micros
+        if self.has_ended or elapsed_micros >= self.schedule.end_micros:
             return DrainPhase.ENDED
-        return DrainPhase.HANDOVER if passed_micros < self.schedule.handover_micros else DrainPhase.FINISHING
+        return DrainPhase.HANDOVER if elapsed_micros < self.schedule.handover_micros else DrainPhase.FINISHING
 
     def is_draining(self) -> bool:
-        """Whether each answer is the last of its connection."""
+        """Returns whether the drain has begun; each response then closes its connection."""
         return self.begun_micros is not None
 
     def may_accept(self) -> bool:
-        """Whether a request may be accepted, and sent to a worker."""
+        """Returns whether a request may be accepted and sent to a worker."""
         return self.phase() in (DrainPhase.SERVING, DrainPhase.HANDOVER)
 
     def check_send(self, request_id: str) -> None:
-        """Called in one step with the first byte to a worker."""
+        """Checks the invariant for a request; called in the same step as its first byte is sent to a worker."""
         if not self.may_accept():
             self.on_violation(f"request {request_id} is sent to a worker while {self.phase().value}")
 
     def check_end(self, unanswered_count: int) -> None:
-        """Called when the process ends, with the requests that have no answer and were not cut by the last end."""
+        """Checks the invariant when the process ends.
+
+        `unanswered_count`: requests without a response that were not cut by the forced end.
+        """
         if unanswered_count:
             self.on_violation(f"{unanswered_count} requests are open at the end")
 
 
 class DrainableServer(Protocol):
-    """The node's end towards its callers."""
+    """The HTTP server for clients, as the drain needs it."""
 
     def stop_accepting(self) -> None:
-        """Closes the listening sockets and the connections that are idle."""
+        """Closes the listening sockets and all idle connections."""
 
     def refuse_incoming(self) -> None:
-        """Answers requests that have not been read whole by now, and ends their connections."""
+        """Rejects requests that have not been read completely yet, and closes their connections."""
 
     def open_count(self) -> int:
-        """Connections with a request or an answer under way, and those whose last bytes are not delivered yet."""
+        """Returns how many connections have a request or response in progress, or undelivered response bytes."""
 
     def unanswered_count(self) -> int:
-        """Requests without a whole answer."""
+        """Returns how many requests have no complete response yet."""
 
 
 class DrainableRequests(Protocol):
-    """The requests that the node has accepted. `accepted_count`: how many since the process started."""
+    """The requests that the node has accepted. `accepted_count`: their number since the process started."""
 
     accepted_count: int
 
     def open_count(self) -> int:
-        """Those without a whole answer."""
+        """Returns how many accepted requests have no complete response yet."""
 
     def end_open(self) -> None:
-        """Gives each its final answer, or cuts it if a part of another answer was written."""
+        """Sends each open request its final response, or cuts it if part of another response was already written."""
 
 
 class DrainCoordinator:
-    """Leads an edge and its requests through the phases."""
+    """Drives the server for clients and its accepted requests through the drain phases."""
 
     def __init__(self, state: DrainState, server: DrainableServer, requests: DrainableRequests) -> None:
         self.state = state
@@ -157,10 +163,10 @@
         self.end_task: asyncio.Future[None] | None = None
 
     async def run(self) -> None:
-        """Returns when the process may end: when nothing is open, or at the last end."""
+        """Drains, and returns when the process may exit: when nothing is open, or after the forced end."""
         self.state.begin()
         open_before, accepted_before = self.requests.open_count(), self.requests.accepted_count
-        # Also with nothing open: callers still come until they have learned that this node leaves.
+        # Waits even with nothing open: clients keep connecting until they have learned that this node is draining.
         await self._wait_until(self.state.schedule.handover_micros, stop_when_idle=False)
         self.server.stop_accepting()
         await self._wait_until(self.state.schedule.end_micros, stop_when_idle=True)
@@ -174,9 +180,9 @@
         )
 
     async def end(self) -> None:
-        """The last end: answers or cuts what is open and waits a short time for the answers to be written out.
+        """Forces the end: answers or cuts open requests and waits briefly for the responses to be written.
 
-        Called again while it is under way, it waits for the same end.
+        Concurrent calls wait for the same end.
         """
         if self.end_task is None:
             self.end_task = asyncio.ensure_future(self._end_once())
@@ -188,18 +194,21 @@
         self.server.refuse_incoming()
         end_micros = self.state.clock.now() + self.state.schedule.flush_micros
         while not self._is_idle() and self.state.clock.now() < end_micros:
-            # Again each time: on this Python a cancellation can be lost in `asyncio.wait_for`.
+            # Repeated in each round: in Python 3.11 `asyncio.wait_for` can lose a cancellation.
             self.requests.end_open()
             await sleep_for(self.state.clock, POLL_MICROS)
         self.state.check_end(max(self.requests.open_count(), self.server.unanswered_count()))
 
     def _is_idle(self) -> bool:
-        # The edge is asked in any case: it lets go of what was delivered.
+        # Called even while requests are open: the server releases delivered connections when it counts them.
         open_connections = self.server.open_count()
         return not open_connections and not self.requests.open_count()
 
     async def _wait_until(self, since_begin_micros: int, stop_when_idle: bool) -> None:
-        """Until that time, or with `stop_when_idle` until nothing is open; lets the edge close what it delivered."""
+        """Waits until that time, or with `stop_when_idle` until nothing is open.
+
+        Polls, so that the server closes delivered connections meanwhile.
+        """
         assert self.state.begun_micros is not None
         end_micros = self.state.begun_micros + since_begin_micros
         while self.state.clock.now() < end_micros:
--- a/src/pearhead/router/fleet_retry_budget.py
+++ b/src/pearhead/router/fleet_retry_budget.py
@@ -1,4 +1,4 @@
-"""FleetRetryBudget (§8.10): one budget of further tries for the whole fleet, kept at each node without asking."""
+"""FleetRetryBudget (§8.10): a fleet-wide retry budget that each node keeps to without coordination."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class FleetRetryBudget:
-    """A node may spend its share of what the fleet may: a part of its own requests, and of the free tries.
+    """A node's share of the fleet's retries: a ratio of its own requests, plus its part of the fleet's free retries.
 
-    `ratio`: tries a request; `slack`: free tries of the whole fleet in `window_micros`. Four fifths of both are used,
-    as nodes do not know exactly how many they are.
+    `ratio`: retries per request. `slack`: free retries of the whole fleet within `window_micros`. Only four fifths of
+    both (USED_SHARE) are used, as nodes do not know the exact number of nodes.
     """
 
     USED_SHARE = 0.8
@@ -23,10 +23,12 @@
         self.spent = 0
 
     def deposit(self, service: str, node_count: int) -> None:
+        """Adds the credit that one request earns."""
         credit = self._credit(service, node_count) + self.ratio
         self.credits[service] = (min(credit, self._max_credit(node_count)), self.clock.now())
 
     def try_withdraw(self, service: str, node_count: int) -> bool:
+        """Spends the credit for one retry; returns False if less than one is left."""
         credit = self._credit(service, node_count)
         if credit < 1.0:
             return False
@@ -35,12 +37,12 @@
         return True
 
     def _max_credit(self, node_count: int) -> float:
-        # Half of a window's slack at once: the other half comes back within the window.
+        # At most half of a window's slack may be spent at once: the other half is replenished within the window.
         return max(1.0, self.slack / max(node_count, 1) / 2)
 
     def _credit(self, service: str, node_count: int) -> float:
         now_micros = self.clock.now()
         max_credit = self._max_credit(node_count)
-        credit, at_micros = self.credits.get(service, (max_credit, now_micros))
-        grown = (now_micros - at_micros) / self.window_micros * self.slack / max(node_count, 1) / 2
-        return min(credit + grown, max_credit)
+        credit, updated_micros = self.credits.get(service, (max_credit, now_micros))
+        replenished = (now_micros - updated_micros) / self.window_micros * self.slack / max(node_count, 1) / 2
+        return min(credit + replenished, max_credit)
--- a/src/pearhead/router/job.py
+++ b/src/pearhead/router/job.py
@@ -1,4 +1,4 @@
-"""Job (§8.1): a request as callers write it, and what the stages add to it."""
+"""Job (§8.1): a job request as clients write it, and the state that the processing stages add to it."""
 
 from __future__ import annotations
 
@@ -20,12 +20,20 @@
 
 @dataclass(frozen=True)
 class PrefixPart:
+    """One part of a prompt's prefix: the client's id for it (`part`) and its length in tokens."""
+
     part: int
     tokens: int
 
 
 @dataclass(frozen=True)
 class JobRequest:
+    """The JSON body of a job request.
+
+    `deadlineMicros`: time from arrival to the deadline, in microseconds; 0: the default of the matching entry. The
+    entry's own deadline is also the upper limit. `jobId`: chosen by the client; may be empty.
+    """
+
     model: str
     kind: str
     body: str
@@ -36,6 +44,14 @@
 
 @dataclass
 class Placement:
+    """The worker chosen for one attempt of a job, and how the prompt's prefix is reused there.
+
+    `salt`: cache salt of the prefix. `keys`: cache keys of the prefix parts. `reused_parts`: leading parts that the
+    worker has cached; `missed_tokens`: tokens that it has to prefill. `fetch_from`: where the worker is to fetch cached
+    parts from, the first `fetch_parts` within `fetch_limit_micros`. `why`: the reason for the choice, for operators.
+    `was_withdrawn`: the attempt was stopped before a byte was sent, and does not count as a retry.
+    """
+
     worker: WorkerRecord
     weights_name: str = ""
     weights_revision: int = 0
@@ -52,6 +68,13 @@
 
 @dataclass
 class Job:
+    """A job on its way through the node, with what the stages found out about it.
+
+    `view`: the view against which it was last checked. `deadlineMicros`: on the node's clock, unlike in the request.
+    `may_have_run`: an attempt may have reached a worker, so that its outcome is unknown. `tried_workers`: names of
+    workers that are not to be tried again.
+    """
+
     request: JobRequest
     job_id: str
     arrived_micros: int
@@ -64,10 +87,12 @@
     tried_workers: set[str] = field(default_factory=set)
 
     def left_micros(self, now_micros: int) -> int:
+        """Returns the time until the deadline in microseconds; negative after it."""
         return self.deadlineMicros - now_micros
 
 
 def parse_job(body_bytes: bytes) -> Result[JobRequest, Refusal]:
+    """Parses and validates the JSON body of a job request; the refusal lists up to 20 faults."""
     try:
         data: Any = json.loads(body_bytes)
     except RecursionError:
--- a/src/pearhead/router/job_transport.py
+++ b/src/pearhead/router/job_transport.py
@@ -1,4 +1,4 @@
-"""JobTransport (§8.4): takes one job to one back end, once. What failed says whether a byte had left."""
+"""JobTransport (§8.4): sends a job to one worker, once. Its errors say whether any byte had been sent."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 
 class JobTransportError(Exception):
-    """`not_sent`: no connection. `withdrawn`: connected, and then the last check said no; no byte left.
-    `refused`: the back end says it did not run. `cut`: all else."""
+    """A failed attempt; `stage` says how far it got.
+
+    `not_sent`: no connection was made. `withdrawn`: connected, but the precondition failed, so no byte was sent.
+    `refused`: the worker says that it did not run the job. `cut`: anything else, so the job may have run.
+    """
 
     def __init__(self, stage: str, detail: str) -> None:
         super().__init__(f"{stage}: {detail}")
@@ -24,6 +27,12 @@
 
 @dataclass
 class UpstreamJob:
+    """A job as it is sent to a worker.
+
+    `salt`: the cache salt. `fetch`: transfer parameters for cached parts; empty if none are fetched. `limit_micros`:
+    time until the deadline.
+    """
+
     upstream_id: str
     model: str
     body: str
@@ -34,7 +43,7 @@
     limit_micros: int = 0
 
     def to_request(self) -> dict[str, Any]:
-        """The published completions format with its cache salt and transfer parameters (§8.4)."""
+        """Returns the request body: the public completions format with a cache salt and transfer parameters (§8.4)."""
         return {
             "model": self.model,
             "prompt": self.body,
@@ -46,25 +55,28 @@
         }
 
 
-# The last check (§8.4): whether a job may still begin, asked when the connection stands.
+# The final check (§8.4): whether a job may still be sent; called once the connection is established.
 SendPrecondition = Callable[[], bool]
 
 
 class JobTransport(Protocol):
+    """Sends jobs to workers."""
+
     def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
-        """Connects, asks `mayBegin` in one step with the first byte, then yields each event of the stream.
+        """Connects, calls `may_begin` in the same step as the first byte is sent, and yields each event of the stream.
 
-        Ends only if the back end closed it whole; raises JobTransportError.
+        Ends normally only if the worker completed the stream; otherwise raises JobTransportError.
         """
 
 
 class LineWriter(Protocol):
-    """Where a job's lines go. Writing waits for a slow caller; a gone caller raises ClientDisconnectedError."""
+    """Writes the lines of a job's response to its client."""
 
-    async def write(self, line: dict[str, Any]) -> None: ...
+    async def write(self, line: dict[str, Any]) -> None:
+        """Writes a line; waits for a slow client, and raises ClientDisconnectedError if the client is gone."""
 
 
 class ClientDisconnectedError(Exception):
-    """The caller went away."""
+    """The client closed its connection before the response was complete."""
--- a/src/pearhead/router/tornado_transport.py
+++ b/src/pearhead/router/tornado_transport.py
@@ -1,4 +1,4 @@
-"""TornadoJobTransport and TornadoWorkerClient (§8.4): the real edges towards workers and stores."""
+"""TornadoJobTransport and TornadoWorkerClient (§8.4): HTTP clients for workers and stores, on Tornado."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class _StreamDelegate(HTTPMessageDelegate):
-    """Hands chunks over one bounded queue: a slow caller slows the back end down."""
+    """Passes chunks through a bounded queue, so that a slow client slows the worker down."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -51,18 +51,21 @@
 
 
 class TornadoJobTransport:
+    """JobTransport over HTTP/1.1, with one connection per job."""
+
     def __init__(self) -> None:
         self.tcp_client = TCPClient()
 
     async def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
+        """See JobTransport.send_job; the stream is cut at the job's deadline."""
         limit_seconds = upstream_job.limit_micros / SECOND
         event_loop = asyncio.get_running_loop()
         end_seconds = event_loop.time() + limit_seconds
         host_name, port_number = split_address(worker_address)
         try:
-            # One connection a job: no other job's bytes can be on it (§8.4).
+            # One connection per job, so that it never carries another job's bytes (§8.4).
             upstream_stream: IOStream = await asyncio.wait_for(
                 self.tcp_client.connect(host_name, port_number), min(CONNECT_SECONDS, limit_seconds)
             )
@@ -87,10 +90,10 @@
             start_line = RequestStartLine("POST", "/v1/completions", "HTTP/1.1")
             if not may_begin():
                 raise JobTransportError(WITHDRAWN, "it may not begin any more")
-            # No await stands between the check and the first byte.
+            # There must be no await between the check and the first byte.
             connection.write_headers(start_line, headers, body_bytes)
             connection.finish()
-            read_task = asyncio.ensure_future(self._read(connection, delegate))
+            read_task = asyncio.ensure_future(self._read_response(connection, delegate))
             async for event in self._events(delegate, end_seconds):
                 yield event
             if not delegate.is_whole:
@@ -100,10 +103,10 @@
             if read_task is not None:
                 read_task.cancel()
 
-    async def _read(self, connection: HTTP1Connection, delegate: _StreamDelegate) -> bool:
+    async def _read_response(self, connection: HTTP1Connection, delegate: _StreamDelegate) -> bool:
         try:
             return await connection.read_response(delegate)
-        except Exception:  # noqa: BLE001 - any fault of the library here is a cut stream
+        except Exception:  # noqa: BLE001 - any exception of the library here means a cut stream
             return False
         finally:
             await delegate.chunk_queue.put(None)
@@ -111,7 +114,7 @@
     async def _events(self, delegate: _StreamDelegate, end_seconds: float) -> AsyncGenerator[dict[str, Any], None]:
         pending = b""
         while True:
-            # Only this wait is limited here: a limit round a yield would cancel whoever takes the event.
+            # The timeout covers only this wait: one around a yield would cancel the consumer of the event.
             left_seconds = end_seconds - asyncio.get_running_loop().time()
             try:
                 chunk = await asyncio.wait_for(delegate.chunk_queue.get(), max(0.0, left_seconds))
@@ -122,7 +125,7 @@
             if delegate.status and delegate.status != 200:
                 if chunk is not None and len(pending) < LINE_LIMIT:
                     continue
-                self._refuse(delegate, pending)
+                self._raise_for_status(delegate, pending)
             while b"\n" in pending:
                 line_bytes, pending = pending.split(b"\n", 1)
                 line_bytes = line_bytes.strip()
@@ -140,14 +143,17 @@
             if chunk is None:
                 return
 
-    def _refuse(self, delegate: _StreamDelegate, body_bytes: bytes) -> None:
-        """Only the documented refusals say that it did not run: 404 model, 429 full, 503 loading."""
+    def _raise_for_status(self, delegate: _StreamDelegate, body_bytes: bytes) -> None:
+        """Raises REFUSED for the documented refusals, which say that the job did not run, otherwise CUT.
+
+        Documented are 404 (unknown model), 429 (full) and 503 (loading).
+        """
         if not delegate.is_whole or delegate.status not in (404, 429, 503):
             raise JobTransportError(CUT, f"status {delegate.status}")
         raise JobTransportError(REFUSED, f"status {delegate.status}: {body_bytes[:200]!r}")
 
 
-class _ReplyDelegate(HTTPMessageDelegate):
+class _ResponseDelegate(HTTPMessageDelegate):
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
@@ -164,15 +170,19 @@
 
 
 class TornadoWorkerClient:
+    """Sends control commands to workers and reads their cache events. Err holds a description of the fault."""
+
     def __init__(self) -> None:
         self.tcp_client = TCPClient()
 
     async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
+        """Claims a worker under a fencing token; its answer holds `life` and `fence`."""
         return await self._command(address, "/v1/claim", {"fence": fence}, ("life", "fence"), SECOND, may_begin)
 
     async def load(
         self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]:
+        """Tells a worker to load a version of a model's weights; its answer holds `life` and `sequence`."""
         body = {"fence": fence, "model": f"{line}@{weights}"}
         return await self._command(address, "/v1/load", body, ("life", "sequence"), limit_micros, may_begin)
 
@@ -185,7 +195,7 @@
         limit_micros: int,
         may_begin: SendPrecondition,
     ) -> Result[dict[str, Any], str]:
-        """As a job's way: connect, ask whether the term still holds, send in the same step (§7.2)."""
+        """Connects, checks as for a job that the term still holds, and sends in the same step (§7.2)."""
         try:
             async with asyncio.timeout(limit_micros / SECOND):
                 stream = await asyncio.wait_for(self.tcp_client.connect(*split_address(address)), CONNECT_SECONDS)
@@ -219,13 +229,14 @@
             return Err("not within its term any more")
         connection.write_headers(RequestStartLine("POST", path, "HTTP/1.1"), headers, body_bytes)
         connection.finish()
-        delegate = _ReplyDelegate()
+        delegate = _ResponseDelegate()
         await connection.read_response(delegate)
         if not delegate.is_whole or delegate.status != 200:
             return Err(f"status {delegate.status}: {delegate.body[:200]!r}")
-        return self._read(delegate.body, required_fields)
+        return self._parse_answer(delegate.body, required_fields)
 
     async def events(self, address: str, life: str, after: int) -> Result[dict[str, Any], str]:
+        """Reads the cache events of a worker or store that came after sequence number `after` of its process `life`."""
         request = HTTPRequest(
             f"http://{address}/v1/kv_events?life={life}&after={after}",
             follow_redirects=False,
@@ -237,11 +248,11 @@
     async def _fetch(self, request: HTTPRequest, required_fields: tuple[str, ...]) -> Result[dict[str, Any], str]:
         try:
             response = await AsyncHTTPClient().fetch(request)
-            return self._read(response.body, required_fields)
+            return self._parse_answer(response.body, required_fields)
         except (HTTPClientError, OSError, ValueError) as fault:
             return Err(repr(fault))
 
-    def _read(self, body_bytes: bytes, required_fields: tuple[str, ...]) -> Result[dict[str, Any], str]:
+    def _parse_answer(self, body_bytes: bytes, required_fields: tuple[str, ...]) -> Result[dict[str, Any], str]:
         data = json.loads(body_bytes)
         if not isinstance(data, dict) or any(name not in data for name in required_fields):
             return Err("an unreadable answer")
