--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -1,4 +1,4 @@
-"""The limits for callers at a front node's edge: real sockets on loopback, a clock that the test sets by hand."""
+"""ClientConnectionManager: limits and timeouts for clients, on real loopback sockets with a manually advanced clock."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 LIMITS = ClientLimits(header_bytes=500, body_bytes=1_000, header_micros=3 * SECOND, idle_micros=15 * SECOND)
 GET = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 OK_HEAD = b"HTTP/1.1 200"
-# Real time that only a test which fails anyway uses up.
+# Real-time timeout; only a failing test waits this long.
 PATIENCE_SECONDS = 5.0
 
 
@@ -47,7 +47,7 @@
 
 
 class HandClock:
-    """Goes on when the test says so, and lets timers run in their order."""
+    """A clock that the test advances; due timers run in order of time."""
 
     def __init__(self) -> None:
         self.now_micros = 100 * SECOND
@@ -71,7 +71,7 @@
 
 
 class PlainReader:
-    """Takes any request as it came."""
+    """A RequestParser that accepts any request."""
 
     def read(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes, arrived_micros: int
@@ -91,7 +91,7 @@
         return self.writer.get_extra_info("socket")
 
     async def answer(self) -> tuple[bytes, bytes]:
-        """The first line and the body of the next answer; empty where the connection ended before."""
+        """Returns the status line and body of the next response; both empty if the connection ended first."""
         try:
             head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE_SECONDS)
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
@@ -111,8 +111,8 @@
 
 
 def post(body: bytes, length: int | None = None) -> bytes:
-    told = len(body) if length is None else length
-    return b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % told + body
+    declared_length = len(body) if length is None else length
+    return b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % declared_length + body
 
 
 def head_of(size: int) -> bytes:
@@ -124,11 +124,11 @@
     async def asyncSetUp(self) -> None:
         self.clock = HandClock()
         self.limits = LIMITS
-        self.taken: list[OpaqueRequest] = []
-        self.go_on = asyncio.Event()
-        self.go_on.set()
-        self.edge = ClientConnectionManager(self.clock, PlainReader(), self.serve, lambda: self.limits)
-        self.server = ClientHttpServer(self.edge)
+        self.received_requests: list[OpaqueRequest] = []
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
+        self.manager = ClientConnectionManager(self.clock, PlainReader(), self.serve, lambda: self.limits)
+        self.server = ClientHttpServer(self.manager)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
@@ -140,37 +140,39 @@
         self.server.stop()
         await self.server.close_all_connections()
 
-    async def serve(self, request: OpaqueRequest, pen: ResponseWriter) -> None:
-        self.taken.append(request)
-        await self.go_on.wait()
-        pen.begin(200, "OK", HTTPHeaders({"Content-Length": "2"}))
-        pen.write(b"ok")
-        pen.finish()
+    async def serve(self, request: OpaqueRequest, writer: ResponseWriter) -> None:
+        self.received_requests.append(request)
+        await self.may_respond.wait()
+        writer.begin(200, "OK", HTTPHeaders({"Content-Length": "2"}))
+        writer.write(b"ok")
+        writer.finish()
 
     async def connect(self) -> Caller:
         self.callers.append(Caller(*await asyncio.open_connection("127.0.0.1", self.port_number)))
         return self.callers[-1]
 
-    async def until(self, is_so: Callable[[], bool]) -> None:
-        """Lets the node work until something is so; fails at once if that takes many rounds."""
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Runs the event loop until the condition holds; fails if that takes too many iterations."""
         for _ in range(100_000):
-            if is_so():
+            if condition():
                 return
             await asyncio.sleep(0)
-        self.fail("it never came to be")
+        self.fail("the condition never held")
 
     async def test_a_head_up_to_the_limit_is_served_and_a_larger_one_is_told_so(self) -> None:
         caller = await self.connect()
         self.assertIn(OK_HEAD, await caller.ask(head_of(500)))
-        self.assertIn(OK_HEAD, await caller.ask(head_of(500)), "again on the same connection")
+        self.assertIn(OK_HEAD, await caller.ask(head_of(500)), "a second one on the same connection")
         self.assertIn(b" 431 ", await caller.ask(head_of(501)))
         self.assertTrue(await caller.has_ended())
-        self.assertEqual(len(self.taken), 2, "it never ran")
+        self.assertEqual(len(self.received_requests), 2, "the rejected one did not run")
 
     async def test_a_head_without_end_is_told_so_and_not_read_for_ever(self) -> None:
         caller = await self.connect()
         caller.writer.write(head_of(500 + 2 * OVERSIZED_HEAD_MARGIN_BYTES)[:-4])
-        self.assertIn((await caller.answer())[0][:12], (b"HTTP/1.1 431", b""), "lost where more was sent than read")
+        self.assertIn(
+            (await caller.answer())[0][:12], (b"HTTP/1.1 431", b""), "the answer is lost if more was sent than read"
+        )
         self.assertTrue(await caller.has_ended())
 
     async def test_a_body_up_to_the_limit_is_served_and_a_larger_one_is_told_before_it_comes(self) -> None:
@@ -179,7 +181,7 @@
         self.assertIn(b" 413 ", await caller.ask(post(b"", length=1_001)))
         caller.writer.write(b"b" * 1_001)
         self.assertTrue(await caller.has_ended())
-        self.assertEqual([len(r.body) for r in self.taken], [1_000])
+        self.assertEqual([len(r.body) for r in self.received_requests], [1_000])
 
     async def test_a_body_in_chunks_is_counted(self) -> None:
         start = b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -188,7 +190,7 @@
         self.assertIn(OK_HEAD, await caller.ask(start + 2 * chunk + b"0\r\n\r\n"))
         self.assertIn(b" 413 ", await caller.ask(start + 2 * chunk + b"1\r\nb\r\n" + b"0\r\n\r\n"))
         self.assertTrue(await caller.has_ended())
-        self.assertEqual([len(r.body) for r in self.taken], [1_000])
+        self.assertEqual([len(r.body) for r in self.received_requests], [1_000])
 
     async def test_a_refused_head_request_has_no_body(self) -> None:
         caller = await self.connect()
@@ -203,7 +205,7 @@
         for caller in (first, second):
             self.assertIn(OK_HEAD, await caller.ask())
         self.limits = ClientLimits(header_bytes=2_000, body_bytes=5_000)
-        self.assertIn(OK_HEAD, await first.ask(head_of(2_000)), "a connection that rested meanwhile")
+        self.assertIn(OK_HEAD, await first.ask(head_of(2_000)), "a connection that was idle during the change")
         self.assertIn(OK_HEAD, await first.ask(post(b"b" * 5_000)))
         self.limits = LIMITS
         self.assertIn(OK_HEAD, await first.ask())
@@ -215,70 +217,72 @@
         caller = await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
         for _ in range(3):
-            await self.until(lambda: len(self.edge.idle_since) == 1)
+            await self.until(lambda: len(self.manager.idle_since) == 1)
             self.clock.advance(12 * SECOND)
-            self.assertIn(OK_HEAD, await caller.ask(), "taken up after four fifths")
-        await self.until(lambda: len(self.edge.idle_since) == 1)
+            self.assertIn(OK_HEAD, await caller.ask(), "used again after four fifths of the idle timeout")
+        await self.until(lambda: len(self.manager.idle_since) == 1)
         self.clock.advance(15 * SECOND - 1)
         self.assertIn(OK_HEAD, await caller.ask())
-        await self.until(lambda: len(self.edge.idle_since) == 1)
+        await self.until(lambda: len(self.manager.idle_since) == 1)
         self.clock.advance(15 * SECOND)
         self.assertTrue(await caller.has_ended())
 
     async def test_each_connection_has_its_own_idle_time_which_may_change(self) -> None:
         early, late = await self.connect(), await self.connect()
         self.assertIn(OK_HEAD, await early.ask())
-        await self.until(lambda: len(self.edge.idle_since) == 2)
+        await self.until(lambda: len(self.manager.idle_since) == 2)
         self.clock.advance(4 * SECOND)
         self.assertIn(OK_HEAD, await late.ask())
-        await self.until(lambda: len(self.edge.idle_since) == 2)
+        await self.until(lambda: len(self.manager.idle_since) == 2)
         self.limits = ClientLimits(idle_micros=5 * SECOND)
         self.clock.advance(2 * SECOND)
         self.assertTrue(await early.has_ended())
         self.assertIn(OK_HEAD, await late.ask())
         self.limits = ClientLimits(idle_micros=50 * SECOND)
-        await self.until(lambda: len(self.edge.idle_since) == 1)
+        await self.until(lambda: len(self.manager.idle_since) == 1)
         self.clock.advance(40 * SECOND)
-        self.assertIn(OK_HEAD, await late.ask(), "a longer one holds for a connection that stands")
+        self.assertIn(OK_HEAD, await late.ask(), "a longer timeout applies to an open connection")
 
     async def test_a_head_that_takes_too_long_ends_its_connection_and_one_in_time_is_served(self) -> None:
         slow, steady = await self.connect(), await self.connect()
         for caller in (slow, steady):
             caller.writer.write(GET[:10])
-        await self.until(lambda: len(self.edge.pending_heads) == 2)
+        await self.until(lambda: len(self.manager.pending_heads) == 2)
         self.clock.advance(3 * SECOND - 1)
         self.assertIn(OK_HEAD, await steady.ask(GET[10:]))
         self.clock.advance(1)
         self.assertIn(b" 408 ", (await slow.answer())[0])
         self.assertTrue(await slow.has_ended())
-        self.assertEqual(len(self.taken), 1)
+        self.assertEqual(len(self.received_requests), 1)
 
     async def test_pieces_of_a_head_win_no_time(self) -> None:
         caller = await self.connect()
         for position in range(3):
             caller.writer.write(GET[position : position + 1])
-            await self.until(lambda: [s._read_buffer_size for s in self.edge.pending_heads] == [position + 1])  # noqa: B023
+            await self.until(lambda: [s._read_buffer_size for s in self.manager.pending_heads] == [position + 1])  # noqa: B023
             self.clock.advance(SECOND)
         self.assertIn(b" 408 ", (await caller.answer())[0])
 
     async def test_a_long_answer_and_a_slow_body_are_bound_by_neither_time(self) -> None:
-        self.go_on.clear()
-        waits, sends = await self.connect(), await self.connect()
-        waits.writer.write(GET)
-        sends.writer.write(post(b"b", length=2))
-        await self.until(lambda: len(self.taken) == 1 and not self.edge.pending_heads and not self.edge.idle_since)
+        self.may_respond.clear()
+        waiting, sending = await self.connect(), await self.connect()
+        waiting.writer.write(GET)
+        sending.writer.write(post(b"b", length=2))
+        await self.until(
+            lambda: len(self.received_requests) == 1 and not self.manager.pending_heads and not self.manager.idle_since
+        )
         self.clock.advance(60 * SECOND)
-        self.go_on.set()
-        sends.writer.write(b"b")
-        for caller in (waits, sends):
+        self.may_respond.set()
+        sending.writer.write(b"b")
+        for caller in (waiting, sending):
             self.assertIn(OK_HEAD, (await caller.answer())[0])
 
     async def test_a_request_that_lies_unread_in_the_kernel_keeps_its_connection(self) -> None:
-        """As after a freeze: the time is over, and what came meanwhile was not looked at yet."""
+        """As after a freeze of the process: the timeout has passed, and bytes that arrived meanwhile are unread."""
         caller, half = await self.connect(), await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
         half.writer.write(GET[:10])
-        await self.until(lambda: len(self.edge.idle_since) == 1 and len(self.edge.pending_heads) == 1)
+        await self.until(lambda: len(self.manager.idle_since) == 1 and len(self.manager.pending_heads) == 1)
         caller.socket_of()._sock.send(GET)
         half.socket_of()._sock.send(GET[10:])
         self.clock.advance(20 * SECOND)
@@ -288,11 +292,11 @@
     async def test_a_request_that_was_read_whole_but_not_taken_yet_keeps_its_connection(self) -> None:
         caller = await self.connect()
         self.assertIn(OK_HEAD, await caller.ask())
-        await self.until(lambda: len(self.edge.idle_since) == 1)
-        stream = next(iter(self.edge.idle_since))
+        await self.until(lambda: len(self.manager.idle_since) == 1)
+        stream = next(iter(self.manager.idle_since))
         caller.socket_of()._sock.send(GET)
         stream._handle_read()
-        self.assertEqual(len(self.taken), 1, "not taken yet")
+        self.assertEqual(len(self.received_requests), 1, "the request is read but not handled yet")
         self.clock.advance(60 * SECOND)
         self.assertIn(OK_HEAD, (await caller.answer())[0])
 
@@ -300,13 +304,11 @@
         for request in (b"", GET[:5], GET):
             caller = await self.connect()
             caller.writer.write(request)
-            await self.until(lambda: bool(self.edge.idle_since or self.edge.pending_heads))
+            await self.until(lambda: bool(self.manager.idle_since or self.manager.pending_heads))
             caller.writer.close()
-        await self.until(lambda: not self.edge.idle_since and not self.edge.pending_heads)
+        await self.until(lambda: not self.manager.idle_since and not self.manager.pending_heads)
         self.clock.advance(2 * SECOND)
-        self.assertEqual(
-            [t for t in self.clock.timers if not t.is_cancelled], [], "an edge without callers never wakes"
-        )
+        self.assertEqual([t for t in self.clock.timers if not t.is_cancelled], [], "no timer runs without clients")
 
 
 class LimitsInForceTest(unittest.IsolatedAsyncioTestCase):
@@ -323,11 +325,11 @@
         self.assertEqual(gateway.client_limits(), ClientLimits())
         gateway.view_replica.view = self.view(1, {"header_bytes": 16_384, "idle_micros": 15_000 * MILLI})
         self.assertEqual(gateway.client_limits(), ClientLimits(header_bytes=16_384, idle_micros=15 * SECOND))
-        told = gateway.client_limits()
+        cached_limits = gateway.client_limits()
         gateway.view_replica.view = View(2, gateway.view_replica.view.sections)
-        self.assertIs(gateway.client_limits(), told, "other sections changed: nothing is read anew")
+        self.assertIs(gateway.client_limits(), cached_limits, "not parsed again when only other sections changed")
         gateway.view_replica.view = self.view(3, {})
-        self.assertEqual(gateway.client_limits(), ClientLimits(), "limits that were taken away")
+        self.assertEqual(gateway.client_limits(), ClientLimits(), "limits removed from the description")
 
     def test_a_limit_that_is_not_told_keeps_its_default(self) -> None:
         self.assertEqual(ClientLimits.of(Limits()), ClientLimits())
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,7 @@
-"""A front node's end after SIGTERM: real sockets on loopback, a clock that the test sets by hand."""
+"""Drain of a router after SIGTERM, on real loopback sockets with a manually advanced clock.
+
+Guards against accepted requests that are cut, and against requests sent to workers too late in the drain.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 GRACE_MICROS = 8 * SECOND
 STEP_MICROS = 20 * MILLI
 ROUNDS_EACH_STEP = 8
-# The first is more than the kernel takes at once, the second lies with it whole.
+# "large" is more than the kernel buffers at once; "medium" is buffered completely.
 LARGE_SIZES = {"large": 3 * 1024 * 1024, "medium": 100 * 1024}
 CLOSE_LINE = b"\r\nConnection: close\r\n"
 REFUSED_HEAD = b"HTTP/1.1 503"
@@ -39,8 +42,11 @@
 
 
 class WorkerCall:
-    """A worker's answer to `/KIND/MILLIS`: after that time a head; `turn` turns it away, `stream` has its head at once,
-    `large` and `medium` have much to say."""
+    """A fake call that answers `/KIND/MILLIS` with a head after MILLIS milliseconds.
+
+    Kinds: `turn` is rejected with 503, `stream` sends its head at once and completes after that time, `large` and
+    `medium` have large bodies.
+    """
 
     def __init__(self, worker: FakeWorker) -> None:
         self.worker = worker
@@ -74,7 +80,7 @@
 
 
 class FakeWorker:
-    """The pool of connections to the only worker; `connect_micros`: until one is made."""
+    """A connection pool with a single worker; `connect_micros`: how long connecting takes."""
 
     def __init__(self, clock: HandClock) -> None:
         self.clock = clock
@@ -106,7 +112,7 @@
         self.worker = FakeWorker(self.clock)
         placer: Any = FakePlacer()
         pool: Any = self.worker
-        self.gate = RequestProxy(
+        self.proxy = RequestProxy(
             self.clock,
             FakeCurrent(make_view()),
             placer,
@@ -118,13 +124,13 @@
             lambda worker, head: None,
             drain=self.state,
         )
-        self.edge = ClientConnectionManager(self.clock, PlainReader(), self.gate.serve, ClientLimits, self.state)
-        self.server = ClientHttpServer(self.edge)
+        self.manager = ClientConnectionManager(self.clock, PlainReader(), self.proxy.serve, ClientLimits, self.state)
+        self.server = ClientHttpServer(self.manager)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
         self.callers: list[Caller] = []
-        self.drain = DrainCoordinator(self.state, self.server, self.gate)
+        self.drain = DrainCoordinator(self.state, self.server, self.proxy)
 
     async def asyncTearDown(self) -> None:
         for caller in self.callers:
@@ -137,32 +143,32 @@
         self.callers.append(Caller(*await asyncio.open_connection("127.0.0.1", self.port_number)))
         return self.callers[-1]
 
-    async def pass_time(self, micros: int) -> None:
+    async def advance(self, micros: int) -> None:
         for _ in range(micros // STEP_MICROS):
             self.clock.advance(STEP_MICROS)
             for _ in range(ROUNDS_EACH_STEP):
                 await asyncio.sleep(0)
 
     async def drain_and_end(self) -> None:
-        """The drain, and at once what the end of a process does to its connections."""
+        """Drains, then cancels and closes everything as the end of the process would."""
         await self.drain.run()
-        for running in list(self.edge.tasks):
-            running.cancel()
+        for task in list(self.manager.tasks):
+            task.cancel()
         await self.server.close_all_connections()
 
     def stop_process(self) -> asyncio.Task[None]:
         return asyncio.create_task(self.drain_and_end())
 
-    async def kept(self) -> Caller:
-        """A caller whose connection has served a request and rests."""
+    async def connect_idle(self) -> Caller:
+        """Returns a client with an idle connection that has served a request."""
         caller = await self.connect()
         answer = asyncio.create_task(caller.ask(get("/whole/0")))
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         self.assertIn(OK_HEAD, await answer)
         return caller
 
-    async def all_of(self, caller: Caller) -> bytes:
-        """What still comes on a connection until it ends."""
+    async def read_to_end(self, caller: Caller) -> bytes:
+        """Reads a connection until it ends; empty after a reset."""
         try:
             return await asyncio.wait_for(caller.reader.read(), PATIENCE_SECONDS)
         except ConnectionError:
@@ -171,80 +177,80 @@
 
 class DrainTest(DrainCase):
     async def test_a_request_on_a_kept_connection_late_in_a_drain_is_answered_or_left_unread(self) -> None:
-        """As on the recorded day: a slow request keeps the process, another comes 5.5 s after SIGTERM."""
-        slow, kept = await self.connect(), await self.kept()
+        """As in a recorded incident: a slow request keeps the process alive, another arrives 5.5 s after SIGTERM."""
+        slow, kept = await self.connect(), await self.connect_idle()
         slow.writer.write(get("/whole/6500"))
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         task = self.stop_process()
-        await self.pass_time(5_500 * MILLI)
+        await self.advance(5_500 * MILLI)
         kept.writer.write(get("/whole/1000"))
-        await self.pass_time(2 * SECOND)
+        await self.advance(2 * SECOND)
         await task
-        answer = await self.all_of(kept)
-        self.assertTrue(answer or "/whole/1000" not in self.worker.sent, "it was passed on and cut")
-        self.assertIn(OK_HEAD, await self.all_of(slow))
+        answer = await self.read_to_end(kept)
+        self.assertTrue(answer or "/whole/1000" not in self.worker.sent, "it was sent to the worker and then cut")
+        self.assertIn(OK_HEAD, await self.read_to_end(slow))
 
     async def test_in_the_handover_phase_requests_are_served_and_connections_end_with_their_answer(self) -> None:
-        kept = await self.kept()
+        kept = await self.connect_idle()
         task = self.stop_process()
-        await self.pass_time(2_600 * MILLI)
+        await self.advance(2_600 * MILLI)
         fresh = await self.connect()
         for caller in (kept, fresh):
             caller.writer.write(get("/whole/3000"))
-        await self.pass_time(2_900 * MILLI)
-        self.assertFalse(task.done(), "what was accepted is carried to its end")
-        await self.pass_time(200 * MILLI)
+        await self.advance(2_900 * MILLI)
+        self.assertFalse(task.done(), "accepted requests run to completion")
+        await self.advance(200 * MILLI)
         self.assertTrue(task.done(), "nothing is open")
         for caller in (kept, fresh):
-            answer = await self.all_of(caller)
+            answer = await self.read_to_end(caller)
             self.assertIn(OK_HEAD, answer)
             self.assertIn(CLOSE_LINE, answer)
 
     async def test_after_the_handover_idle_connections_and_the_listening_socket_are_closed(self) -> None:
-        slow, kept, silent = await self.connect(), await self.kept(), await self.connect()
+        slow, kept, silent = await self.connect(), await self.connect_idle(), await self.connect()
         slow.writer.write(get("/whole/5000"))
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         task = self.stop_process()
-        await self.pass_time(2_680 * MILLI)
+        await self.advance(2_680 * MILLI)
         await self.connect()
-        await self.pass_time(60 * MILLI)
+        await self.advance(60 * MILLI)
         for caller in (kept, silent):
             self.assertTrue(await caller.has_ended())
         with self.assertRaises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", self.port_number)
         self.assertFalse(task.done())
-        await self.pass_time(3 * SECOND)
+        await self.advance(3 * SECOND)
         await task
 
     async def test_an_idle_process_stays_until_callers_have_left_and_then_ends_at_once(self) -> None:
         task = self.stop_process()
-        await self.pass_time(2_680 * MILLI)
+        await self.advance(2_680 * MILLI)
         self.assertFalse(task.done())
-        await self.pass_time(60 * MILLI)
+        await self.advance(60 * MILLI)
         self.assertTrue(task.done())
 
     async def test_what_had_begun_to_arrive_is_refused_and_not_sent(self) -> None:
-        half, body, expects = await self.kept(), await self.connect(), await self.connect()
+        half, body, expects = await self.connect_idle(), await self.connect(), await self.connect()
         half.writer.write(get("/whole/1")[:9])
         body.writer.write(post(b"b", length=2))
         head = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n"
         expects.writer.write(head[:-2])
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         sent_before = list(self.worker.sent)
         task = self.stop_process()
-        await self.pass_time(3_200 * MILLI)
-        self.assertFalse(task.done(), "it waits for what has begun")
+        await self.advance(3_200 * MILLI)
+        self.assertFalse(task.done(), "the drain waits for requests that have begun to arrive")
         half.writer.write(get("/whole/1")[9:])
         body.writer.write(b"b")
         expects.writer.write(head[-2:])
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         expects.writer.write(b"bb")
         for caller in (half, body, expects):
-            answer = asyncio.create_task(self.all_of(caller))
-            await self.pass_time(100 * MILLI)
-            told = await answer
-            self.assertTrue(told.startswith(REFUSED_HEAD), told)
-            self.assertIn(CLOSE_LINE, told)
+            answer = asyncio.create_task(self.read_to_end(caller))
+            await self.advance(100 * MILLI)
+            response = await answer
+            self.assertTrue(response.startswith(REFUSED_HEAD), response)
+            self.assertIn(CLOSE_LINE, response)
         self.assertEqual(self.worker.sent, sent_before)
         self.assertTrue(task.done(), "nothing is open")
 
@@ -253,12 +259,12 @@
         half.writer.write(get("/whole/1")[:9])
         body.writer.write(post(b"b", length=2))
         task = self.stop_process()
-        await self.pass_time(6_980 * MILLI)
+        await self.advance(6_980 * MILLI)
         self.assertFalse(task.done())
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         self.assertTrue(task.done())
         for caller in (half, body):
-            self.assertTrue((await self.all_of(caller)).startswith(REFUSED_HEAD))
+            self.assertTrue((await self.read_to_end(caller)).startswith(REFUSED_HEAD))
 
     async def test_a_connection_made_but_not_accepted_is_taken_before_the_listening_socket_closes(self) -> None:
         self.state.begin()
@@ -276,32 +282,32 @@
         sent, waiting, begun = await self.connect(), await self.connect(), await self.connect()
         sent.writer.write(get("/whole/60000"))
         begun.writer.write(get("/stream/60000"))
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         self.worker.connect_micros = 60 * SECOND
         waiting.writer.write(get("/whole/1"))
         task = self.stop_process()
-        await self.pass_time(6_980 * MILLI)
-        self.assertFalse(task.done(), "the last sixth of the time has begun, and they are still served")
-        await self.pass_time(100 * MILLI)
+        await self.advance(6_980 * MILLI)
+        self.assertFalse(task.done(), "open requests are still served in the last sixth of the grace period")
+        await self.advance(100 * MILLI)
         self.assertTrue(task.done())
-        self.assertIn(b"HTTP/1.1 502", await self.all_of(sent))
-        self.assertIn(REFUSED_HEAD, await self.all_of(waiting))
-        stream = await self.all_of(begun)
+        self.assertIn(b"HTTP/1.1 502", await self.read_to_end(sent))
+        self.assertIn(REFUSED_HEAD, await self.read_to_end(waiting))
+        stream = await self.read_to_end(begun)
         self.assertIn(EVENT, stream)
-        self.assertFalse(stream.endswith(b"0\r\n\r\n"), "it must not look whole")
+        self.assertFalse(stream.endswith(b"0\r\n\r\n"), "a cut response must not look complete")
         self.assertNotIn("/whole/1", self.worker.sent)
 
     async def test_after_the_handover_nothing_is_sent_anew(self) -> None:
         turned, late = await self.connect(), await self.connect()
         task = self.stop_process()
-        await self.pass_time(2_500 * MILLI)
+        await self.advance(2_500 * MILLI)
         turned.writer.write(get("/turn/400"))
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         self.worker.connect_micros = 300 * MILLI
         late.writer.write(get("/whole/1"))
-        await self.pass_time(500 * MILLI)
+        await self.advance(500 * MILLI)
         for caller in (turned, late):
-            self.assertIn(REFUSED_HEAD, await self.all_of(caller))
+            self.assertIn(REFUSED_HEAD, await self.read_to_end(caller))
         self.assertEqual(self.worker.sent, ["/turn/400"])
         await task
 
@@ -318,42 +324,42 @@
         slow.sendall(get(f"/{kind}/1"))
         slow.setblocking(False)
         task = self.stop_process()
-        await self.pass_time(5 * SECOND)
+        await self.advance(5 * SECOND)
         self.assertFalse(task.done())
-        self.assertEqual(self.gate.open_count(), 0, "the answer is written, not delivered")
+        self.assertEqual(self.proxy.open_count(), 0, "the response is written but not delivered")
         received = bytearray()
         while chunk := await asyncio.wait_for(asyncio.get_running_loop().sock_recv(slow, 65_536), PATIENCE_SECONDS):
             received += chunk
         slow.close()
         self.assertTrue(received.endswith(b"x"))
         self.assertEqual(received.count(b"x"), LARGE_SIZES[kind])
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         self.assertTrue(task.done())
 
     async def test_of_pipelined_requests_the_first_is_answered_and_the_others_are_not_sent(self) -> None:
         caller = await self.connect()
         task = self.stop_process()
         caller.writer.write(get("/whole/100") + get("/whole/200"))
-        await self.pass_time(3 * SECOND)
-        answers = await self.all_of(caller)
+        await self.advance(3 * SECOND)
+        answers = await self.read_to_end(caller)
         self.assertEqual((answers.count(OK_HEAD), answers.count(CLOSE_LINE)), (1, 1))
         self.assertEqual(self.worker.sent, ["/whole/100"])
         await task
 
     async def test_an_answer_that_ends_after_the_handover_keeps_no_connection(self) -> None:
-        """Its head went out before SIGTERM and promised to keep it; another caller sent its next request already."""
+        """The heads were sent before SIGTERM, without "Connection: close"; one client has sent its next request too."""
         caller, eager = await self.connect(), await self.connect()
         caller.writer.write(get("/stream/4000"))
         eager.writer.write(get("/stream/4000") + get("/whole/1"))
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         task = self.stop_process()
-        await self.pass_time(4 * SECOND)
-        answer = await self.all_of(caller)
+        await self.advance(4 * SECOND)
+        answer = await self.read_to_end(caller)
         self.assertNotIn(CLOSE_LINE, answer)
         self.assertTrue(answer.endswith(b"0\r\n\r\n"), answer)
-        first, mark, second = (await self.all_of(eager)).partition(REFUSED_HEAD)
+        first, separator, second = (await self.read_to_end(eager)).partition(REFUSED_HEAD)
         self.assertTrue(first.endswith(b"0\r\n\r\n"), first)
-        self.assertTrue(mark and CLOSE_LINE in second, "what was read whole is answered")
+        self.assertTrue(separator and CLOSE_LINE in second, "a completely read request is answered")
         self.assertNotIn("/whole/1", self.worker.sent)
         self.assertTrue(task.done())
 
@@ -362,13 +368,13 @@
         sent.writer.write(get("/whole/60000"))
         body.writer.write(post(b"b", length=2))
         first = self.stop_process()
-        await self.pass_time(500 * MILLI)
+        await self.advance(500 * MILLI)
         second = asyncio.create_task(self.drain.end())
-        await self.pass_time(100 * MILLI)
+        await self.advance(100 * MILLI)
         self.assertTrue(second.done())
-        self.assertIn(b"HTTP/1.1 502", await self.all_of(sent))
-        self.assertIn(REFUSED_HEAD, await self.all_of(body))
-        await self.pass_time(3 * SECOND)
+        self.assertIn(b"HTTP/1.1 502", await self.read_to_end(sent))
+        self.assertIn(REFUSED_HEAD, await self.read_to_end(body))
+        await self.advance(3 * SECOND)
         await first
 
 
@@ -387,7 +393,7 @@
                 pass
             lingering = LingeringSockets()
             self.assertTrue(lingering.take_over(connection))
-            # What the peer sends meanwhile must not reset the connection.
+            # Data that the peer sends meanwhile must not reset the connection.
             peer.sendall(get("/late/1"))
             self.assertEqual(lingering.count(), 1)
             received = 0
@@ -414,9 +420,9 @@
         for grace_micros in (SECOND, 4 * SECOND, 8 * SECOND, 30 * SECOND):
             schedule = DrainSchedule.for_grace_period(grace_micros)
             self.assertLess(schedule.handover_micros, 3 * SECOND)
-            self.assertGreater(schedule.end_micros, grace_micros * 5 // 6, "the last sixth has begun")
+            self.assertGreater(schedule.end_micros, grace_micros * 5 // 6, "the forced end lies in the last sixth")
             left_micros = grace_micros - schedule.end_micros - schedule.flush_micros
-            self.assertGreaterEqual(left_micros, min(750 * MILLI, grace_micros * 3 // 32), "for the teardown")
+            self.assertGreaterEqual(left_micros, min(750 * MILLI, grace_micros * 3 // 32), "time left for the teardown")
 
     def test_phases_go_by_time_alone(self) -> None:
         clock = HandClock()
@@ -433,18 +439,20 @@
 
     def test_the_invariant_is_told_when_it_is_broken_and_only_then(self) -> None:
         clock = HandClock()
-        told: list[str] = []
-        state = DrainState(clock, DrainSchedule.for_grace_period(GRACE_MICROS), told.append)
+        violations: list[str] = []
+        state = DrainState(clock, DrainSchedule.for_grace_period(GRACE_MICROS), violations.append)
         state.check_send("a")
         state.begin()
         clock.advance(2_699 * MILLI)
         state.check_send("b")
         state.check_end(0)
-        self.assertEqual(told, [])
+        self.assertEqual(violations, [])
         clock.advance(MILLI)
         state.check_send("c")
         state.check_end(2)
-        self.assertEqual(told, ["request c is sent to a worker while finishing", "2 requests are open at the end"])
+        self.assertEqual(
+            violations, ["request c is sent to a worker while finishing", "2 requests are open at the end"]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -1,4 +1,7 @@
-"""Lines of the platform's newest pages on connections, at real sockets: who is let go, and when (docs/failures.md)."""
+"""Connection handling required by the platform's newest pages, on real sockets (docs/failures.md).
+
+Guards against clients and workers that are held too long or cut too early, and against mixed-up responses.
+"""
 
 from __future__ import annotations
 
@@ -35,10 +38,10 @@
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 UNFRAMED_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
-# More than the kernel's buffers at both ends hold.
+# More than the kernel's buffers at both ends can hold.
 LONG_BODY = bytes(range(256)) * (48 * 1024)
 DEADLINE_MICROS = 400 * MILLI
-# What the pages allow beyond a deadline, and after a client has gone.
+# The delay that the pages allow after a deadline, and after a client has disconnected.
 ALLOWED_SECONDS = 0.5
 PATIENCE_SECONDS = 5.0
 
@@ -54,10 +57,10 @@
 
 
 class Worker:
-    """A worker that does with each connection what it is told; `ended`: when it saw a connection end."""
+    """A worker that runs `serve` on each connection; `ended`: when its first connection ended (monotonic seconds)."""
 
     def __init__(self, serve: Serve) -> None:
-        self.play = serve
+        self.serve_connection = serve
         self.heads: list[bytes] = []
         self.ended: asyncio.Future[float] = asyncio.get_running_loop().create_future()
 
@@ -68,7 +71,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError):
             self.heads.append(await read_head(reader))
-            await self.play(reader, writer)
+            await self.serve_connection(reader, writer)
             await reader.read()
         if not self.ended.done():
             self.ended.set_result(time.monotonic())
@@ -104,7 +107,7 @@
         return Ok(WorkerChoice(backend, "s", "", None, "", 0, 0, "", "", 1_000))
 
 
-def make_gate(address: str, stream: bool, deadline_micros: int) -> RequestProxy:
+def make_proxy(address: str, stream: bool, deadline_micros: int) -> RequestProxy:
     route = Route("r", "h", "/", [Split("s", 1)], deadline_micros, stream=stream, public=True)
     view = View()
     view.__dict__["description"] = Description(routes=[route])
@@ -124,7 +127,7 @@
 
 
 def fill_backlog() -> tuple[str, list[socket.socket]]:
-    """An address where a connection is neither taken nor refused."""
+    """Returns an address where connections are neither accepted nor refused, with the sockets that fill its backlog."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -136,65 +139,65 @@
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    """CONFIG: what is unanswered at its route's deadline has its final answer within half a second."""
+    """CONFIG: a request unanswered at its route's deadline gets its final response within half a second."""
 
-    async def passes(self, address: str, stream: bool) -> tuple[FakePen, float]:
-        gate = make_gate(address, stream, DEADLINE_MICROS)
-        began, pen = time.monotonic(), FakePen()
-        request = OpaqueRequest("id", "GET", "/x", "h", "/x", HTTPHeaders(), b"", gate.clock.now())
-        await asyncio.wait_for(gate.serve(request, pen), PATIENCE_SECONDS)
-        return pen, time.monotonic() - began
+    async def serve_request(self, address: str, stream: bool) -> tuple[FakePen, float]:
+        proxy = make_proxy(address, stream, DEADLINE_MICROS)
+        began, response_writer = time.monotonic(), FakePen()
+        request = OpaqueRequest("id", "GET", "/x", "h", "/x", HTTPHeaders(), b"", proxy.clock.now())
+        await asyncio.wait_for(proxy.serve(request, response_writer), PATIENCE_SECONDS)
+        return response_writer, time.monotonic() - began
 
     async def test_a_final_answer_comes_at_the_deadline_whatever_the_worker_does(self) -> None:
-        for play, stream, status, end in (
+        for behavior, stream, status, end in (
             (stay_silent, False, 502, "whole"),
             (stay_silent, True, 502, "whole"),
             (begin_and_stop, True, 200, "cut"),
             (go_on_for_ever, True, 200, "cut"),
             (go_on_for_ever, False, 502, "whole"),
         ):
-            worker = Worker(play)
-            pen, took = await self.passes(await worker.open(), stream)
-            label = f"{play.__name__} stream={stream}"
-            self.assertEqual((pen.status, pen.end), (status, end), label)
-            self.assertGreaterEqual(took, DEADLINE_MICROS / SECOND - 0.02, label)
-            self.assertLess(took, DEADLINE_MICROS / SECOND + ALLOWED_SECONDS, label)
+            worker = Worker(behavior)
+            response_writer, took_seconds = await self.serve_request(await worker.open(), stream)
+            label = f"{behavior.__name__} stream={stream}"
+            self.assertEqual((response_writer.status, response_writer.end), (status, end), label)
+            self.assertGreaterEqual(took_seconds, DEADLINE_MICROS / SECOND - 0.02, label)
+            self.assertLess(took_seconds, DEADLINE_MICROS / SECOND + ALLOWED_SECONDS, label)
             await asyncio.wait_for(worker.ended, ALLOWED_SECONDS)
             worker.server.close()
 
     async def test_a_worker_that_takes_no_connection_holds_nobody_past_the_deadline(self) -> None:
         address, held = fill_backlog()
-        pen, took = await self.passes(address, False)
-        self.assertIn(pen.status, (408, 503), "it was sent to nobody, which both promise")
-        self.assertEqual(pen.end, "whole")
-        self.assertLess(took, DEADLINE_MICROS / SECOND + ALLOWED_SECONDS)
+        response_writer, took_seconds = await self.serve_request(address, False)
+        self.assertIn(response_writer.status, (408, 503), "both statuses promise that it was sent to no worker")
+        self.assertEqual(response_writer.end, "whole")
+        self.assertLess(took_seconds, DEADLINE_MICROS / SECOND + ALLOWED_SECONDS)
         for opened in held:
             opened.close()
 
 
 class ClosingClientTest(unittest.IsolatedAsyncioTestCase):
-    """GONE: half a second after a client has closed, no worker works for it and none is sent its request."""
+    """GONE: half a second after a client has closed, no worker is working for it, and none is sent its request."""
 
     async def asyncSetUp(self) -> None:
         self.ends: list[float] = []
         bound = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port = bound[0].getsockname()[1]
-        self.edge = ClientConnectionManager(BootClock(), PlainReader(), self.serve, ClientLimits)
-        self.server = ClientHttpServer(self.edge)
+        self.manager = ClientConnectionManager(BootClock(), PlainReader(), self.serve, ClientLimits)
+        self.server = ClientHttpServer(self.manager)
         self.server.add_sockets(bound)
 
     async def asyncTearDown(self) -> None:
         self.server.stop()
         await self.server.close_all_connections()
 
-    async def serve(self, request: OpaqueRequest, pen: ResponseWriter) -> None:
+    async def serve(self, request: OpaqueRequest, response_writer: ResponseWriter) -> None:
         try:
-            await self.gate.serve(request, pen)
+            await self.proxy.serve(request, response_writer)
         finally:
             self.ends.append(time.monotonic())
 
     async def close_after(self, seconds: float) -> float:
-        """A client that sends a request and closes; when it closed."""
+        """Sends a request as a client and closes; returns when it closed (monotonic seconds)."""
         _, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
         await asyncio.sleep(seconds)
@@ -202,41 +205,41 @@
         return time.monotonic()
 
     async def test_a_worker_at_work_is_let_go(self) -> None:
-        for play, stream in ((stay_silent, False), (begin_and_stop, True), (go_on_for_ever, True)):
-            worker = Worker(play)
-            self.gate = make_gate(await worker.open(), stream, 60 * SECOND)
+        for behavior, stream in ((stay_silent, False), (begin_and_stop, True), (go_on_for_ever, True)):
+            worker = Worker(behavior)
+            self.proxy = make_proxy(await worker.open(), stream, 60 * SECOND)
             closed = await self.close_after(0.15)
             ended = await asyncio.wait_for(worker.ended, PATIENCE_SECONDS)
             self.assertEqual(len(worker.heads), 1)
-            self.assertLess(ended - closed, ALLOWED_SECONDS, play.__name__)
-            self.assertEqual(self.gate.loads.own, {}, "its use was not taken back")
+            self.assertLess(ended - closed, ALLOWED_SECONDS, behavior.__name__)
+            self.assertEqual(self.proxy.loads.own, {}, "its load was not released")
             worker.server.close()
 
     async def test_a_connection_to_a_worker_that_is_on_its_way_is_given_up(self) -> None:
         address, held = fill_backlog()
-        self.gate = make_gate(address, False, 60 * SECOND)
+        self.proxy = make_proxy(address, False, 60 * SECOND)
         closed = await self.close_after(0.1)
         await asyncio.sleep(ALLOWED_SECONDS)
         self.assertEqual(len(self.ends), 1)
         self.assertLess(self.ends[0] - closed, ALLOWED_SECONDS)
-        self.assertEqual(self.gate.pool.open_count(address), 0)
+        self.assertEqual(self.proxy.pool.open_count(address), 0)
         for opened in held:
             opened.close()
 
     async def test_one_that_waits_at_a_node_that_knows_nothing_yet_reaches_no_worker(self) -> None:
         worker = Worker(stay_silent)
-        self.gate = make_gate(await worker.open(), False, 60 * SECOND)
-        known, self.gate.current = self.gate.current, FakeCurrent(None)
-        self.edge.reader = ImpatientReader()
+        self.proxy = make_proxy(await worker.open(), False, 60 * SECOND)
+        known, self.proxy.current = self.proxy.current, FakeCurrent(None)
+        self.manager.reader = ImpatientReader()
         await self.close_after(0.1)
-        self.gate.current = known
+        self.proxy.current = known
         await asyncio.sleep(ALLOWED_SECONDS)
         self.assertEqual((worker.heads, len(self.ends)), ([], 1))
         worker.server.close()
 
 
 class ImpatientReader(PlainReader):
-    """Its callers have less time than a node needs to know what is in force."""
+    """Its clients wait less time than a node needs to learn what is in force."""
 
     def read(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes, arrived_micros: int
@@ -247,7 +250,7 @@
 
 
 class HastyWorker:
-    """Answers as soon as it has read a head, and reads the body later; keeps its connections."""
+    """A worker that answers once it has read a head, reads the body later, and keeps its connections open."""
 
     def __init__(self, read_on_after: float) -> None:
         self.read_on_after = read_on_after
@@ -269,7 +272,10 @@
 
 
 class LongBodyTest(unittest.IsolatedAsyncioTestCase):
-    """UNASKED: a worker that answers before it has read a long body gets that body to its end, or nothing more."""
+    """UNASKED: a worker that answers before reading a long body gets the whole body, or nothing more.
+
+    Otherwise the next request on a reused connection would be read as the rest of that body.
+    """
 
     async def ask(self, pool: UpstreamPool, address: str, method: str, body: bytes) -> None:
         call = (await pool.call(address, CallLimits(SECOND))).unwrap()
@@ -295,17 +301,17 @@
                 await asyncio.sleep(read_on_after + 0.1)
                 server.close()
                 self.assertTrue(worker.heads[0].startswith(b"POST"))
-                given, rest = worker.received[0][: len(body)], worker.received[0][len(body) :]
-                self.assertEqual(given, body[: len(given)], "other bytes within the body")
+                body_start, rest = worker.received[0][: len(body)], worker.received[0][len(body) :]
+                self.assertEqual(body_start, body[: len(body_start)], "other bytes inside the body")
                 self.assertTrue(not rest or rest.startswith(b"GET /x HTTP/1.1\r\n"), rest[:40])
-                self.assertEqual(len(worker.received) + bool(rest), 2, "the next request came once")
+                self.assertEqual(len(worker.received) + bool(rest), 2, "the next request arrived exactly once")
 
 
 class UnframedAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """MIXED: an answer without a length ends with its connection, and is whole unless that was reset."""
+    """MIXED: a response without a length ends with its connection, and is complete unless that was reset."""
 
     async def ask(self, pieces: list[bytes], is_reset: bool, pause: float = 0.0) -> tuple[list[bytes], bool]:
-        """The pieces as they came, joined where they came at once, and whether the answer is whole."""
+        """Returns the pieces as they arrived, joined if they arrived together, and whether the response is complete."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_head(reader)
@@ -327,7 +333,7 @@
         found = [chunk async for chunk in call.chunks(lambda: 4 * SECOND)]
         is_whole = call.is_whole()
         await call.close()
-        self.assertFalse(pool.idle, "its connection is over")
+        self.assertFalse(pool.idle, "its connection is not reused")
         server.close()
         return found, is_whole
 
@@ -347,7 +353,7 @@
 
 
 class KeptConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """LOST: a request from a kept connection that was passed on is answered, whatever its worker does."""
+    """LOST: a forwarded request from a keep-alive connection is answered, whatever its worker does."""
 
     async def test_no_way_of_a_worker_to_fail_leaves_a_kept_connection_without_an_answer(self) -> None:
         async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -361,7 +367,7 @@
 
             return write
 
-        plays = (
+        behaviors = (
             reset,
             answer(b""),
             answer(b"\x00\x01garbage\r\n\r\n"),
@@ -374,18 +380,18 @@
         )
         bound = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         port = bound[0].getsockname()[1]
-        gates: list[RequestProxy] = []
+        proxies: list[RequestProxy] = []
 
-        async def serve(request: OpaqueRequest, pen: ResponseWriter) -> None:
-            await gates[-1].serve(request, pen)
+        async def serve(request: OpaqueRequest, response_writer: ResponseWriter) -> None:
+            await proxies[-1].serve(request, response_writer)
 
         server = ClientHttpServer(ClientConnectionManager(BootClock(), PlainReader(), serve, ClientLimits))
         server.add_sockets(bound)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for stream in (False, True):
-            for number, play in enumerate(plays):
-                worker = Worker(play)
-                gates.append(make_gate(await worker.open(), stream, 2 * SECOND))
+            for number, behavior in enumerate(behaviors):
+                worker = Worker(behavior)
+                proxies.append(make_proxy(await worker.open(), stream, 2 * SECOND))
                 writer.write(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
                 head = await read_head(reader)
                 self.assertTrue(head.startswith(b"HTTP/1.1 "), (number, head))
@@ -409,39 +415,39 @@
     async def test_a_connection_that_is_not_taken_is_an_error_and_nothing_stays_open(self) -> None:
         address, held = fill_backlog()
         pool = UpstreamPool(BootClock())
-        given = await pool.call(address, CallLimits(100 * MILLI))
-        self.assertIsInstance(given, Err)
+        result = await pool.call(address, CallLimits(100 * MILLI))
+        self.assertIsInstance(result, Err)
         self.assertEqual(pool.open_count(address), 0)
         for opened in held:
             opened.close()
 
 
 class ClosingWhileConnectingTest(unittest.IsolatedAsyncioTestCase):
-    """GONE: a client that closed while a connection to its worker came up is sent on to nobody."""
+    """GONE: a request whose client closed while the connection to its worker was being made is not forwarded."""
 
     async def test_nothing_is_sent_for_a_client_that_closed_while_its_worker_was_connected(self) -> None:
-        bench, pen = FakeRuntime(), ClosingPen()
+        runtime, response_writer = FakeRuntime(), ClosingResponseWriter()
         call = FakeCall(HEAD, (b"ok",))
-        pool: Any = ClosingPool(pen, call)
+        pool: Any = ClosingPool(response_writer, call)
         placer: Any = FakePlacer()
-        gate = RequestProxy(
-            bench,
+        proxy = RequestProxy(
+            runtime,
             FakeCurrent(make_view()),
             placer,
-            WorkerLoadTracker(bench),
+            WorkerLoadTracker(runtime),
             pool,
-            FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
+            FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
             FakeDialect(),
             lambda: 1,
             lambda worker, head: None,
         )
-        request = OpaqueRequest("id", "GET", "/a/x", "h", "/a/x", HTTPHeaders(), b"", bench.now(), hash_key("k"))
-        await gate.serve(request, pen)
+        request = OpaqueRequest("id", "GET", "/a/x", "h", "/a/x", HTTPHeaders(), b"", runtime.now(), hash_key("k"))
+        await proxy.serve(request, response_writer)
         self.assertEqual(len(call.sent), 0)
         self.assertTrue(call.is_closed)
 
 
-class ClosingPen(FakePen):
+class ClosingResponseWriter(FakePen):
     is_closed = False
 
     def is_gone(self) -> bool:
@@ -449,13 +455,13 @@
 
 
 class ClosingPool(FakePool):
-    """Its connection stands in the very moment at which the client closes: the cancelling is lost on it."""
+    """A pool whose connection is established just as the client closes, so that the cancellation has no effect."""
 
-    def __init__(self, pen: ClosingPen, call: FakeCall) -> None:
+    def __init__(self, response_writer: ClosingResponseWriter, call: FakeCall) -> None:
         super().__init__([call])
-        self.pen = pen
+        self.response_writer = response_writer
 
     async def call(self, address: str, limit_micros: int) -> Result[Any, str]:
-        self.pen.is_closed = True
+        self.response_writer.is_closed = True
         found = await super().call(address, limit_micros)
         return Ok(found.unwrap())
--- a/tests/test_router_admit.py
+++ b/tests/test_router_admit.py
@@ -1,4 +1,4 @@
-"""AdmissionController: fairness between tenants and the retry times of refused callers."""
+"""AdmissionController: fairness between tenants, and the retry delays of rejected clients."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     def test_each_refused_caller_is_told_a_turn_of_its_own_within_the_limit(self) -> None:
         queue = _EntryQueue()
         queue.mean_micros = float(SECOND)
-        told = [queue.next_retry_micros(3 * SECOND, 2, 0) for _ in range(40)]
-        self.assertEqual(told[:3], [3_500_000, 4_000_000, 4_500_000])
-        self.assertEqual(told[-1], MAX_RETRY_AFTER_MICROS)
-        self.assertEqual(queue.next_retry_micros(0, 2, 60 * SECOND), SECOND // 2, "those turns are over")
+        retry_delays = [queue.next_retry_micros(3 * SECOND, 2, 0) for _ in range(40)]
+        self.assertEqual(retry_delays[:3], [3_500_000, 4_000_000, 4_500_000])
+        self.assertEqual(retry_delays[-1], MAX_RETRY_AFTER_MICROS)
+        self.assertEqual(queue.next_retry_micros(0, 2, 60 * SECOND), SECOND // 2, "earlier retry slots have passed")
--- a/tests/test_router_budget.py
+++ b/tests/test_router_budget.py
@@ -1,4 +1,4 @@
-"""RetryBudget: retries stay within their share of the requests."""
+"""RetryBudget: retries stay within their share of the jobs."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 class RetryBudgetTest(unittest.TestCase):
     def test_retries_stay_within_the_share(self) -> None:
         budget = RetryBudget()
-        self.assertFalse(budget.try_withdraw("s"), "no credit at first")
-        taken = 0
+        self.assertFalse(budget.try_withdraw("s"), "the bucket starts empty")
+        retry_count = 0
         for _ in range(1_000):
             budget.deposit("s", 0.1)
-            taken += budget.try_withdraw("s")
-        self.assertEqual(taken, 100)
+            retry_count += budget.try_withdraw("s")
+        self.assertEqual(retry_count, 100)
--- a/tests/test_router_job.py
+++ b/tests/test_router_job.py
@@ -1,4 +1,4 @@
-"""parse_job: each malformed request has its own kind of error."""
+"""parse_job: each kind of malformed request yields its error kind."""
 
 from __future__ import annotations
 
--- a/tests/test_stop_signal.py
+++ b/tests/test_stop_signal.py
@@ -1,4 +1,7 @@
-"""SIGTERM at a real process whose event loop is busy: a drain counts from the signal, not from the loop's next turn."""
+"""SIGTERM to a real process with a busy event loop: the drain schedule has to start at the signal.
+
+If it started only at the loop's next iteration, the handover phase would end too late.
+"""
 
 from __future__ import annotations
 
