--- a/src/pearhead/router/admission.py
+++ b/src/pearhead/router/admission.py
@@ -70,7 +70,7 @@
         self.queues: dict[str, _EntryQueue] = {}
 
     async def admit(self, job: Job) -> AdmissionResult:
-        """Waits until the job may begin; the caller then has to call `release_slot` when the job ends.
+        """Waits until the job may begin or can't; after Ok(True) the caller has to call `release_slot` at its end.
 
         Refuses at once where the queue or the tenant's share of it is full, or the job would not start before its
         deadline, and later when the deadline passes in the queue. A cancelled call leaves the queue.
