--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""EventSplitter: whole events only, and none twice when a stream goes on elsewhere."""
+"""EventSplitter: forwards only complete events, and none twice when another run continues a stream."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
         whole = b"".join(EVENTS)
         for cut in range(len(whole) + 1):
             splitter = EventSplitter()
-            given = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
-            self.assertEqual((given, splitter.pending, splitter.last_id), (whole, b"", "5"))
+            forwarded = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
+            self.assertEqual((forwarded, splitter.pending, splitter.last_id), (whole, b"", "5"))
 
     def test_a_stream_goes_on_elsewhere_without_a_hole_or_a_repeat(self) -> None:
         whole = b"".join(EVENTS)
         for cut in range(len(whole)):
             for first in range(1, 4):
                 splitter = EventSplitter()
-                given = splitter.feed(whole[:cut])
+                forwarded = splitter.feed(whole[:cut])
                 splitter.begin_run()
-                begun = min(first, int(splitter.last_id or 0) + 1)
-                given += splitter.feed(b"".join(EVENTS[begun - 1 :]))
-                self.assertEqual(given, whole)
+                first_sent = min(first, int(splitter.last_id or 0) + 1)
+                forwarded += splitter.feed(b"".join(EVENTS[first_sent - 1 :]))
+                self.assertEqual(forwarded, whole)
 
     def test_an_event_without_an_id_is_passed_on(self) -> None:
         splitter = EventSplitter()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,8 @@
-"""RequestProxy: what a caller is told, and how often a worker may be sent a request, for every way that it may go."""
+"""RequestProxy against scripted calls: the response of the caller and the number of workers that get the request.
+
+Guards against a request that may have run being sent again or reported as not run, and against a truncated response
+that looks complete to the caller.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,7 @@
 
 
 class FakeCall:
-    """One worker's answer: a head or None, chunks, whether it was whole. `late`: silent until the deadline."""
+    """One worker's response: a head or None, chunks, and whether it is complete. `late`: silent until the deadline."""
 
     def __init__(self, head: Any, chunks: tuple[bytes, ...] = (), whole: bool = True, late: bool = False) -> None:
         self.found, self.given, self.whole, self.late = head, chunks, whole, late
@@ -97,23 +101,23 @@
         self.expected.append(worker)
 
 
-class LatePlacer(FakePlacer):
-    """Knows of no worker before a moment."""
+class DelayedSelector(FakePlacer):
+    """Knows no worker before `known_micros`."""
 
-    def __init__(self, bench: FakeRuntime, known_micros: int) -> None:
+    def __init__(self, runtime: FakeRuntime, known_micros: int) -> None:
         super().__init__()
-        self.bench = bench
+        self.runtime = runtime
         self.known_micros = known_micros
 
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
     ) -> Result[WorkerChoice, Refusal]:
-        if self.bench.now() < self.known_micros:
+        if self.runtime.now() < self.known_micros:
             return Err(Refusal(ErrorKind.NO_WORKER))
         return super().choose(view, route, request, tenant, excluded)
 
     def knows_workers(self) -> bool:
-        return self.bench.now() >= self.known_micros
+        return self.runtime.now() >= self.known_micros
 
 
 class FakeDialect:
@@ -138,7 +142,7 @@
         return ERROR_TABLE[refusal.kind].status, HTTPHeaders(), b"{}"
 
 
-class NotingDialect(FakeDialect):
+class RecordingAdapter(FakeDialect):
     def __init__(self) -> None:
         self.refusals: list[Refusal] = []
 
@@ -155,7 +159,7 @@
         self.end = ""
 
     def begin(self, status: int, reason: str, headers: HTTPHeaders) -> None:
-        assert not self.status, "two heads"
+        assert not self.status, "a second response head"
         self.status, self.headers = status, headers
 
     def write(self, chunk: bytes) -> None:
@@ -179,8 +183,8 @@
         return self.held
 
 
-class TickingBench(FakeRuntime):
-    """Time goes on only while somebody rests."""
+class AdvancingRuntime(FakeRuntime):
+    """A clock that advances only by timers, which fire at once."""
 
     def after(self, delay_micros: int, callback: Any) -> FakeRuntime:
         self.now_micros += delay_micros
@@ -188,14 +192,14 @@
         return self
 
 
-class LateCurrent(FakeCurrent):
-    def __init__(self, view: View, bench: FakeRuntime, known_micros: int) -> None:
+class DelayedViewProvider(FakeCurrent):
+    def __init__(self, view: View, runtime: FakeRuntime, known_micros: int) -> None:
         super().__init__(view)
-        self.bench = bench
+        self.runtime = runtime
         self.known_micros = known_micros
 
     def view(self) -> View | None:
-        return self.held if self.bench.now() >= self.known_micros else None
+        return self.held if self.runtime.now() >= self.known_micros else None
 
 
 def make_view(**fields: Any) -> View:
@@ -212,159 +216,163 @@
         key: str = "k",
         path: str = "/a/x",
         parts: tuple[PromptPart, ...] = (),
-        tell: Callable[[ReadNote], None] = lambda note: None,
+        broadcast: Callable[[ReadNote], None] = lambda note: None,
         **fields: Any,
     ) -> FakePen:
-        bench = FakeRuntime()
-        self.pool, self.placer, self.pen = FakePool(calls), getattr(self, "placer", FakePlacer()), FakePen()
-        self.loads = WorkerLoadTracker(bench)
-        self.gate = RequestProxy(
-            bench,
+        runtime = FakeRuntime()
+        self.pool, self.selector, self.writer = FakePool(calls), getattr(self, "selector", FakePlacer()), FakePen()
+        self.loads = WorkerLoadTracker(runtime)
+        self.proxy = RequestProxy(
+            runtime,
             FakeCurrent(make_view(**fields)),
-            self.placer,  # type: ignore[arg-type]
+            self.selector,  # type: ignore[arg-type]
             self.loads,
             self.pool,  # type: ignore[arg-type]
-            FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
+            FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
             FakeDialect(),
             lambda: 1,
             lambda worker, head: None,
-            PrefillTracker(bench, self.placer.expect_cached, tell),
+            PrefillTracker(runtime, self.selector.expect_cached, broadcast),
         )
         request = OpaqueRequest(
-            "id", "POST", path, "h", path, HTTPHeaders(), b"", bench.now(), hash_key(key), parts=parts
+            "id", "POST", path, "h", path, HTTPHeaders(), b"", runtime.now(), hash_key(key), parts=parts
         )
-        await self.gate.serve(request, self.pen)
-        self.assertEqual(self.loads.own, {}, "use was not taken back")
+        await self.proxy.serve(request, self.writer)
+        self.assertEqual(self.loads.own, {}, "the load was not released")
         self.assertTrue(all(call.is_closed for call in self.pool.used))
-        return self.pen
+        return self.writer
 
-    def told(self) -> tuple[int, str, int]:
-        return self.pen.status, self.pen.end, len(self.pool.used)
+    def response_summary(self) -> tuple[int, str, int]:
+        return self.writer.status, self.writer.end, len(self.pool.used)
 
     async def test_a_whole_stream_goes_through_unchanged(self) -> None:
         chunks = (b"".join(EVENTS)[:7], b"".join(EVENTS)[7:])
         await self.pass_through([FakeCall(HEAD, chunks)], **STREAM)
-        self.assertEqual((self.told(), self.pen.body), ((200, "whole", 1), b"".join(EVENTS)))
-        self.assertEqual((self.pen.headers.get("Seal"), self.pen.headers.get("Connection")), ("s", None))
+        self.assertEqual((self.response_summary(), self.writer.body), ((200, "whole", 1), b"".join(EVENTS)))
+        self.assertEqual((self.writer.headers.get("Seal"), self.writer.headers.get("Connection")), ("s", None))
         self.assertEqual(self.pool.used[0].sent[0]["Tenant"], "t")
 
     async def test_a_cut_stream_never_looks_whole_and_runs_once(self) -> None:
         await self.pass_through([FakeCall(HEAD, (EVENTS[0], EVENTS[1][:3]), whole=False)], **STREAM)
-        self.assertEqual((self.told(), self.pen.body), ((200, "cut", 1), EVENTS[0]))
+        self.assertEqual((self.response_summary(), self.writer.body), ((200, "cut", 1), EVENTS[0]))
 
     async def test_a_stream_that_ends_inside_an_event_is_cut(self) -> None:
         await self.pass_through([FakeCall(HEAD, (EVENTS[0], EVENTS[1][:3]))], **STREAM)
-        self.assertEqual(self.told(), (200, "cut", 1))
+        self.assertEqual(self.response_summary(), (200, "cut", 1))
 
     async def test_a_resumable_stream_goes_on_elsewhere_in_the_same_answer(self) -> None:
-        cut = FakeCall(HEAD, (EVENTS[0], EVENTS[1][:3]), whole=False)
-        await self.pass_through([cut, FakeCall(HEAD, tuple(EVENTS[1:]))], **RESUMABLE)
-        self.assertEqual((self.told(), self.pen.body), ((200, "whole", 2), b"".join(EVENTS)))
+        truncated_call = FakeCall(HEAD, (EVENTS[0], EVENTS[1][:3]), whole=False)
+        await self.pass_through([truncated_call, FakeCall(HEAD, tuple(EVENTS[1:]))], **RESUMABLE)
+        self.assertEqual((self.response_summary(), self.writer.body), ((200, "whole", 2), b"".join(EVENTS)))
         self.assertEqual(self.pool.used[1].sent[0]["Last"], "1")
-        self.assertEqual(self.placer.chosen, ["w1", "w2"])
+        self.assertEqual(self.selector.chosen, ["w1", "w2"])
 
     async def test_a_resumed_stream_that_fails_too_is_cut(self) -> None:
-        cut = FakeCall(HEAD, (EVENTS[0],), whole=False)
+        truncated_call = FakeCall(HEAD, (EVENTS[0],), whole=False)
         for second in (FakeCall((503, "", HTTPHeaders())), FakeCall((500, "", HTTPHeaders())), FakeCall(None)):
-            self.placer = FakePlacer()
-            await self.pass_through([cut, second], **RESUMABLE)
-            self.assertEqual((self.told(), self.pen.body), ((200, "cut", 2), EVENTS[0]))
+            self.selector = FakePlacer()
+            await self.pass_through([truncated_call, second], **RESUMABLE)
+            self.assertEqual((self.response_summary(), self.writer.body), ((200, "cut", 2), EVENTS[0]))
 
     async def test_what_may_have_run_is_never_refused_nor_sent_again(self) -> None:
-        for lost in (
+        for failing_call in (
             FakeCall(None),
             FakeCall((299, "", HTTPHeaders())),
             FakeCall(HEAD, late=True),
             FakeCall(HEAD, (b"part",), whole=False),
         ):
-            self.placer = FakePlacer()
-            await self.pass_through([lost, FakeCall(HEAD)])
-            self.assertEqual(self.told(), (502, "whole", 1))
+            self.selector = FakePlacer()
+            await self.pass_through([failing_call, FakeCall(HEAD)])
+            self.assertEqual(self.response_summary(), (502, "whole", 1))
 
     async def test_what_may_be_repeated_is_sent_again_within_its_tries(self) -> None:
         await self.pass_through([FakeCall(None), FakeCall(HEAD, (b"ok",))], repeatable=True)
-        self.assertEqual((self.told(), self.pen.body), ((200, "whole", 2), b"ok"))
-        self.placer = FakePlacer()
+        self.assertEqual((self.response_summary(), self.writer.body), ((200, "whole", 2), b"ok"))
+        self.selector = FakePlacer()
         await self.pass_through([FakeCall(None), FakeCall(None), FakeCall(HEAD)], repeatable=True)
-        self.assertEqual(self.told(), (502, "whole", 2))
+        self.assertEqual(self.response_summary(), (502, "whole", 2))
 
     async def test_turned_away_by_all_is_a_promise_that_it_did_not_run(self) -> None:
-        away = [FakeCall((503, "", HTTPHeaders())), FakeCall((421, "", HTTPHeaders()))]
-        await self.pass_through(list(away))
-        self.assertEqual(self.told(), (503, "whole", 2))
-        self.placer = FakePlacer()
+        rejecting_calls = [FakeCall((503, "", HTTPHeaders())), FakeCall((421, "", HTTPHeaders()))]
+        await self.pass_through(list(rejecting_calls))
+        self.assertEqual(self.response_summary(), (503, "whole", 2))
+        self.selector = FakePlacer()
         await self.pass_through([FakeCall((503, "", HTTPHeaders())), FakeCall(HEAD)], tries=1)
-        self.assertEqual(self.told(), (503, "whole", 1), "the most workers that one request may be sent to")
+        self.assertEqual(self.response_summary(), (503, "whole", 1), "at most `tries` workers get the request")
 
     async def test_turned_away_after_it_may_have_run_is_no_promise(self) -> None:
         await self.pass_through([FakeCall(None), FakeCall((503, "", HTTPHeaders()))], repeatable=True)
-        self.assertEqual(self.told(), (502, "whole", 2))
+        self.assertEqual(self.response_summary(), (502, "whole", 2))
 
     async def test_a_dead_port_costs_no_try(self) -> None:
         await self.pass_through([None, FakeCall(HEAD, (b"ok",))], tries=1)
-        self.assertEqual(self.told(), (200, "whole", 1))
+        self.assertEqual(self.response_summary(), (200, "whole", 1))
 
     async def test_a_choice_that_stands_no_more_sends_nothing(self) -> None:
-        self.placer = FakePlacer()
-        self.placer.does_stand = False
+        self.selector = FakePlacer()
+        self.selector.does_stand = False
         await self.pass_through([FakeCall(HEAD) for _ in range(9)])
-        self.assertEqual(self.pen.status, 503)
+        self.assertEqual(self.writer.status, 503)
         self.assertEqual([call.sent for call in self.pool.used], [[]] * len(self.pool.used))
 
     async def test_keys_and_routes_decide_and_public_ones_need_no_key(self) -> None:
         await self.pass_through([], key="other")
-        self.assertEqual(self.told(), (401, "whole", 0))
+        self.assertEqual(self.response_summary(), (401, "whole", 0))
         await self.pass_through([], path="/b/x")
-        self.assertEqual(self.told(), (404, "whole", 0))
+        self.assertEqual(self.response_summary(), (404, "whole", 0))
         await self.pass_through([FakeCall(HEAD, (b"ok",))], key="other", public=True)
-        self.assertEqual(self.told(), (200, "whole", 1))
+        self.assertEqual(self.response_summary(), (200, "whole", 1))
 
     async def test_a_node_that_knows_nothing_yet_does_not_call_all_back_at_once(self) -> None:
-        bench, dialect = FakeRuntime(), NotingDialect()
-        gate = RequestProxy(
-            bench,
+        runtime, adapter = FakeRuntime(), RecordingAdapter()
+        proxy = RequestProxy(
+            runtime,
             FakeCurrent(None),
             FakePlacer(),  # type: ignore[arg-type]
-            WorkerLoadTracker(bench),
+            WorkerLoadTracker(runtime),
             FakePool([]),  # type: ignore[arg-type]
-            FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
-            dialect,
+            FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
+            adapter,
             lambda: 1,
             lambda worker, head: None,
         )
         for number in range(50):
-            pen = FakePen()
-            await gate.serve(OpaqueRequest(f"id{number}", "POST", "/", "h", "/", HTTPHeaders(), b"", bench.now()), pen)
-            self.assertEqual(pen.status, 503)
-        told = [refusal.retry_after_micros for refusal in dialect.refusals if refusal.kind is ErrorKind.NOT_CURRENT]
-        self.assertEqual(len(told), 50)
-        self.assertTrue(1_000_000 <= min(told) and max(told) < 1_600_000, told)
-        self.assertGreater(max(told) - min(told), 400_000)
+            writer = FakePen()
+            await proxy.serve(
+                OpaqueRequest(f"id{number}", "POST", "/", "h", "/", HTTPHeaders(), b"", runtime.now()), writer
+            )
+            self.assertEqual(writer.status, 503)
+        retry_delays = [
+            refusal.retry_after_micros for refusal in adapter.refusals if refusal.kind is ErrorKind.NOT_CURRENT
+        ]
+        self.assertEqual(len(retry_delays), 50)
+        self.assertTrue(1_000_000 <= min(retry_delays) and max(retry_delays) < 1_600_000, retry_delays)
+        self.assertGreater(max(retry_delays) - min(retry_delays), 400_000)
 
     async def test_a_caller_without_the_time_to_come_back_is_held_until_the_node_knows(self) -> None:
-        for wait_micros, known_micros, wanted in (
+        for wait_micros, known_micros, expected_result in (
             (2 * SECOND, 800_000, (404, 800_000)),
             (2 * SECOND, 5 * SECOND, (503, SECOND)),
             (600_000, 800_000, (503, 300_000)),
             (3 * SECOND, 800_000, (503, 0)),
             (0, 800_000, (503, 0)),
         ):
-            bench = TickingBench()
-            began_micros = bench.now()
-            current = LateCurrent(make_view(), bench, began_micros + known_micros)
-            gate = RequestProxy(
-                bench,
-                current,
+            runtime = AdvancingRuntime()
+            began_micros = runtime.now()
+            view_provider = DelayedViewProvider(make_view(), runtime, began_micros + known_micros)
+            proxy = RequestProxy(
+                runtime,
+                view_provider,
                 FakePlacer(),  # type: ignore[arg-type]
-                WorkerLoadTracker(bench),
+                WorkerLoadTracker(runtime),
                 FakePool([]),  # type: ignore[arg-type]
-                FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
+                FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
                 FakeDialect(),
                 lambda: 1,
                 lambda worker, head: None,
             )
-            pen = FakePen()
-            await gate.serve(
+            writer = FakePen()
+            await proxy.serve(
                 OpaqueRequest(
                     "id",
                     "POST",
@@ -373,31 +381,35 @@
                     "/",
                     HTTPHeaders(),
                     b"",
-                    bench.now(),
+                    runtime.now(),
                     wait_micros=wait_micros,
                 ),
-                pen,
+                writer,
             )
-            self.assertEqual((pen.status, bench.now() - began_micros), wanted)
+            self.assertEqual((writer.status, runtime.now() - began_micros), expected_result)
 
     async def test_a_caller_without_the_time_to_come_back_is_held_until_a_worker_is_known(self) -> None:
-        for wait_micros, wanted in ((2 * SECOND, (200, 500_000)), (800_000, (503, 400_000)), (3 * SECOND, (503, 0))):
-            bench = TickingBench()
-            began_micros = bench.now()
-            placer = LatePlacer(bench, began_micros + 500_000)
-            gate = RequestProxy(
-                bench,
+        for wait_micros, expected_result in (
+            (2 * SECOND, (200, 500_000)),
+            (800_000, (503, 400_000)),
+            (3 * SECOND, (503, 0)),
+        ):
+            runtime = AdvancingRuntime()
+            began_micros = runtime.now()
+            selector = DelayedSelector(runtime, began_micros + 500_000)
+            proxy = RequestProxy(
+                runtime,
                 FakeCurrent(make_view(**STREAM)),
-                placer,  # type: ignore[arg-type]
-                WorkerLoadTracker(bench),
+                selector,  # type: ignore[arg-type]
+                WorkerLoadTracker(runtime),
                 FakePool([FakeCall(HEAD, tuple(EVENTS))]),  # type: ignore[arg-type]
-                FleetRetryBudget(bench, 0.2, 50, 10 * SECOND),
+                FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
                 FakeDialect(),
                 lambda: 1,
                 lambda worker, head: None,
             )
-            pen = FakePen()
-            await gate.serve(
+            writer = FakePen()
+            await proxy.serve(
                 OpaqueRequest(
                     "id",
                     "POST",
@@ -406,13 +418,13 @@
                     "/a/x",
                     HTTPHeaders(),
                     b"",
-                    bench.now(),
+                    runtime.now(),
                     hash_key("k"),
                     wait_micros=wait_micros,
                 ),
-                pen,
+                writer,
             )
-            self.assertEqual((pen.status, bench.now() - began_micros), wanted)
+            self.assertEqual((writer.status, runtime.now() - began_micros), expected_result)
 
     async def test_a_read_is_over_for_others_however_its_request_ends(self) -> None:
         parts = (PromptPart("p0", 9_000), PromptPart("own", 10))
@@ -422,17 +434,17 @@
             ([FakeCall((503, "", HTTPHeaders()))], False),
             ([FakeCall(None, late=True)], False),
         ):
-            self.placer = FakePlacer(missing_tokens=9_010)
+            self.selector = FakePlacer(missing_tokens=9_010)
             notes: list[ReadNote] = []
-            await self.pass_through(list(calls), parts=parts, tell=notes.append, tries=1, **STREAM)
+            await self.pass_through(list(calls), parts=parts, broadcast=notes.append, tries=1, **STREAM)
             self.assertEqual(len(notes), 2)
             self.assertTrue(notes[-1].is_over)
-            self.assertEqual((notes[-1].is_kept, self.gate.prefills.prefills), (kept, {}))
+            self.assertEqual((notes[-1].is_kept, self.proxy.prefills.prefills), (kept, {}))
 
     async def test_a_workers_own_failure_is_passed_on(self) -> None:
-        failed = FakeCall((500, "Oh", HTTPHeaders({"Seal": "s"})), (b"why",))
-        await self.pass_through([failed, FakeCall(HEAD)])
-        self.assertEqual((self.told(), self.pen.body), ((500, "whole", 1), b"why"))
+        server_error = FakeCall((500, "Oh", HTTPHeaders({"Seal": "s"})), (b"why",))
+        await self.pass_through([server_error, FakeCall(HEAD)])
+        self.assertEqual((self.response_summary(), self.writer.body), ((500, "whole", 1), b"why"))
 
 
 if __name__ == "__main__":
--- a/tests/test_stream_model.py
+++ b/tests/test_stream_model.py
@@ -1,4 +1,4 @@
-"""EventSplitter against the reference model of a caller, and broken splitters that the model must find."""
+"""Checks EventSplitter against the reference model of a caller, and that the model finds each of several faults."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class AskedVersionSequence(StreamSequence):
-    """Knows only the weights that a run began on."""
+    """Ignores changes of the weights version within a run."""
 
     def process_event(self, event: EventFields) -> Result[EventAction, StreamViolation]:
         return super().process_event(EventFields(event.event_id, event.has_data))
 
 
 class UncheckedJoinSequence(StreamSequence):
-    """Passes on what a run repeats that begins anew."""
+    """Forwards the events that a run repeats when it restarts from the beginning."""
 
     def _join(self, event_id: str) -> Result[EventAction, StreamViolation]:
         self._is_joining = False
@@ -35,24 +35,24 @@
 
 
 class RepeatingSequence(StreamSequence):
-    """Passes on an event that comes twice."""
+    """Forwards an event that arrives twice."""
 
     def process_event(self, event: EventFields) -> Result[EventAction, StreamViolation]:
-        taken = super().process_event(event)
-        return Ok(EventAction.FORWARD) if taken.err() is StreamViolation.ID_NOT_RISING else taken
+        action = super().process_event(event)
+        return Ok(EventAction.FORWARD) if action.err() is StreamViolation.ID_NOT_RISING else action
 
 
 class JoiningSplitter(EventSplitter):
-    """Puts the next run's first event behind the part that was left of one."""
+    """Joins the first event of the next run to the partial event of the previous one."""
 
     def begin_run(self, version: int | None = None) -> None:
-        left = self.pending
+        partial_event = self.pending
         super().begin_run(version)
-        self.pending = left
+        self.pending = partial_event
 
 
-class HastySplitter(EventSplitter):
-    """Takes an answer for whole once a framing is complete, also inside an event."""
+class UncheckedEndSplitter(EventSplitter):
+    """Treats a response as complete once the framing is, also inside an event."""
 
     def end_run(self) -> bool:
         return self.violation is None and self.sequence.end_run() is None
@@ -72,15 +72,15 @@
         self.assertIsNone(first_fault(SEED, EXAMPLES))
 
     def test_the_model_finds_each_broken_splitter(self) -> None:
-        for name, make, sign in (
+        for name, make, expected_fault in (
             ("any version", with_sequence(AnyVersionSequence), "weights"),
             ("asked version", with_sequence(AskedVersionSequence), "weights"),
             ("unchecked join", with_sequence(UncheckedJoinSequence), "follows piece"),
             ("repeats", with_sequence(RepeatingSequence), "follows piece"),
             ("joins parts", JoiningSplitter, "no event of any worker"),
-            ("hasty end", HastySplitter, "ended as whole"),
+            ("hasty end", UncheckedEndSplitter, "ended as whole"),
         ):
             with self.subTest(name):
                 found = first_fault(SEED, EXAMPLES, make)
                 assert found is not None
-                self.assertTrue(any(sign in fault for fault in found[1].faults), found)
+                self.assertTrue(any(expected_fault in fault for fault in found[1].faults), found)
--- a/tests/test_stream_sequence.py
+++ b/tests/test_stream_sequence.py
@@ -1,4 +1,7 @@
-"""StreamSequence and EventSplitter: what a caller gets for any cuts, chunks and runs of workers."""
+"""StreamSequence and EventSplitter: what a caller receives for generated worker runs, chunk sizes and truncations.
+
+Guards against events that are repeated, lost, out of order or incomplete when a second run continues a stream.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +35,11 @@
 
 @dataclass(frozen=True)
 class WorkerRun:
-    """How a worker continues: `offset` is where its first event lies, counted from the one that it was asked for, and
-    `kept_share` how much of its bytes come before it breaks off. `size` is that of the chunks."""
+    """How a worker continues a stream.
+
+    `offset` is the distance of its first event from the requested one, `kept_share` the share of its bytes that it
+    sends before it breaks off, and `size` the chunk size in bytes.
+    """
 
     offset: int
     kept_share: float
@@ -51,7 +57,7 @@
 
 @dataclass
 class Caller:
-    """Passes runs through a splitter, as a gate does, until one is whole."""
+    """Passes runs through a splitter, as the request proxy does, until one is complete."""
 
     splitter: EventSplitter
     body: bytes = b""
@@ -132,13 +138,13 @@
 
 
 class SequenceTest(unittest.TestCase):
-    def take(self, sequence: StreamSequence, *ids: str) -> list[Result[EventAction, StreamViolation]]:
+    def process_ids(self, sequence: StreamSequence, *ids: str) -> list[Result[EventAction, StreamViolation]]:
         return [sequence.process_event(EventFields(event_id, True)) for event_id in ids]
 
     def test_a_violation_takes_nothing_back_and_the_next_run_continues(self) -> None:
         sequence = StreamSequence()
         sequence.begin_run()
-        self.assertEqual(self.take(sequence, "1", "2", "2")[-1], Err(StreamViolation.ID_NOT_RISING))
+        self.assertEqual(self.process_ids(sequence, "1", "2", "2")[-1], Err(StreamViolation.ID_NOT_RISING))
         self.assertEqual(sequence.last_id, "2")
 
     def test_steps_are_learned_from_two_equal_ones_only(self) -> None:
@@ -149,43 +155,43 @@
             self.assertEqual((record.is_gap(8), record.is_gap(7)), (is_known, False), steps)
 
     def test_ids_that_count_something_else_are_joined_too(self) -> None:
-        """The pages only promise that ids rise."""
+        """The documentation only promises that ids increase."""
         for ids, following in ((("1",), "8"), (("1", "8", "15"), "22"), (("3", "9", "10"), "40")):
             sequence = StreamSequence()
             sequence.begin_run()
-            self.take(sequence, *ids)
+            self.process_ids(sequence, *ids)
             sequence.begin_run()
             self.assertTrue(sequence.process_event(EventFields(following, True)).is_ok(), ids)
 
     def test_the_version_of_an_answer_never_goes_back(self) -> None:
         sequence = StreamSequence()
         sequence.begin_run(3)
-        self.assertTrue(sequence.accepts_version(2), "nothing was given out yet")
-        self.take(sequence, "1")
+        self.assertTrue(sequence.accepts_version(2), "nothing was forwarded yet")
+        self.process_ids(sequence, "1")
         accepted = [sequence.accepts_version(version) for version in (2, 3, 4, None)]
         self.assertEqual(accepted, [False, True, True, True])
         sequence.begin_run(4)
-        self.assertTrue(sequence.accepts_version(3), "the new run has given nothing out yet")
-        self.take(sequence, "2")
+        self.assertTrue(sequence.accepts_version(3), "nothing of the new run was forwarded yet")
+        self.process_ids(sequence, "2")
         self.assertFalse(sequence.accepts_version(3))
 
     def test_the_version_that_an_event_tells_counts_from_that_event_on(self) -> None:
         sequence = StreamSequence()
         sequence.begin_run(3)
-        self.take(sequence, "1")
+        self.process_ids(sequence, "1")
         self.assertTrue(sequence.accepts_version(3))
         sequence.process_event(EventFields("2", True, version=5))
-        self.take(sequence, "3")
+        self.process_ids(sequence, "3")
         self.assertEqual([sequence.accepts_version(version) for version in (3, 4, 5)], [False, False, True])
         refused = sequence.process_event(EventFields("4", True, version=4))
         self.assertEqual(refused.err(), StreamViolation.VERSION_WENT_BACK)
-        self.assertEqual(sequence.last_id, "3", "nothing of it was given out")
+        self.assertEqual(sequence.last_id, "3", "nothing of that event was forwarded")
 
     def test_an_id_of_too_many_digits_is_no_position(self) -> None:
         for digits, is_position in ((18, True), (19, False), (5_000, False)):
             sequence = StreamSequence()
             sequence.begin_run()
-            self.take(sequence, "9" * digits, "9" * digits)
+            self.process_ids(sequence, "9" * digits, "9" * digits)
             self.assertEqual(sequence.is_resumable(), is_position, digits)
 
     def test_a_position_is_known_again_after_an_event_with_an_id(self) -> None:
@@ -200,7 +206,7 @@
 
 class ControlBlockTest(unittest.TestCase):
     def test_a_block_that_is_no_event_does_not_keep_a_run_from_being_joined(self) -> None:
-        """The format says that a block without data is no event; some servers begin each run with `retry`."""
+        """By the event stream format, a block without data is not an event; some servers start a run with `retry`."""
         for block in (b"retry: 2000\n\n", b"event: ping\r\n\r\n", b"retry\n: a\n\n"):
             splitter = EventSplitter()
             splitter.begin_run()
