--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -1,6 +1,8 @@
-"""The right answer to the right caller, once: a node's gate and its connections against scripted workers at sockets.
+"""RequestProxy and UpstreamPool against scripted workers on sockets: each caller gets the response to its own request.
 
-What ran is counted by the workers: whatever they read whole they count as run unless they say that it did not.
+Guards against a stray response on a kept connection that reaches another caller, and against a request that runs
+twice or is reported as not run although it may have. The workers count as run each request that they read completely
+and do not reject.
 """
 
 from __future__ import annotations
@@ -43,8 +45,11 @@
 
 @dataclass(frozen=True)
 class Step:
-    """What a worker does with one request. `read_share`: how much of its body it reads before it ends the
-    connection; `stray`: bytes before its answer, or before its silence; `after`: bytes behind it."""
+    """What a worker does with one request.
+
+    `read_share` is the share of the body that it reads before it ends the connection; `stray` are bytes sent before
+    its response, or instead of it if `is_silent`; `after` are bytes sent after it.
+    """
 
     status: int = 200
     is_not_run: bool = False
@@ -70,11 +75,13 @@
 
 @dataclass
 class Worker:
-    """Takes a step of its script for each request, and whole answers when it is over. `forgets`: what comes on a
-    connection after an answer is reset unread."""
+    """Handles each request by the next step of its script, then with complete responses once that is used up.
+
+    With `drops_idle`, a connection is reset when a further request arrives on it after a response.
+    """
 
     script: list[Step] = field(default_factory=list)
-    forgets: bool = False
+    drops_idle: bool = False
     address: str = ""
     seen: list[str] = field(default_factory=list)
     runs: list[str] = field(default_factory=list)
@@ -87,17 +94,17 @@
     hold: asyncio.Event | None = None
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self.take, "127.0.0.1", 0, limit=2**16)
+        self.server = await asyncio.start_server(self.serve_connection, "127.0.0.1", 0, limit=2**16)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.open_now += 1
         self.open_most = max(self.open_most, self.open_now)
         self.writers.append(writer)
         try:
-            while await self.take_one(reader, writer):
-                if self.forgets:
+            while await self.serve_request(reader, writer):
+                if self.drops_idle:
                     await reader.readexactly(1)
                     return reset(writer)
         except (asyncio.IncompleteReadError, BrokenPipeError, asyncio.CancelledError):
@@ -108,7 +115,7 @@
             self.open_now -= 1
             writer.close()
 
-    async def take_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
         fields = {k.lower(): v for k, v in (line.split(": ", 1) for line in head.split("\r\n")[1:-2])}
         request_id = fields.get("x-request-id", "")
@@ -133,12 +140,12 @@
         return True
 
 
-class Pen:
+class RecordingWriter:
     def __init__(self) -> None:
         self.status, self.body, self.end = 0, b"", ""
 
     def begin(self, status: int, reason: str, headers: HTTPHeaders) -> None:
-        assert not self.status, "two heads"
+        assert not self.status, "a second response head"
         self.status = status
 
     def write(self, chunk: bytes) -> None:
@@ -154,8 +161,8 @@
         return False
 
 
-class InTurn:
-    """Places each try at the first worker that it did not see."""
+class FirstUntriedSelector:
+    """Chooses the first worker that was not tried yet."""
 
     def __init__(self, workers: list[Worker], capacity: int) -> None:
         self.workers = workers
@@ -174,14 +181,14 @@
     def is_still_valid(self, view: View, choice: WorkerChoice) -> bool:
         return True
 
-    def expect_cached(self, *told: object) -> None:
+    def expect_cached(self, *arguments: object) -> None:
         return None
 
 
-class FixedView:
+class FixedViewProvider:
     def __init__(self, connection_limit: int, **fields: Any) -> None:
-        told = {"deadline_micros": 5 * SECOND, "tries": 2, "public": True, **fields}
-        route = Route("r", "h", "/a/", [Split("s", 1)], **told)
+        route_fields = {"deadline_micros": 5 * SECOND, "tries": 2, "public": True, **fields}
+        route = Route("r", "h", "/a/", [Split("s", 1)], **route_fields)
         self.held = View()
         service = Service("s", "application", connection_limit=connection_limit)
         self.held.__dict__["description"] = Description(routes=[route], services=[service])
@@ -190,20 +197,20 @@
         return self.held
 
 
-class Site:
-    """One node and its workers. Its clock stands still between requests."""
+class NodeFixture:
+    """One node and its workers. Its clock advances only when a test sets it."""
 
     def __init__(self, *workers: Worker, connection_limit: int = 0, nodes: int = 1, capacity: int = 4) -> None:
         self.workers = list(workers)
-        self.bench = FakeRuntime()
-        self.pool = UpstreamPool(self.bench)
-        self.loads = WorkerLoadTracker(self.bench)
+        self.runtime = FakeRuntime()
+        self.pool = UpstreamPool(self.runtime)
+        self.loads = WorkerLoadTracker(self.runtime)
         self.connection_limit = connection_limit
         self.nodes = nodes
         self.capacity = capacity
-        self.budget = FleetRetryBudget(self.bench, 0.2, 50, 10 * SECOND)
+        self.budget = FleetRetryBudget(self.runtime, 0.2, 50, 10 * SECOND)
 
-    async def __aenter__(self) -> Site:
+    async def __aenter__(self) -> NodeFixture:
         for worker in self.workers:
             await worker.start()
         return self
@@ -216,11 +223,11 @@
             for writer in worker.writers:
                 writer.transport.abort()
 
-    async def ask(self, request_id: str, body: bytes = b"b", method: str = "POST", **fields: Any) -> Pen:
-        gate = RequestProxy(
-            self.bench,
-            FixedView(self.connection_limit, **fields),
-            InTurn(self.workers, self.capacity),  # type: ignore[arg-type]
+    async def ask(self, request_id: str, body: bytes = b"b", method: str = "POST", **fields: Any) -> RecordingWriter:
+        proxy = RequestProxy(
+            self.runtime,
+            FixedViewProvider(self.connection_limit, **fields),
+            FirstUntriedSelector(self.workers, self.capacity),  # type: ignore[arg-type]
             self.loads,
             self.pool,
             self.budget,
@@ -229,14 +236,14 @@
             lambda worker, head: None,
         )
         headers = HTTPHeaders({"X-Request-Id": request_id, "Host": "h"})
-        pen = Pen()
-        request = OpaqueRequest(request_id, method, "/a/x", "h", "/a/x", headers, body, self.bench.now())
-        await asyncio.wait_for(gate.serve(request, pen), PATIENCE_SECONDS)
-        return pen
+        response = RecordingWriter()
+        request = OpaqueRequest(request_id, method, "/a/x", "h", "/a/x", headers, body, self.runtime.now())
+        await asyncio.wait_for(proxy.serve(request, response), PATIENCE_SECONDS)
+        return response
 
-    async def until(self, is_so: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE_SECONDS):
-            while not is_so():
+            while not condition():
                 await asyncio.sleep(0)
 
     def runs(self) -> list[str]:
@@ -246,44 +253,46 @@
         return [request_id for worker in self.workers for request_id in worker.seen]
 
 
-def told(pen: Pen) -> tuple[int, str, bytes]:
-    return pen.status, pen.end, pen.body if pen.status == 200 else b""
+def response_summary(response: RecordingWriter) -> tuple[int, str, bytes]:
+    return response.status, response.end, response.body if response.status == 200 else b""
 
 
 class RightAnswerTest(unittest.IsolatedAsyncioTestCase):
     async def test_an_answer_too_many_in_the_place_of_the_next_reaches_nobody(self) -> None:
         late = answer("one")
-        async with Site(Worker([Step(), Step(stray=late)])) as site:
-            first, second, third = [await site.ask(name) for name in ("one", "two", "three")]
-            self.assertEqual(told(first), (200, "whole", b"for one"))
-            self.assertEqual(second.status, 502, "its own answer can't be told from what else comes there")
-            self.assertEqual(told(third), (200, "whole", b"for three"))
-            self.assertEqual(site.runs(), ["one", "two", "three"])
-            self.assertEqual(site.workers[0].connections, 2)
+        async with NodeFixture(Worker([Step(), Step(stray=late)])) as fixture:
+            first, second, third = [await fixture.ask(name) for name in ("one", "two", "three")]
+            self.assertEqual(response_summary(first), (200, "whole", b"for one"))
+            self.assertEqual(second.status, 502, "its response can't be told apart from stray bytes")
+            self.assertEqual(response_summary(third), (200, "whole", b"for three"))
+            self.assertEqual(fixture.runs(), ["one", "two", "three"])
+            self.assertEqual(fixture.workers[0].connections, 2)
 
     async def test_a_connection_whose_own_answer_is_still_due_is_not_kept(self) -> None:
-        async with Site(Worker([Step(), Step(is_silent=True, stray=answer("one"))])) as site:
-            await site.ask("one")
-            self.assertEqual((await site.ask("two")).status, 502)
-            self.assertEqual((site.pool.idle.get(site.workers[0].address) or [], site.runs()), ([], ["one", "two"]))
-            self.assertEqual(told(await site.ask("three")), (200, "whole", b"for three"))
+        async with NodeFixture(Worker([Step(), Step(is_silent=True, stray=answer("one"))])) as fixture:
+            await fixture.ask("one")
+            self.assertEqual((await fixture.ask("two")).status, 502)
+            self.assertEqual(
+                (fixture.pool.idle.get(fixture.workers[0].address) or [], fixture.runs()), ([], ["one", "two"])
+            )
+            self.assertEqual(response_summary(await fixture.ask("three")), (200, "whole", b"for three"))
 
     async def test_an_answer_too_many_with_what_may_be_repeated_is_asked_elsewhere(self) -> None:
         late = answer("one")
-        async with Site(Worker([Step(), Step(stray=late)]), Worker()) as site:
-            await site.ask("one", **REPEATABLE)
-            self.assertEqual(told(await site.ask("two", **REPEATABLE)), (200, "whole", b"for two"))
-            self.assertEqual(site.seen(), ["one", "two", "two"])
+        async with NodeFixture(Worker([Step(), Step(stray=late)]), Worker()) as fixture:
+            await fixture.ask("one", **REPEATABLE)
+            self.assertEqual(response_summary(await fixture.ask("two", **REPEATABLE)), (200, "whole", b"for two"))
+            self.assertEqual(fixture.seen(), ["one", "two", "two"])
 
     async def test_a_late_word_that_another_did_not_run_is_no_promise_for_this_one(self) -> None:
         late = answer("one", 503, "X-Not-Run: 1\r\n")
-        async with Site(Worker([Step(), Step(stray=late)]), Worker()) as site:
-            await site.ask("one")
-            self.assertEqual((await site.ask("two")).status, 502)
-            self.assertEqual(site.runs(), ["one", "two"])
+        async with NodeFixture(Worker([Step(), Step(stray=late)]), Worker()) as fixture:
+            await fixture.ask("one")
+            self.assertEqual((await fixture.ask("two")).status, 502)
+            self.assertEqual(fixture.runs(), ["one", "two"])
 
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
-        """Each status that promises, and a success: with another's id it is nobody's answer here."""
+        """Statuses that promise that the request did not run, and a success, count only with the id of this request."""
         request = PlatformDialect().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
         metadata = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
@@ -297,37 +306,37 @@
 
     async def test_what_follows_a_whole_answer_ends_its_connection_whenever_it_comes(self) -> None:
         for after in (b"stray", answer("one"), answer("two")):
-            async with Site(Worker([Step(after=after)])) as site:
-                self.assertEqual(told(await site.ask("one")), (200, "whole", b"for one"))
-                self.assertEqual(told(await site.ask("two")), (200, "whole", b"for two"))
-                self.assertEqual(site.workers[0].connections, 2)
-            async with Site(Worker()) as site:
-                await site.ask("one")
-                kept = site.pool.idle[site.workers[0].address][0].stream
-                site.workers[0].writers[0].write(after)
-                await site.until(lambda kept=kept: not is_idle_and_open(kept))  # type: ignore[misc]
-                self.assertEqual(told(await site.ask("two")), (200, "whole", b"for two"))
-                self.assertEqual(site.workers[0].connections, 2)
+            async with NodeFixture(Worker([Step(after=after)])) as fixture:
+                self.assertEqual(response_summary(await fixture.ask("one")), (200, "whole", b"for one"))
+                self.assertEqual(response_summary(await fixture.ask("two")), (200, "whole", b"for two"))
+                self.assertEqual(fixture.workers[0].connections, 2)
+            async with NodeFixture(Worker()) as fixture:
+                await fixture.ask("one")
+                kept = fixture.pool.idle[fixture.workers[0].address][0].stream
+                fixture.workers[0].writers[0].write(after)
+                await fixture.until(lambda kept=kept: not is_idle_and_open(kept))  # type: ignore[misc]
+                self.assertEqual(response_summary(await fixture.ask("two")), (200, "whole", b"for two"))
+                self.assertEqual(fixture.workers[0].connections, 2)
 
     async def test_callers_at_once_each_get_their_own(self) -> None:
-        async with Site(Worker()) as site:
+        async with NodeFixture(Worker()) as fixture:
             names = [f"id{number}" for number in range(24)]
             for _ in range(3):
-                pens = await asyncio.gather(*(site.ask(name) for name in names))
-                self.assertEqual([pen.body for pen in pens], [f"for {name}".encode() for name in names])
-            self.assertEqual(sorted(site.runs()), sorted(names * 3))
+                responses = await asyncio.gather(*(fixture.ask(name) for name in names))
+                self.assertEqual([response.body for response in responses], [f"for {name}".encode() for name in names])
+            self.assertEqual(sorted(fixture.runs()), sorted(names * 3))
 
     async def test_a_worker_that_takes_its_time_to_say_no_is_asked_on_the_same_connection(self) -> None:
-        async with Site(Worker([Step(status=503, is_not_run=True)] * 3), Worker()) as site:
+        async with NodeFixture(Worker([Step(status=503, is_not_run=True)] * 3), Worker()) as fixture:
             for name in ("one", "two", "three"):
-                self.assertEqual(told(await site.ask(name)), (200, "whole", f"for {name}".encode()))
-            self.assertEqual(site.runs(), ["one", "two", "three"])
-            self.assertEqual([worker.connections for worker in site.workers], [1, 1])
+                self.assertEqual(response_summary(await fixture.ask(name)), (200, "whole", f"for {name}".encode()))
+            self.assertEqual(fixture.runs(), ["one", "two", "three"])
+            self.assertEqual([worker.connections for worker in fixture.workers], [1, 1])
 
 
 class OnceTest(unittest.IsolatedAsyncioTestCase):
     async def test_what_may_not_be_repeated_is_never_sent_twice(self) -> None:
-        """A connection, new or kept, that dies after none, some or all of the bytes, or is silent."""
+        """The connection, new or kept, fails after none, some or all of the bytes were read, or stays silent."""
         for step, body in (
             (Step(is_reset=True, read_share=0.0), LARGE_BODY),
             (Step(is_reset=True, read_share=0.01), LARGE_BODY),
@@ -338,137 +347,139 @@
             (Step(is_silent=True), b"small"),
         ):
             for before in ([], ["zero"]):
-                async with Site(Worker([Step()] * len(before) + [step]), Worker()) as site:
+                async with NodeFixture(Worker([Step()] * len(before) + [step]), Worker()) as fixture:
                     for name in before:
-                        await site.ask(name)
-                    pen = await site.ask("one", body, deadline_micros=300 * MILLI)
-                    self.assertEqual((pen.status, pen.end), (502, "whole"), step)
-                    self.assertEqual(site.seen(), [*before, "one"], step)
-                    self.assertEqual(site.budget.spent, 0)
+                        await fixture.ask(name)
+                    response = await fixture.ask("one", body, deadline_micros=300 * MILLI)
+                    self.assertEqual((response.status, response.end), (502, "whole"), step)
+                    self.assertEqual(fixture.seen(), [*before, "one"], step)
+                    self.assertEqual(fixture.budget.spent, 0)
 
     async def test_a_port_that_is_dead_took_no_byte_so_another_worker_gets_it(self) -> None:
-        async with Site(Worker(), Worker()) as site:
-            assert site.workers[0].server is not None
-            site.workers[0].server.close()
-            self.assertEqual(told(await site.ask("one")), (200, "whole", b"for one"))
-            self.assertEqual(site.runs(), ["one"])
+        async with NodeFixture(Worker(), Worker()) as fixture:
+            assert fixture.workers[0].server is not None
+            fixture.workers[0].server.close()
+            self.assertEqual(response_summary(await fixture.ask("one")), (200, "whole", b"for one"))
+            self.assertEqual(fixture.runs(), ["one"])
 
     async def test_what_may_be_repeated_is_tried_again_within_its_tries_and_the_budget(self) -> None:
-        async with Site(*(Worker([Step(is_reset=True)] * 9) for _ in range(3))) as site:
-            pen = await site.ask("one", **REPEATABLE)
-            self.assertEqual((pen.status, site.seen()), (502, ["one", "one"]))
-            site.budget.credits["s"] = (0.0, site.bench.now())
-            pen = await site.ask("two", **REPEATABLE)
-            self.assertEqual((pen.status, site.seen().count("two")), (502, 1))
+        async with NodeFixture(*(Worker([Step(is_reset=True)] * 9) for _ in range(3))) as fixture:
+            response = await fixture.ask("one", **REPEATABLE)
+            self.assertEqual((response.status, fixture.seen()), (502, ["one", "one"]))
+            fixture.budget.credits["s"] = (0.0, fixture.runtime.now())
+            response = await fixture.ask("two", **REPEATABLE)
+            self.assertEqual((response.status, fixture.seen().count("two")), (502, 1))
 
     async def test_what_was_turned_away_goes_on_and_runs_once(self) -> None:
         for status in (503, 429):
-            async with Site(Worker([Step(status=status, is_not_run=True)]), Worker()) as site:
-                self.assertEqual(told(await site.ask("one")), (200, "whole", b"for one"))
-                self.assertEqual((site.runs(), site.seen()), (["one"], ["one", "one"]))
+            async with NodeFixture(Worker([Step(status=status, is_not_run=True)]), Worker()) as fixture:
+                self.assertEqual(response_summary(await fixture.ask("one")), (200, "whole", b"for one"))
+                self.assertEqual((fixture.runs(), fixture.seen()), (["one"], ["one", "one"]))
 
     async def test_a_status_of_a_worker_that_ran_it_is_no_promise(self) -> None:
         for status in (408, 429, 503):
             for fields in ({}, {**REPEATABLE, "tries": 1}):
-                async with Site(Worker([Step(status=status)]), Worker()) as site:
-                    pen = await site.ask("one", **fields)
-                    self.assertEqual((pen.status, site.runs()), (502, ["one"]), status)
+                async with NodeFixture(Worker([Step(status=status)]), Worker()) as fixture:
+                    response = await fixture.ask("one", **fields)
+                    self.assertEqual((response.status, fixture.runs()), (502, ["one"]), status)
         for status in (400, 404, 500, 504):
-            async with Site(Worker([Step(status=status)]), Worker()) as site:
-                self.assertEqual(((await site.ask("one")).status, site.runs()), (status, ["one"]))
+            async with NodeFixture(Worker([Step(status=status)]), Worker()) as fixture:
+                self.assertEqual(((await fixture.ask("one")).status, fixture.runs()), (status, ["one"]))
 
 
 class ForgottenTest(unittest.IsolatedAsyncioTestCase):
     async def test_what_may_not_be_repeated_is_not_spent_on_a_connection_that_rested_long(self) -> None:
-        async with Site(Worker(forgets=True)) as site:
-            await site.ask("one")
-            site.bench.now_micros += 3 * SECOND
-            self.assertEqual(told(await site.ask("two")), (200, "whole", b"for two"))
-            self.assertEqual((site.workers[0].connections, site.pool.reused), (2, 0))
+        async with NodeFixture(Worker(drops_idle=True)) as fixture:
+            await fixture.ask("one")
+            fixture.runtime.now_micros += 3 * SECOND
+            self.assertEqual(response_summary(await fixture.ask("two")), (200, "whole", b"for two"))
+            self.assertEqual((fixture.workers[0].connections, fixture.pool.reused), (2, 0))
 
     async def test_one_that_rested_little_or_that_may_be_lost_is_used(self) -> None:
         for rested_micros, fields in ((1_900 * MILLI, {}), (3 * SECOND, REPEATABLE)):
-            async with Site(Worker()) as site:
-                await site.ask("one")
-                site.bench.now_micros += rested_micros
-                self.assertEqual((await site.ask("two", **fields)).status, 200)
-                self.assertEqual((site.workers[0].connections, site.pool.reused), (1, 1))
+            async with NodeFixture(Worker()) as fixture:
+                await fixture.ask("one")
+                fixture.runtime.now_micros += rested_micros
+                self.assertEqual((await fixture.ask("two", **fields)).status, 200)
+                self.assertEqual((fixture.workers[0].connections, fixture.pool.reused), (1, 1))
 
     async def test_a_worker_that_forgot_one_costs_one_and_no_more_for_a_while(self) -> None:
-        async with Site(Worker(forgets=True)) as site:
-            await site.ask("one")
-            site.bench.now_micros += SECOND
-            self.assertEqual((await site.ask("two")).status, 502, "in doubt it ran")
+        async with NodeFixture(Worker(drops_idle=True)) as fixture:
+            await fixture.ask("one")
+            fixture.runtime.now_micros += SECOND
+            self.assertEqual((await fixture.ask("two")).status, 502, "it may have run")
             for name in ("three", "four", "five"):
-                self.assertEqual(told(await site.ask(name)), (200, "whole", f"for {name}".encode()))
-                site.bench.now_micros += SECOND
-            self.assertEqual(site.runs(), ["one", "three", "four", "five"])
+                self.assertEqual(response_summary(await fixture.ask(name)), (200, "whole", f"for {name}".encode()))
+                fixture.runtime.now_micros += SECOND
+            self.assertEqual(fixture.runs(), ["one", "three", "four", "five"])
 
     async def test_a_worker_that_broke_off_in_full_use_is_not_taken_for_forgetful(self) -> None:
-        async with Site(Worker([Step(), Step(is_reset=True)])) as site:
-            await site.ask("one")
-            site.bench.now_micros += 10 * MILLI
-            self.assertEqual((await site.ask("two")).status, 502)
-            self.assertEqual(site.pool.early_close_bounds, {})
+        async with NodeFixture(Worker([Step(), Step(is_reset=True)])) as fixture:
+            await fixture.ask("one")
+            fixture.runtime.now_micros += 10 * MILLI
+            self.assertEqual((await fixture.ask("two")).status, 502)
+            self.assertEqual(fixture.pool.early_close_bounds, {})
 
 
 class ShareTest(unittest.IsolatedAsyncioTestCase):
-    async def burst(self, site: Site, count: int) -> list[Pen]:
-        """Requests at once, none of which ends before all that may have come are there."""
-        held = [worker for worker in site.workers if worker.hold is not None]
-        asked = asyncio.gather(*(site.ask(f"id{number}") for number in range(count)))
-        await site.until(lambda: len(site.seen()) >= count or asked.done())
+    async def burst(self, fixture: NodeFixture, count: int) -> list[RecordingWriter]:
+        """Sends requests at once; the workers respond only once all requests that may be sent have arrived."""
+        held = [worker for worker in fixture.workers if worker.hold is not None]
+        pending_requests = asyncio.gather(*(fixture.ask(f"id{number}") for number in range(count)))
+        await fixture.until(lambda: len(fixture.seen()) >= count or pending_requests.done())
         for worker in held:
             assert worker.hold is not None
             worker.hold.set()
-        return await asked
+        return await pending_requests
 
     async def test_what_is_kept_stays_within_this_nodes_share(self) -> None:
-        async with Site(Worker(hold=asyncio.Event()), connection_limit=50, nodes=10, capacity=20) as site:
-            pens = await self.burst(site, 12)
-            self.assertEqual([pen.status for pen in pens], [200] * 12, "none is held up or refused")
-            address = site.workers[0].address
-            self.assertEqual((len(site.pool.idle[address]), site.pool.open_count(address)), (4, 4))
-            await site.until(lambda: site.workers[0].open_now == 4)
+        async with NodeFixture(Worker(hold=asyncio.Event()), connection_limit=50, nodes=10, capacity=20) as fixture:
+            responses = await self.burst(fixture, 12)
+            self.assertEqual(
+                [response.status for response in responses], [200] * 12, "no request is delayed or refused"
+            )
+            address = fixture.workers[0].address
+            self.assertEqual((len(fixture.pool.idle[address]), fixture.pool.open_count(address)), (4, 4))
+            await fixture.until(lambda: fixture.workers[0].open_now == 4)
 
     async def test_idle_ones_make_way_for_a_new_one(self) -> None:
-        async with Site(Worker(hold=asyncio.Event()), connection_limit=50, nodes=10) as site:
-            await self.burst(site, 4)
-            address = site.workers[0].address
-            self.assertEqual(site.pool.open_count(address), 4)
-            site.bench.now_micros += 3 * SECOND
-            hold = site.workers[0].hold
+        async with NodeFixture(Worker(hold=asyncio.Event()), connection_limit=50, nodes=10) as fixture:
+            await self.burst(fixture, 4)
+            address = fixture.workers[0].address
+            self.assertEqual(fixture.pool.open_count(address), 4)
+            fixture.runtime.now_micros += 3 * SECOND
+            hold = fixture.workers[0].hold
             assert hold is not None
             hold.clear()
-            asked = asyncio.create_task(site.ask("late"))
-            await site.until(lambda: "late" in site.seen())
-            self.assertEqual((site.pool.open_count(address), len(site.pool.idle[address])), (4, 3))
+            pending_requests = asyncio.create_task(fixture.ask("late"))
+            await fixture.until(lambda: "late" in fixture.seen())
+            self.assertEqual((fixture.pool.open_count(address), len(fixture.pool.idle[address])), (4, 3))
             hold.set()
-            self.assertEqual((await asked).status, 200)
-            self.assertEqual((site.pool.open_count(address), len(site.pool.idle[address])), (4, 4))
+            self.assertEqual((await pending_requests).status, 200)
+            self.assertEqual((fixture.pool.open_count(address), len(fixture.pool.idle[address])), (4, 4))
 
     async def test_beyond_twice_its_places_a_request_goes_elsewhere_and_the_worker_does_not_rest(self) -> None:
         workers = [Worker(hold=asyncio.Event()), Worker(hold=asyncio.Event())]
-        async with Site(*workers, connection_limit=50, nodes=10, capacity=4) as site:
+        async with NodeFixture(*workers, connection_limit=50, nodes=10, capacity=4) as fixture:
             faults: list[str] = []
-            site.loads.record_failure = faults.append  # type: ignore[method-assign, assignment]
-            pens = await self.burst(site, 12)
-            self.assertEqual([pen.status for pen in pens], [200] * 12)
+            fixture.loads.record_failure = faults.append  # type: ignore[method-assign, assignment]
+            responses = await self.burst(fixture, 12)
+            self.assertEqual([response.status for response in responses], [200] * 12)
             self.assertEqual([len(worker.seen) for worker in workers], [8, 4])
             self.assertEqual(faults, [])
 
     async def test_without_a_limit_none_is_held_to_a_share(self) -> None:
-        async with Site(Worker(hold=asyncio.Event())) as site:
-            await self.burst(site, 12)
-            self.assertEqual(len(site.pool.idle[site.workers[0].address]), 12)
+        async with NodeFixture(Worker(hold=asyncio.Event())) as fixture:
+            await self.burst(fixture, 12)
+            self.assertEqual(len(fixture.pool.idle[fixture.workers[0].address]), 12)
 
     async def test_a_connection_on_which_nothing_was_sent_is_still_good(self) -> None:
-        async with Site(Worker()) as site:
-            await site.ask("one")
-            unused = (await site.pool.call(site.workers[0].address, CallLimits(SECOND))).unwrap()
+        async with NodeFixture(Worker()) as fixture:
+            await fixture.ask("one")
+            unused = (await fixture.pool.call(fixture.workers[0].address, CallLimits(SECOND))).unwrap()
             await unused.close()
-            self.assertEqual((await site.ask("two")).status, 200)
-            self.assertEqual(site.workers[0].connections, 1)
+            self.assertEqual((await fixture.ask("two")).status, 200)
+            self.assertEqual(fixture.workers[0].connections, 1)
 
 
 class OrderTest(unittest.IsolatedAsyncioTestCase):
@@ -480,37 +491,37 @@
             Step(is_silent=True),
             Step(status=503, is_not_run=True),
         ):
-            async with Site(Worker([step])) as site:
-                control = PlatformWorkerClient(site.workers[0].address)
+            async with NodeFixture(Worker([step])) as fixture:
+                control = PlatformWorkerClient(fixture.workers[0].address)
                 self.addCleanup(control.close)
                 order = LoadOrder("w0", "line", 2, "n", 7)
-                given = await control.order_load(site.workers[0].address, order, lambda: True, 200 * MILLI)
-                self.assertIsInstance(given, Err, step)
-                self.assertEqual(len(site.seen()), 1, step)
+                order_result = await control.order_load(fixture.workers[0].address, order, lambda: True, 200 * MILLI)
+                self.assertIsInstance(order_result, Err, step)
+                self.assertEqual(len(fixture.seen()), 1, step)
 
     async def test_an_order_that_is_given_up_is_not_sent_on_by_the_kernel(self) -> None:
-        """What a reset ends is never delivered later; an end in order would be, once a cut link heals."""
-        async with Site(Worker([Step(is_silent=True)])) as site:
-            control = PlatformWorkerClient(site.workers[0].address)
+        """A reset drops undelivered data; after an orderly close it would be delivered once a broken link recovers."""
+        async with NodeFixture(Worker([Step(is_silent=True)])) as fixture:
+            control = PlatformWorkerClient(fixture.workers[0].address)
             self.addCleanup(control.close)
             order = LoadOrder("w0", "line", 2, "n", 7)
-            given = await control.order_load(site.workers[0].address, order, lambda: True, 100 * MILLI)
-            self.assertIsInstance(given, Err)
-            await site.until(lambda: site.workers[0].open_now == 0)
-            self.assertEqual(site.workers[0].resets, 1)
+            order_result = await control.order_load(fixture.workers[0].address, order, lambda: True, 100 * MILLI)
+            self.assertIsInstance(order_result, Err)
+            await fixture.until(lambda: fixture.workers[0].open_now == 0)
+            self.assertEqual(fixture.workers[0].resets, 1)
 
     async def test_an_order_never_uses_a_connection_that_may_hold_another_answer(self) -> None:
-        async with Site(Worker([Step(status=202, after=answer("", 421))] * 2)) as site:
-            control = PlatformWorkerClient(site.workers[0].address)
+        async with NodeFixture(Worker([Step(status=202, after=answer("", 421))] * 2)) as fixture:
+            control = PlatformWorkerClient(fixture.workers[0].address)
             self.addCleanup(control.close)
             order = LoadOrder("w0", "line", 2, "n", 7)
             for _ in range(2):
-                given = await control.order_load(site.workers[0].address, order, lambda: True, SECOND)
-                self.assertEqual(given, Ok(OrderOutcome.TAKEN))
-            self.assertEqual(site.workers[0].connections, 2)
+                order_result = await control.order_load(fixture.workers[0].address, order, lambda: True, SECOND)
+                self.assertEqual(order_result, Ok(OrderOutcome.TAKEN))
+            self.assertEqual(fixture.workers[0].connections, 2)
 
     async def test_an_answer_too_many_of_the_list_is_not_taken_for_the_next(self) -> None:
-        """Otherwise each later list would be one call old."""
+        """Otherwise each later call would return the list of the call before it."""
         whole = answer("", body=b'{"Servers": [], "NextPage": null}')
 
         async def serve(times: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -1,7 +1,7 @@
-"""The order of a stream, from scripted workers through a node to a caller, all of them at real sockets.
+"""The order of a stream from scripted workers through a node to a caller, all on real sockets.
 
-An answer gives each event once and in order, joins a second run only after the last event that was given out, and
-looks whole only if the framing of the run that ended it was complete.
+Guards against a streamed response that repeats, loses or mixes up events when a second worker continues it after a
+failure, and against a truncated one that looks complete. A second run may only follow the last forwarded event.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock
 from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.emulator.wire import RawConnection, WireError
-from tests.test_right_answer_once import InTurn, reset
+from tests.test_right_answer_once import FirstUntriedSelector, reset
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from request_dialect import PlatformDialect  # noqa: E402
@@ -59,8 +59,11 @@
 
 @dataclass(frozen=True)
 class Run:
-    """One answer of a worker: its framing, the bytes after its head, or a function that makes them of the last event
-    that the caller has, and whether it then resets its connection, ends it, or keeps it open."""
+    """One response of a worker.
+
+    `body` holds the bytes after its head, or a function that returns them for the number of the last event that the
+    caller has. `is_reset` and `is_ended` say whether the worker then resets or ends its connection or keeps it open.
+    """
 
     body: bytes | Callable[[int], bytes]
     framing: str = CHUNKED
@@ -78,20 +81,20 @@
 
 
 def continuing(run: str, last: int = PIECES) -> Run:
-    """A whole answer that begins after the last event that the caller has."""
+    """A complete response that starts after the last event that the caller has."""
     return Run(lambda last_event: whole(events(last_event + 1, last, run)))
 
 
 @dataclass
 class ScriptedWorker:
-    """Answers each request by the next run of its script, and is silent when that is over.
+    """Answers each request with the next run of its script, and never answers once the script is used up.
 
-    `asked`: the header `Last-Event-Id` of each request.
+    `last_event_ids` holds the `Last-Event-Id` header of each request.
     """
 
     script: list[Run]
     address: str = ""
-    asked: list[str | None] = field(default_factory=list)
+    last_event_ids: list[str | None] = field(default_factory=list)
     on_request: Callable[[], None] = lambda: None
     echoed_id: str = ""
     server: asyncio.Server | None = None
@@ -99,10 +102,10 @@
     connections: int = 0
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self.take, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.serve_connection, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
         self.connections += 1
         try:
@@ -117,7 +120,7 @@
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in head.split("\r\n")[1:-2])}
         await reader.readexactly(int(headers.get("content-length", "0")))
-        self.asked.append(headers.get("last-event-id"))
+        self.last_event_ids.append(headers.get("last-event-id"))
         if not self.script:
             await reader.read()
             return False
@@ -127,7 +130,7 @@
         await writer.drain()
         self.on_request()
         if run.is_reset:
-            # What was written must be read before the reset, as that drops what still lies in the kernel.
+            # The written data must be read before the reset, which drops what is still buffered in the kernel.
             await asyncio.sleep(0.05)
             reset(writer)
         return not (run.is_reset or run.is_ended)
@@ -135,7 +138,7 @@
 
 @dataclass(frozen=True)
 class Received:
-    """What a caller got: `end` is `whole` where the framing was complete, else `cut`."""
+    """What a caller received: `end` is `whole` if the framing was complete, else `cut`."""
 
     status: int
     body: bytes
@@ -143,8 +146,8 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-class ChangingView:
-    """What is in force; a test may put another route in its place at any time."""
+class ChangingViewProvider:
+    """Provides the view in force, which a test may replace at any time."""
 
     def __init__(self, route: Route) -> None:
         self.put(route)
@@ -158,36 +161,36 @@
         return self.held
 
 
-class StreamSite:
-    """A node between a caller and workers. Without a clock of its own, its time stands still."""
+class StreamFixture:
+    """A node between a caller and scripted workers. Unless a clock is given, its time stands still."""
 
     def __init__(self, *scripts: list[Run], route: Route = RESUMABLE, clock: Clock | None = None) -> None:
         self.workers = [ScriptedWorker(list(script)) for script in scripts]
-        self.current = ChangingView(route)
-        self.placer: Any = InTurn(self.workers, 4)  # type: ignore[arg-type]
-        self.bench = clock or FakeRuntime()
+        self.current = ChangingViewProvider(route)
+        self.selector: Any = FirstUntriedSelector(self.workers, 4)  # type: ignore[arg-type]
+        self.runtime = clock or FakeRuntime()
         self.violations: list[str] = []
 
-    async def __aenter__(self) -> StreamSite:
+    async def __aenter__(self) -> StreamFixture:
         for worker in self.workers:
             await worker.start()
-        bench, dialect = self.bench, PlatformDialect()
-        self.pool = UpstreamPool(bench)
-        budget = FleetRetryBudget(bench, 0.2, 50, 10 * SECOND)
-        self.gate = RequestProxy(
-            bench,
+        runtime, adapter = self.runtime, PlatformDialect()
+        self.pool = UpstreamPool(runtime)
+        budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
+        self.proxy = RequestProxy(
+            runtime,
             self.current,
-            self.placer,
-            WorkerLoadTracker(bench),
+            self.selector,
+            WorkerLoadTracker(runtime),
             self.pool,
             budget,
-            dialect,
+            adapter,
             lambda: 1,
             lambda worker, head: None,
             on_violation=self.violations.append,
         )
-        self.edge = ClientConnectionManager(bench, dialect, self.gate.serve, ClientLimits)
-        self.server = ClientHttpServer(self.edge)
+        self.connection_manager = ClientConnectionManager(runtime, adapter, self.proxy.serve, ClientLimits)
+        self.server = ClientHttpServer(self.connection_manager)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.address = f"127.0.0.1:{bound_sockets[0].getsockname()[1]}"
         self.server.add_sockets(bound_sockets)
@@ -232,83 +235,83 @@
 
 class CutInsideAnEventTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_part_of_the_first_event_is_not_joined_to_the_next_run(self) -> None:
-        """Nothing was given out yet, so the second run is the whole answer."""
+        """Nothing was forwarded yet, so the second run is the whole response."""
         first = event(1, "a")
         for cut in range(len(first)):
             for is_reset in (False, True):
                 broken = Run(chunk(first[:cut]), is_reset=is_reset, is_ended=not is_reset)
-                async with StreamSite([broken], [continuing("b")]) as site:
-                    received = await site.ask()
+                async with StreamFixture([broken], [continuing("b")]) as fixture:
+                    received = await fixture.ask()
                 self.assertEqual((received.end, received.body), ("whole", events(1, PIECES, "b")), first[:cut])
 
     async def test_a_part_of_a_later_event_is_not_joined_to_the_next_run(self) -> None:
         for cut in range(len(event(3))):
             broken = Run(chunk(events(1, 2) + event(3)[:cut]), is_reset=True)
-            async with StreamSite([broken], [continuing("b")]) as site:
-                received = await site.ask()
-                asked = site.workers[1].asked
+            async with StreamFixture([broken], [continuing("b")]) as fixture:
+                received = await fixture.ask()
+                last_event_ids = fixture.workers[1].last_event_ids
             self.assertEqual((received.end, received.body), ("whole", events(1, 2) + events(3, PIECES, "b")))
-            self.assertEqual(asked, ["2"])
+            self.assertEqual(last_event_ids, ["2"])
 
 
 class ResumingCallerTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_run_that_begins_anew_repeats_nothing_that_a_resuming_caller_has(self) -> None:
-        async with StreamSite([Run(whole(events(1, PIECES)))]) as site:
-            received = await site.ask(last_event_id="2")
+        async with StreamFixture([Run(whole(events(1, PIECES)))]) as fixture:
+            received = await fixture.ask(last_event_id="2")
         self.assertEqual((received.end, received.body), ("whole", events(3, PIECES)))
 
 
 class ChangingRouteTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_stream_is_not_joined_to_an_answer_of_another_kind_of_route(self) -> None:
-        """The route that is in force after the cut decides: it must still be a stream that may be resumed."""
-        for later in (
+        """The route in force after the truncation decides: it must still be a resumable stream."""
+        for new_route in (
             replace(ROUTE, resumable=False),
             replace(ROUTE, stream=False, repeatable=True),
             replace(ROUTE, repeatable=True),
         ):
             broken = Run(chunk(events(1, 2)), is_reset=True)
-            async with StreamSite([broken], [continuing("b")]) as site:
-                site.workers[0].on_request = lambda: site.current.put(later)  # noqa: B023
-                received = await site.ask()
-                asked = site.workers[1].asked
-            self.assertEqual((received.end, received.body, asked), ("cut", events(1, 2), []), later)
+            async with StreamFixture([broken], [continuing("b")]) as fixture:
+                fixture.workers[0].on_request = lambda: fixture.current.put(new_route)  # noqa: B023
+                received = await fixture.ask()
+                last_event_ids = fixture.workers[1].last_event_ids
+            self.assertEqual((received.end, received.body, last_event_ids), ("cut", events(1, 2), []), new_route)
 
     async def test_a_stream_whose_route_or_key_is_gone_is_cut(self) -> None:
         tenant = Tenant("t", [hash_key("k")])
         for routes, tenants in (((), ()), ((replace(RESUMABLE, public=False),), (tenant,))):
             broken = Run(chunk(events(1, 2)), is_reset=True)
-            async with StreamSite([broken], [continuing("b")]) as site:
-                site.workers[0].on_request = lambda: site.current.put(*routes, tenants=tenants)  # noqa: B023
-                received = await site.ask()
-                asked = site.workers[1].asked
-            self.assertEqual((received.end, received.body, asked), ("cut", events(1, 2), []))
+            async with StreamFixture([broken], [continuing("b")]) as fixture:
+                fixture.workers[0].on_request = lambda: fixture.current.put(*routes, tenants=tenants)  # noqa: B023
+                received = await fixture.ask()
+                last_event_ids = fixture.workers[1].last_event_ids
+            self.assertEqual((received.end, received.body, last_event_ids), ("cut", events(1, 2), []))
 
     async def test_a_stream_goes_on_at_another_service_or_with_other_times(self) -> None:
-        for later in (
+        for new_route in (
             replace(RESUMABLE, splits=[Split("other", 1)]),
             replace(RESUMABLE, deadline_micros=3 * SECOND),
             replace(RESUMABLE, name="other"),
         ):
             broken = Run(chunk(events(1, 2)), is_reset=True)
-            async with StreamSite([broken], [continuing("b")]) as site:
-                site.workers[0].on_request = lambda: site.current.put(later)  # noqa: B023
-                received = await site.ask()
+            async with StreamFixture([broken], [continuing("b")]) as fixture:
+                fixture.workers[0].on_request = lambda: fixture.current.put(new_route)  # noqa: B023
+                received = await fixture.ask()
             self.assertEqual((received.end, received.body), ("whole", events(1, 2) + events(3, PIECES, "b")))
 
 
 class ViolationTest(unittest.IsolatedAsyncioTestCase):
-    """A run that breaks the sequence ends there; its events before that stay given, and another run follows them."""
+    """A run that breaks the sequence ends there; its earlier events stay forwarded, and another run continues them."""
 
     async def answer(self, *scripts: list[Run], route: Route = RESUMABLE) -> tuple[str, bytes, list[str]]:
-        async with StreamSite(*scripts, route=route) as site:
-            received = await site.ask()
-            return received.end, received.body, site.violations
+        async with StreamFixture(*scripts, route=route) as fixture:
+            received = await fixture.ask()
+            return received.end, received.body, fixture.violations
 
     async def test_an_event_that_comes_twice_ends_its_run(self) -> None:
-        twice = Run(whole(events(1, 2) + events(2, PIECES)))
-        found = await self.answer([twice], route=ROUTE)
+        repeating_run = Run(whole(events(1, 2) + events(2, PIECES)))
+        found = await self.answer([repeating_run], route=ROUTE)
         self.assertEqual(found, ("cut", events(1, 2), ["stream_id_not_rising"]))
-        found = await self.answer([twice], [continuing("b")])
+        found = await self.answer([repeating_run], [continuing("b")])
         self.assertEqual(found, ("whole", events(1, 2) + events(3, PIECES, "b"), ["stream_id_not_rising"]))
 
     async def test_a_run_that_begins_later_than_it_was_asked_to_is_not_joined(self) -> None:
@@ -324,7 +327,7 @@
             self.assertEqual(found, ("whole", events(1, 3) + events(4, PIECES, "b"), []), first)
 
     async def test_a_run_with_other_events_is_not_joined(self) -> None:
-        """Its events lie across the position: each piece of it is a part of what was given, or more than the next."""
+        """The second run splits the output into other events, so none of them ends at the last forwarded one."""
         broken = Run(chunk(event(3) + event(5)), is_reset=True)
         other = Run(whole(event(2, "b") + event(4, "b") + event(6, "b")))
         found = await self.answer([broken], [other])
@@ -346,12 +349,19 @@
         self.assertEqual(found, ("whole", events(1, PIECES), []))
 
     async def test_events_without_a_position_are_passed_on_and_never_joined(self) -> None:
-        for unnamed in (b"data: x\n\n", b"id: a\ndata: x\n\n", b"id: \xb2\ndata: x\n\n", b"id:\ndata: x\n\n"):
-            found = await self.answer([Run(whole(unnamed * 2))], route=ROUTE)
-            self.assertEqual(found, ("whole", unnamed * 2, []))
-            found = await self.answer([Run(chunk(unnamed), is_reset=True)], [Run(whole(unnamed))])
-            self.assertEqual(found, ("cut", unnamed, []))
-            found = await self.answer([Run(chunk(event(1)), is_reset=True)], [Run(whole(unnamed))])
+        for event_without_position in (
+            b"data: x\n\n",
+            b"id: a\ndata: x\n\n",
+            b"id: \xb2\ndata: x\n\n",
+            b"id:\ndata: x\n\n",
+        ):
+            found = await self.answer([Run(whole(event_without_position * 2))], route=ROUTE)
+            self.assertEqual(found, ("whole", event_without_position * 2, []))
+            found = await self.answer(
+                [Run(chunk(event_without_position), is_reset=True)], [Run(whole(event_without_position))]
+            )
+            self.assertEqual(found, ("cut", event_without_position, []))
+            found = await self.answer([Run(chunk(event(1)), is_reset=True)], [Run(whole(event_without_position))])
             self.assertEqual(found, ("cut", event(1), ["stream_position_unknown"]))
 
     async def test_comments_have_no_place_in_the_order(self) -> None:
@@ -364,13 +374,13 @@
         self.assertEqual(found, ("whole", event(1) + comment + events(2, PIECES, "b"), []))
 
     async def test_a_violation_before_anything_was_given_is_no_promise(self) -> None:
-        async with StreamSite([Run(whole(event(1)))], route=ROUTE) as site:
-            received = await site.ask(last_event_id="3")
-        self.assertEqual((received.status, site.violations), (502, ["stream_position_missed"]))
+        async with StreamFixture([Run(whole(event(1)))], route=ROUTE) as fixture:
+            received = await fixture.ask(last_event_id="3")
+        self.assertEqual((received.status, fixture.violations), (502, ["stream_position_missed"]))
 
 
 class FramingTest(unittest.IsolatedAsyncioTestCase):
-    """Nothing looks whole unless the framing of a worker's run was complete."""
+    """No response looks complete unless the framing of a worker's run was complete."""
 
     BROKEN = (
         Run(chunk(events(1, PIECES)), is_ended=True),
@@ -394,16 +404,16 @@
 
     async def test_what_is_not_whole_does_not_look_so(self) -> None:
         for run in self.BROKEN:
-            async with StreamSite([run], route=ROUTE) as site:
-                received = await site.ask()
+            async with StreamFixture([run], route=ROUTE) as fixture:
+                received = await fixture.ask()
             self.assertTrue(received.end == "cut" or received.status == 502, run)
             if received.status == 200:
                 self.assertTrue(events(1, PIECES).startswith(received.body), run)
 
     async def test_what_is_not_whole_is_completed_by_another_run_where_that_may_be(self) -> None:
         for run in self.BROKEN:
-            async with StreamSite([run], [continuing("b", PIECES + 1)]) as site:
-                received = await site.ask()
+            async with StreamFixture([run], [continuing("b", PIECES + 1)]) as fixture:
+                received = await fixture.ask()
             numbers = [line for line in received.body.splitlines() if line.startswith(b"id: ")]
             self.assertEqual(numbers, [b"id: %d" % number for number in range(1, PIECES + 2)], run)
             self.assertEqual(received.end, "whole")
@@ -419,104 +429,106 @@
             Run(body, framing="Connection: close\r\n", is_ended=True),
             Run(b"".join(chunk(body[at : at + 1]) for at in range(len(body))) + LAST_CHUNK),
         ):
-            async with StreamSite([run], route=ROUTE) as site:
-                received = await site.ask()
+            async with StreamFixture([run], route=ROUTE) as fixture:
+                received = await fixture.ask()
             self.assertEqual((received.end, received.body), ("whole", body), run)
             self.assertNotIn("content-length", received.headers)
 
     async def test_what_follows_a_stream_reaches_no_other_request(self) -> None:
         stray = Run(whole(event(1, "x"))).head("two") + whole(event(1, "x"))
         for body in (whole(events(1, 2)) + stray, whole(events(1, 2)) + event(3)):
-            async with StreamSite([Run(body), Run(whole(events(1, 3)))], route=ROUTE) as site:
-                first = await site.ask("one")
-                second = await site.ask("two")
-                connections = site.workers[0].connections
+            async with StreamFixture([Run(body), Run(whole(events(1, 3)))], route=ROUTE) as fixture:
+                first = await fixture.ask("one")
+                second = await fixture.ask("two")
+                connections = fixture.workers[0].connections
             self.assertEqual((first.end, first.body), ("whole", events(1, 2)))
             self.assertEqual((second.end, second.body, connections), ("whole", events(1, 3), 2))
 
     async def test_a_connection_is_kept_after_a_whole_stream_and_not_after_a_cut_one(self) -> None:
         answer = Run(whole(events(1, 3)))
-        async with StreamSite([answer, answer], route=ROUTE) as site:
-            self.assertEqual([(await site.ask(name)).end for name in ("one", "two")], ["whole"] * 2)
-            self.assertEqual(site.workers[0].connections, 1)
-        twice = Run(whole(event(1) + event(1)) + chunk(event(2)))
-        async with StreamSite([twice, answer], route=ROUTE) as site:
-            self.assertEqual([(await site.ask(name)).end for name in ("one", "two")], ["cut", "whole"])
-            self.assertEqual(site.workers[0].connections, 2)
+        async with StreamFixture([answer, answer], route=ROUTE) as fixture:
+            self.assertEqual([(await fixture.ask(name)).end for name in ("one", "two")], ["whole"] * 2)
+            self.assertEqual(fixture.workers[0].connections, 1)
+        repeating_run = Run(whole(event(1) + event(1)) + chunk(event(2)))
+        async with StreamFixture([repeating_run, answer], route=ROUTE) as fixture:
+            self.assertEqual([(await fixture.ask(name)).end for name in ("one", "two")], ["cut", "whole"])
+            self.assertEqual(fixture.workers[0].connections, 2)
 
 
 class JoinedAnswerTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_joined_answer_keeps_the_head_and_stamp_of_its_first_worker(self) -> None:
         broken = Run(chunk(events(1, 2)), headers="X-Weight-Versions: 3\r\n", is_reset=True)
         second = replace(continuing("b"), headers="X-Weight-Versions: 4\r\nX-Other: 1\r\n")
-        async with StreamSite([broken], [second]) as site:
-            received = await site.ask()
+        async with StreamFixture([broken], [second]) as fixture:
+            received = await fixture.ask()
         self.assertEqual((received.end, received.headers["x-weight-versions"]), ("whole", "3"))
         self.assertEqual((received.headers["x-answer-seal"], "x-other" in received.headers), ("seal", False))
 
     async def test_an_answer_goes_on_by_the_last_event_of_a_resuming_caller(self) -> None:
         broken = Run(lambda last: chunk(events(last + 1, 4)), is_reset=True)
-        async with StreamSite([broken], [continuing("b", 6)]) as site:
-            received = await site.ask(last_event_id="2")
-            asked = [worker.asked for worker in site.workers]
+        async with StreamFixture([broken], [continuing("b", 6)]) as fixture:
+            received = await fixture.ask(last_event_id="2")
+            last_event_ids = [worker.last_event_ids for worker in fixture.workers]
         self.assertEqual((received.end, received.body), ("whole", events(3, 4) + events(5, 6, "b")))
-        self.assertEqual(asked, [["2"], ["4"]])
+        self.assertEqual(last_event_ids, [["2"], ["4"]])
 
     async def test_a_run_without_an_event_hands_the_callers_own_position_on(self) -> None:
-        async with StreamSite([Run(b"", is_reset=True)], [continuing("b")]) as site:
-            received = await site.ask(last_event_id="2")
-            asked = [worker.asked for worker in site.workers]
+        async with StreamFixture([Run(b"", is_reset=True)], [continuing("b")]) as fixture:
+            received = await fixture.ask(last_event_id="2")
+            last_event_ids = [worker.last_event_ids for worker in fixture.workers]
         self.assertEqual((received.end, received.body), ("whole", events(3, PIECES, "b")))
-        self.assertEqual(asked, [["2"], ["2"]])
+        self.assertEqual(last_event_ids, [["2"], ["2"]])
 
     async def test_the_position_of_a_caller_goes_on_where_nothing_may_be_resumed(self) -> None:
-        """The caller knew the route otherwise; its request runs once and continues as it asked."""
-        async with StreamSite([continuing("a")], [continuing("b")], route=ROUTE) as site:
-            received = await site.ask(last_event_id="2")
-            asked = [worker.asked for worker in site.workers]
-        self.assertEqual((received.end, received.body, asked), ("whole", events(3, PIECES), [["2"], []]))
+        """The route is no longer resumable; the request runs once, from the position that the caller requested."""
+        async with StreamFixture([continuing("a")], [continuing("b")], route=ROUTE) as fixture:
+            received = await fixture.ask(last_event_id="2")
+            last_event_ids = [worker.last_event_ids for worker in fixture.workers]
+        self.assertEqual((received.end, received.body, last_event_ids), ("whole", events(3, PIECES), [["2"], []]))
 
     async def test_an_answer_is_joined_as_often_as_its_route_has_tries(self) -> None:
         broken = Run(lambda last: chunk(event(last + 1)), is_reset=True)
         for tries, end, last in ((1, "cut", 1), (2, "cut", 2), (3, "whole", PIECES)):
             route = replace(RESUMABLE, tries=tries)
-            async with StreamSite([broken], [broken], [continuing("a")], route=route) as site:
-                received = await site.ask()
+            async with StreamFixture([broken], [broken], [continuing("a")], route=route) as fixture:
+                received = await fixture.ask()
             self.assertEqual((received.end, received.body), (end, events(1, last)), tries)
 
     async def test_a_worker_that_turns_the_second_run_away_leaves_it_to_the_next(self) -> None:
         broken = Run(chunk(events(1, 2)), is_reset=True)
-        full = Run(b"", framing="Content-Length: 0\r\n", status=503, headers="X-Not-Run: 1\r\n")
-        failing = Run(b"oops", framing="Content-Length: 4\r\n", status=500)
-        for refusing in (full, failing):
+        rejecting_run = Run(b"", framing="Content-Length: 0\r\n", status=503, headers="X-Not-Run: 1\r\n")
+        error_run = Run(b"oops", framing="Content-Length: 4\r\n", status=500)
+        for second_run in (rejecting_run, error_run):
             route = replace(RESUMABLE, tries=3)
-            async with StreamSite([broken], [refusing], [continuing("b")], route=route) as site:
-                received = await site.ask()
+            async with StreamFixture([broken], [second_run], [continuing("b")], route=route) as fixture:
+                received = await fixture.ask()
             self.assertEqual((received.end, received.body), ("whole", events(1, 2) + events(3, PIECES, "b")))
 
     async def test_a_late_answer_to_another_request_is_not_joined(self) -> None:
         broken = Run(chunk(events(1, 2)), is_reset=True)
-        late = replace(Run(whole(events(3, 9, "x"))), is_ended=True)
-        async with StreamSite([broken], [late], route=RESUMABLE) as site:
-            site.workers[1].echoed_id = "another"
-            received = await site.ask()
+        foreign_run = replace(Run(whole(events(3, 9, "x"))), is_ended=True)
+        async with StreamFixture([broken], [foreign_run], route=RESUMABLE) as fixture:
+            fixture.workers[1].echoed_id = "another"
+            received = await fixture.ask()
         self.assertEqual((received.end, received.body), ("cut", events(1, 2)))
 
     async def test_both_kinds_of_line_ends_and_ids_on_any_line(self) -> None:
-        odd = [
+        unusual_events = [
             b"x-weight-versions: 4\nid: 1\ndata: a\n\n",
             b"x-weight-versions: 5\r\nid:2\r\ndata: id: 9\r\ndata:id: 9\r\n\r\n",
             b"data: a\nid: 3\n\n",
             b"id: 1\nid: 4\ndata: a\n\n",
         ]
-        async with StreamSite([Run(chunk(b"".join(odd)), is_reset=True)], [continuing("b")]) as site:
-            received = await site.ask()
-            asked = site.workers[1].asked
-        self.assertEqual((received.end, received.body, asked), ("whole", b"".join(odd) + event(5, "b"), ["4"]))
+        async with StreamFixture([Run(chunk(b"".join(unusual_events)), is_reset=True)], [continuing("b")]) as fixture:
+            received = await fixture.ask()
+            last_event_ids = fixture.workers[1].last_event_ids
+        self.assertEqual(
+            (received.end, received.body, last_event_ids), ("whole", b"".join(unusual_events) + event(5, "b"), ["4"])
+        )
 
 
-class VersionsInTurn(InTurn):
-    """Places a run at the first worker that it did not see, on the weights that this one has."""
+class VersionedSelector(FirstUntriedSelector):
+    """Chooses the first worker that was not tried yet, with the version of its weights."""
 
     def __init__(self, workers: list[Any], versions: tuple[int, ...]) -> None:
         super().__init__(workers, 4)
@@ -529,11 +541,11 @@
 
 class VersionTest(unittest.IsolatedAsyncioTestCase):
     async def runs_at(self, *versions: int, first: Run) -> tuple[str, list[int]]:
-        """How an answer ended, and how many requests each of its workers got, by the versions of their weights."""
-        async with StreamSite([first], *[[continuing("b")] for _ in versions[1:]]) as site:
-            site.gate.selector = VersionsInTurn(site.workers, versions)  # type: ignore[assignment]
-            received = await site.ask()
-            return received.end, [len(worker.asked) for worker in site.workers]
+        """Returns how a response ended and how many requests each worker got; the workers have the given versions."""
+        async with StreamFixture([first], *[[continuing("b")] for _ in versions[1:]]) as fixture:
+            fixture.proxy.selector = VersionedSelector(fixture.workers, versions)  # type: ignore[assignment]
+            received = await fixture.ask()
+            return received.end, [len(worker.last_event_ids) for worker in fixture.workers]
 
     async def test_a_begun_answer_does_not_go_back_to_older_weights(self) -> None:
         broken = Run(chunk(events(1, 2)), is_reset=True)
@@ -542,10 +554,10 @@
         self.assertEqual(await self.runs_at(3, 2, first=broken), ("cut", [1, 0]))
 
     async def test_what_a_worker_tells_of_its_weights_counts_before_what_it_was_asked_for(self) -> None:
-        """Its weights may change while it runs, which it tells by a first line of the event at which they do."""
-        newer = b"x-weight-versions: 4\n" + event(2)
+        """The weights may change during a run, which the first line of the event announces from which they differ."""
+        newer_event = b"x-weight-versions: 4\n" + event(2)
         for changed in (
-            Run(chunk(event(1) + newer), headers="X-Weight-Versions: 3\r\n", is_reset=True),
+            Run(chunk(event(1) + newer_event), headers="X-Weight-Versions: 3\r\n", is_reset=True),
             Run(chunk(events(1, 2)), headers="X-Weight-Versions: 4\r\n", is_reset=True),
         ):
             self.assertEqual(await self.runs_at(3, 3, 4, first=changed), ("whole", [1, 0, 1]))
@@ -554,20 +566,20 @@
     async def test_a_run_that_tells_older_weights_than_it_was_asked_for_is_not_joined(self) -> None:
         broken = Run(chunk(events(1, 2)), headers="X-Weight-Versions: 4\r\n", is_reset=True)
         older = Run(whole(events(3, PIECES, "b")), headers="X-Weight-Versions: 3\r\n")
-        async with StreamSite([broken], [older]) as site:
-            site.gate.selector = VersionsInTurn(site.workers, (4, 4))  # type: ignore[assignment]
-            received = await site.ask()
+        async with StreamFixture([broken], [older]) as fixture:
+            fixture.proxy.selector = VersionedSelector(fixture.workers, (4, 4))  # type: ignore[assignment]
+            received = await fixture.ask()
         self.assertEqual(
-            (received.end, received.body, site.violations), ("cut", events(1, 2), ["stream_version_went_back"])
+            (received.end, received.body, fixture.violations), ("cut", events(1, 2), ["stream_version_went_back"])
         )
 
     async def test_an_event_whose_weights_go_back_within_a_run_ends_it(self) -> None:
-        back = b"x-weight-versions: 3\n" + event(3)
-        run = Run(whole(events(1, 2) + back + events(4, PIECES)), headers="X-Weight-Versions: 4\r\n")
-        async with StreamSite([run], route=ROUTE) as site:
-            received = await site.ask()
+        older_event = b"x-weight-versions: 3\n" + event(3)
+        run = Run(whole(events(1, 2) + older_event + events(4, PIECES)), headers="X-Weight-Versions: 4\r\n")
+        async with StreamFixture([run], route=ROUTE) as fixture:
+            received = await fixture.ask()
         self.assertEqual(
-            (received.end, received.body, site.violations), ("cut", events(1, 2), ["stream_version_went_back"])
+            (received.end, received.body, fixture.violations), ("cut", events(1, 2), ["stream_version_went_back"])
         )
 
     async def test_an_answer_that_gave_nothing_out_may_begin_on_any_weights(self) -> None:
@@ -576,18 +588,18 @@
 
 class TimeTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_stream_that_falls_silent_is_cut_at_its_deadline(self) -> None:
-        """The second worker is not asked any more, and nothing looks whole."""
+        """The second worker gets no request, and the response does not look complete."""
         silent = Run(chunk(events(1, 2) + event(3)[:5]))
         route = replace(RESUMABLE, deadline_micros=200 * MILLI)
-        async with StreamSite([silent], [continuing("b")], route=route, clock=BootClock()) as site:
-            received = await site.ask()
-            asked = site.workers[1].asked
-        self.assertEqual((received.end, received.body, asked), ("cut", events(1, 2), []))
+        async with StreamFixture([silent], [continuing("b")], route=route, clock=BootClock()) as fixture:
+            received = await fixture.ask()
+            last_event_ids = fixture.workers[1].last_event_ids
+        self.assertEqual((received.end, received.body, last_event_ids), ("cut", events(1, 2), []))
 
     async def test_a_caller_that_reads_slowly_gets_all_in_order(self) -> None:
         body = b"".join(b"id: %d\ndata: %s\n\n" % (number, b"x" * 50_000) for number in range(1, 81))
-        async with StreamSite([Run(whole(body))], route=ROUTE) as site:
-            connection = RawConnection(site.address)
+        async with StreamFixture([Run(whole(body))], route=ROUTE) as fixture:
+            connection = RawConnection(fixture.address)
             await connection.open()
             await connection.send("POST", "/a/x", {"Host": "h", "X-Request-Id": "one"}, b"b")
             head = await connection.read_head()
@@ -601,10 +613,10 @@
 
 class HttpOneZeroTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_cut_answer_without_framing_ends_by_a_reset(self) -> None:
-        """To a caller without chunks, an ordinary end of the connection says that the answer is whole."""
+        """Without chunked framing, an orderly close of the connection means that the response is complete."""
         for run, is_whole in ((Run(whole(events(1, 2))), True), (Run(chunk(events(1, 2)), is_reset=True), False)):
-            async with StreamSite([run], route=ROUTE) as site:
-                host, port = site.address.split(":")
+            async with StreamFixture([run], route=ROUTE) as fixture:
+                host, port = fixture.address.split(":")
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(b"GET /a/x HTTP/1.0\r\nHost: h\r\nX-Request-Id: one\r\n\r\n")
                 async with asyncio.timeout(PATIENCE_SECONDS):
