--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -554,7 +554,7 @@
         self.assertEqual(await self.runs_at(3, 2, first=broken), ("cut", [1, 0]))
 
     async def test_what_a_worker_tells_of_its_weights_counts_before_what_it_was_asked_for(self) -> None:
-        """The weights may change during a run, which the first line of the event announces from which they differ."""
+        """The weights may change during a run; the first event of the new weights announces this in its first line."""
         newer_event = b"x-weight-versions: 4\n" + event(2)
         for changed in (
             Run(chunk(event(1) + newer_event), headers="X-Weight-Versions: 3\r\n", is_reset=True),
