--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -64,7 +64,7 @@
 # Leaves headroom: nodes know their number only approximately, and orders and reports need connections too.
 CONNECTION_LIMIT_FRACTION = 0.8
 MIN_CONNECTION_SHARE = 2
-# A worker queues a few requests beyond its slots. Of one node alone, it rejects what exceeds twice its slots.
+# A worker queues a few requests beyond its slots, but rejects what a single node sends beyond twice its slots.
 CONNECTIONS_PER_SLOT = 2
 # A worker may drop an idle connection without notice. A request that may not be repeated is not sent on a connection
 # that has been idle for longer than this, because a failure would leave its outcome unknown.
@@ -86,7 +86,7 @@
     """The state of one request from its arrival to the end of its response.
 
     - `placements`: workers chosen so far; `tries`: those of them to which the request was sent; `tried`: their names,
-      together with those that could not be reached or have too old weights.
+      together with those that could not be reached or whose weights are too old.
     - `may_have_run`: a worker may have begun to run it; `may_have_run_before`: the same before the current try.
     - `has_response_started`: the response head was written to the caller.
     - `is_fresh`: it was not yet sent to a worker and has not waited for the prefill of another request.
