--- a/src/pearhead/router/paced_broadcaster.py
+++ b/src/pearhead/router/paced_broadcaster.py
@@ -1,4 +1,4 @@
-"""PacedBroadcaster (§7.7): one message to many nodes, a few at a time, to fit the queue of the sender's link."""
+"""PacedBroadcaster (§7.7): sends one message to many nodes in batches that fit the queue of the sender's link."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 from pearhead.runtime.clock import MILLI, Clock, sleep_for
 
-# At most this much leaves at once; a link of 5 Mbit/s carries it in 13 ms.
+# Size limit of one batch; a link of 5 Mbit/s transmits it in 13 ms.
 BATCH_BYTES = 8 * 1024
 BATCH_PAUSE_MICROS = 25 * MILLI
 
 
 class PacedBroadcaster:
-    """Sends in batches, in an order drawn anew each time: what a full link drops is not always the same nodes' copy."""
+    """Sends in batches, in a new random order each time.
+
+    A full link drops the end of a burst; a fixed order would make the same nodes lose their copy each time.
+    """
 
     def __init__(self, clock: Clock, chance: random.Random) -> None:
         self.clock = clock
         self.chance = chance
 
     async def send(self, addresses: list[str], message_bytes: int, send_batch: Callable[[list[str]], None]) -> None:
-        """Calls `send_batch` for one batch of addresses after another; a copy takes `message_bytes`."""
+        """Calls `send_batch` with one batch of addresses after another; `message_bytes` is the size of one copy."""
         shuffled = self.chance.sample(addresses, len(addresses))
         batch_size = max(1, BATCH_BYTES // max(message_bytes, 1))
         for start in range(0, len(shuffled), batch_size):
--- a/src/pearhead/router/roster_age_monitor.py
+++ b/src/pearhead/router/roster_age_monitor.py
@@ -1,4 +1,4 @@
-"""RosterAgeMonitor (§7.7): logs when a node's list of workers becomes old, and when it is fresh again."""
+"""RosterAgeMonitor (§7.7): logs when a node's roster becomes old, and when it is fresh again."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class RosterAgeMonitor:
-    """Told the age at every tick and around every change; logs on crossing `OLD_MICROS` only."""
+    """Logs only when the age crosses `OLD_MICROS`; it is given the age at every tick and around every merge."""
 
     def __init__(self) -> None:
         self.longest_micros = 0
 
     def observe(self, age_micros: int) -> None:
-        """Takes the present age."""
+        """Takes the current age and logs if the roster has just become old or fresh."""
         was_old = self.longest_micros > 0
         if age_micros > OLD_MICROS:
             self.longest_micros = max(self.longest_micros, age_micros)
--- a/src/pearhead/router/roster_merge.py
+++ b/src/pearhead/router/roster_merge.py
@@ -1,4 +1,4 @@
-"""RosterMerge (§7.7): what several lists of workers say, put together so that knowledge goes one way only."""
+"""RosterMerge (§7.7): merges successive worker lists into one roster that never reverts to older facts."""
 
 from __future__ import annotations
 
@@ -10,23 +10,27 @@
 from pearhead.rpc.wire_pb2 import ListedWorker, LoadedModel
 from pearhead.runtime.clock import MILLI, SECOND
 
-# Absent from lists that were asked so far apart, a worker is out.
+# A worker is removed when it is absent from lists whose requests lie at least this far apart.
 ABSENT_MICROS = 400 * MILLI
-# So long is a worker that is out not taken in again.
+# A removed worker is not added again for this long.
 ROSTER_EXCLUSION_MICROS = 60 * SECOND
+# Stands for a time before any list was read.
 LONG_AGO = -(10**12)
 
 
 @dataclass(frozen=True)
 class Roster:
-    """Immutable and swapped whole. `at_micros`: when the list behind it was asked, by this node's clock."""
+    """An immutable set of workers by name, replaced as a whole.
+
+    `at_micros` is when the list behind it was requested, by this node's clock.
+    """
 
     backends: Mapping[str, Backend] = field(default_factory=dict)
     at_micros: int = LONG_AGO
 
 
 def pack_backend(backend: Backend) -> ListedWorker:
-    """For a note to other nodes."""
+    """Encodes a worker for a note to other nodes."""
     return ListedWorker(
         name=backend.name,
         address=backend.address,
@@ -40,7 +44,7 @@
 
 
 def unpack_backend(listed: ListedWorker) -> Backend:
-    """From a note of another node."""
+    """Decodes a worker from a note of another node."""
     return Backend(
         listed.name,
         listed.address,
@@ -54,11 +58,12 @@
 
 
 class RosterMerge:
-    """What lists say, put together so that knowledge goes one way only.
+    """Merges worker lists so that a worker's state only moves forward.
 
-    Seen leaving stays leaving. Absent from two lists asked 0.4 s apart or more is out, and out for 60 s: pages of one
-    list are read one after another, so an entry that moves between them is missing once though it is there; a second
-    list a second later still leaves time within the 3 s that a worker takes to go. A list of nobody says nothing.
+    A worker once seen leaving stays leaving. One that is absent from two lists requested at least 0.4 s apart is removed,
+    and stays out for 60 s. A single absence is not enough: the pages of a list are read one after another, so an entry
+    that moves between pages can be missing although the worker is there. Waiting for the next list, a second later, still
+    fits into the 3 s that a leaving worker goes on serving. An empty list is ignored.
     """
 
     def __init__(self) -> None:
@@ -68,7 +73,10 @@
         self.excluded_until: dict[str, int] = {}
 
     def merge_list(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> bool:
-        """Whether the list was newer than what is known. An older one can still tell who leaves."""
+        """Merges a list and returns whether it was newer than the roster.
+
+        From an older list only the marks of leaving workers are taken.
+        """
         listed_by_name = {backend.name: backend for backend in listed}
         self.leaving |= {name for name, backend in listed_by_name.items() if backend.is_leaving}
         is_newer = bool(listed_by_name) and at_micros > self.roster.at_micros
@@ -92,15 +100,15 @@
         return is_newer
 
     def add_from_peer(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> None:
-        """What a colleague knows: it adds whom this node does not know, and takes nobody out."""
-        told = list(listed)
+        """Adds the workers of a peer's roster that this node does not know; removes none."""
+        peer_backends = list(listed)
         if not self.roster.backends:
-            self.merge_list(told, at_micros, now_micros)
+            self.merge_list(peer_backends, at_micros, now_micros)
             return
-        self.leaving |= {backend.name for backend in told if backend.is_leaving}
+        self.leaving |= {backend.name for backend in peer_backends if backend.is_leaving}
         added = {
             b.name: b
-            for b in told
+            for b in peer_backends
             if b.name not in self.roster.backends and self.excluded_until.get(b.name, now_micros) <= now_micros
         }
         self.roster = Roster({**self.roster.backends, **added}, self.roster.at_micros)
--- a/src/pearhead/router/roster_publisher.py
+++ b/src/pearhead/router/roster_publisher.py
@@ -1,4 +1,4 @@
-"""RosterPublisher (§7.6): tells the core which workers there are, so that holds and operators can name them."""
+"""RosterPublisher (§7.6): reports the roster to the core, so that holds and operators can refer to workers by name."""
 
 from __future__ import annotations
 
@@ -19,14 +19,21 @@
 
 
 class RosterSource(Protocol):
+    """Where the publisher reads the roster."""
+
     @property
-    def roster(self) -> Roster: ...
+    def roster(self) -> Roster:
+        """The current roster."""
 
-    def is_first(self) -> bool: ...
+    def is_first(self) -> bool:
+        """Whether this node acts for the fleet; only that node publishes."""
 
 
 class RosterPublisher:
-    """Only what changed goes out, at most once a second, from the node that asks the list. Serving needs none of it."""
+    """Sends the core the changes of the roster, at most once a second.
+
+    Only the node that polls the list publishes. Serving requests does not depend on it.
+    """
 
     def __init__(
         self, source: RosterSource, view_source: ViewSource, command_client: CommandClient, clock: Clock
@@ -37,6 +44,7 @@
         self.clock = clock
 
     async def run(self) -> None:
+        """Compares the roster with the view in rounds, and sends the core the difference."""
         while True:
             await sleep_for(self.clock, ROUND_MICROS)
             if not (self.view_source.is_current() and self.source.is_first() and self.source.roster.backends):
@@ -44,15 +52,18 @@
             change = find_roster_change(self.source.roster, self.view_source.view)
             if change is None:
                 continue
-            given = await self.command_client.command(Command(workers=change))
-            if isinstance(given, Err) or given.ok_value.status != "done":
-                LOGGER.warning("router: The core did not take the roster.")
-            # The view brings the change back; until then it would be told again.
+            command_result = await self.command_client.command(Command(workers=change))
+            if isinstance(command_result, Err) or command_result.ok_value.status != "done":
+                LOGGER.warning("router: The core did not accept the roster.")
+            # Leaves time for the change to show in the view; until then it would be sent again.
             await sleep_for(self.clock, PUBLISH_PAUSE_MICROS)
 
 
 def find_roster_change(roster: Roster, view: View) -> SetWorkers | None:
-    """What the core should be told; None when it knows. A mark of operators is no difference (§7.6)."""
+    """Returns the changes that bring the core's workers up to the roster; None if there are none.
+
+    A worker that operators marked as leaving does not count as different for that (§7.6).
+    """
     change = SetWorkers(partial=True, removed=sorted(view.workers.keys() - roster.backends.keys()))
     for name, backend in sorted(roster.backends.items()):
         known = view.workers.get(name)
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -1,7 +1,7 @@
-"""RosterSynchronizer (§7.7): one node asks the platform which workers there are, and tells all others.
+"""RosterSynchronizer (§7.7): one node polls the platform's worker list and broadcasts it to all other nodes.
 
-Telling is one-way and may be lost, so each node looks at the age of its own list: one that grows old is asked of peers,
-and one that stays old is asked of the platform itself.
+Broadcasts are not acknowledged and may be lost, so each node watches the age of its own roster: it pulls from a peer
+once the roster gets old, and polls the platform itself if the roster stays old.
 """
 
 from __future__ import annotations
@@ -29,21 +29,23 @@
 LOGGER = logging.getLogger("pearhead")
 ROSTER_RENDEZVOUS_SUBJECT = "roster"
 TICK_MICROS = 100 * MILLI
-# The whole fleet asks no more often than this while nobody gets an answer.
+# Minimum gap between two requests of the whole fleet while none of them is answered.
 ATTEMPT_GAP_MICROS = 700 * MILLI
 RANK_DELAY_MICROS = 100 * MILLI
-# Records of nodes that are gone live for seconds: from here on, ranks do not wait for those before them.
+# Directory records outlive their nodes by seconds, so the delay by rank is capped: nodes ranked lower than this don't
+# wait for each of those before them.
 MAX_COUNTED_RANK = 8
 FAILED_ATTEMPT_RANK_MICROS = 100 * MILLI
-# A list this old is asked for by the node itself, whatever its rank; spread so that not all do it at once.
+# A node whose roster is this old polls the list itself, whatever its rank; the jitter keeps nodes from doing so at once.
 STALE_MICROS = 2 * SECOND
 STALE_JITTER_MICROS = 300 * MILLI
-# Peers are asked from this age on, at these intervals; they answer with workers only if their list is newer by so much.
+# From this roster age on, a node pulls from peers, with pauses between PULL_MICROS and MAX_PULL_MICROS. A peer answers
+# with workers only if its roster is newer by more than MIN_NEWER_MICROS.
 PULL_AGE_MICROS = 1_250 * MILLI
 PULL_MICROS = 150 * MILLI
 MAX_PULL_MICROS = SECOND
 MIN_NEWER_MICROS = 100 * MILLI
-# A process that was not run for this long has not had the time to ask anybody.
+# After a gap this long between two ticks the process counts as suspended: it had no time to refresh its roster.
 PAUSED_MICROS = SECOND
 FRESH_MICROS = 500 * MILLI
 PEER_TIMEOUT_MICROS = 400 * MILLI
@@ -55,17 +57,19 @@
 
 
 class AskerStopReason(Enum):
-    """Why a node stops asking the list for the fleet."""
+    """Why a node stops polling the list on behalf of the fleet."""
 
     LIST_FAILED = "list_failed"
     OUTRANKED = "outranked"
 
 
 class RosterSynchronizer:
-    """Who asks: the first by rendezvous, each `list_period_micros`; the next ones when they heard no list for 1.2 s and
-    0.1 s a rank, and anyone whose list is 2 s old. Records of dead nodes live 5 s, so silence decides and not who is
-    listed. A note without workers says that its sender asks or asked, so that a list in trouble is not asked by all
-    at once.
+    """Keeps this node's roster current and elects, without coordination, the node that polls the list.
+
+    The node ranked first by rendezvous hashing polls every `list_period_micros`. The others take over when they have
+    received no list for 1.2 periods plus 0.1 s per rank, and any node polls once its roster is about 2 s old. Takeover
+    goes by silence rather than by directory membership because records of dead nodes live for 5 s. A note without
+    workers announces a request that is under way or has failed, so that not all nodes poll a failing list at once.
     """
 
     def __init__(
@@ -116,19 +120,21 @@
 
     @property
     def roster(self) -> Roster:
+        """The current merged roster."""
         return self.merge.roster
 
     def age_micros(self) -> int | None:
-        """Time since the list behind the roster was asked; None before the first."""
+        """Time since the list behind the roster was requested; None before the first list."""
         at_micros = self.roster.at_micros
         return None if at_micros == LONG_AGO else self.clock.now() - at_micros
 
     def is_first(self) -> bool:
-        """Whether this node speaks for the fleet: it asks, or would be the first to."""
+        """Whether this node acts for the fleet: it polls the list, or is ranked first to do so."""
         return self.is_asker or self._rank() == 0
 
     async def run(self) -> None:
-        # A fresh node knows few colleagues and would think itself the first: it waits for word of them, spread out.
+        """Polls the list whenever it is this node's turn, and pulls from peers while the roster is old."""
+        # A newly started node knows few peers and would rank itself first, so it waits 0.5 to 1 s to learn of others.
         started_micros = self.clock.now()
         self.first_micros = started_micros + FRESH_MICROS + self.chance.randrange(FRESH_MICROS)
         self.heard_micros = self.first_micros - self.list_period_micros - self.list_period_micros // 5
@@ -146,7 +152,7 @@
             if not is_alone and now_micros >= max(self.first_micros, self._due_micros()):
                 await self._ask_list()
 
-    # ---- whose turn it is ------------------------------------------------------------------------
+    # ---- election of the polling node ------------------------------------------------------------
 
     def _rank(self) -> int:
         return self.ranks.rank([r.identity for r in self.directory.members("router")], ROSTER_RENDEZVOUS_SUBJECT)
@@ -161,52 +167,55 @@
     def _due_micros(self) -> int:
         now_micros = self.clock.now()
         if self.is_asker or self._rank() == 0:
-            # One that gets no answer while another does goes on seldom.
+            # Polls at a fifth of the rate while its own requests fail but another node gets answers.
             is_backing_off = self.failure_count > 1 and now_micros - self.heard_micros < 2 * self.list_period_micros
             return self.asked_micros + self.list_period_micros * (5 if is_backing_off else 1)
         gap_micros = ATTEMPT_GAP_MICROS + FAILED_ATTEMPT_RANK_MICROS * min(self._rank(), 10)
         due_micros = self.heard_micros + self._silence_micros()
         if self.roster.backends:
-            # Nobody's notes reach this node: it asks for itself, but not while others try in vain.
+            # No notes reach this node: it polls for itself, but not while others announce failed attempts.
             due_micros = min(due_micros, self.roster.at_micros + STALE_MICROS + self.stale_jitter_micros)
         return max(due_micros, self.attempt_micros + gap_micros)
 
     async def _ask_list(self) -> None:
-        began_micros = self.clock.now()
-        self.asked_micros = self.attempt_micros = began_micros
+        requested_micros = self.clock.now()
+        self.asked_micros = self.attempt_micros = requested_micros
         if not self.is_asker:
-            # The others wait on seeing this, whatever comes of it.
-            self._announce_attempt(began_micros)
+            # The other nodes hold back their own attempts on receiving this, whether or not it succeeds.
+            self._announce_attempt(requested_micros)
         self.is_asking = True
         self.list_request_count += 1
         try:
-            given = await self.control.list_workers(LIST_LIMIT_MICROS)
+            list_result = await self.control.list_workers(LIST_LIMIT_MICROS)
         finally:
             self.is_asking = False
-        listed = given.unwrap_or([])
+        listed = list_result.unwrap_or([])
         if not listed:
             self.failure_count += 1
             self._stop_asking(AskerStopReason.LIST_FAILED)
             if self.failure_count in (1, 10):
-                why = given.err_value if isinstance(given, Err) else "it is empty"
-                LOGGER.warning("router: The list of workers gave nothing. fault=%r", why)
-            self._announce_attempt(began_micros)
+                failure = list_result.err_value if isinstance(list_result, Err) else "it is empty"
+                LOGGER.warning("router: The list of workers returned no workers. fault=%r", failure)
+            self._announce_attempt(requested_micros)
             return
         self.failure_count = 0
         self._begin_asking()
         self.heard_micros = self.clock.now()
-        self._merge(listed, began_micros, LIST_SOURCE)
-        await self._announce_roster({b.name: b for b in listed}, began_micros)
+        self._merge(listed, requested_micros, LIST_SOURCE)
+        await self._announce_roster({b.name: b for b in listed}, requested_micros)
 
-    # ---- how old it is ---------------------------------------------------------------------------
+    # ---- age of the roster -----------------------------------------------------------------------
 
     def _roster_age(self) -> int:
-        """As `age_micros`; before the first list a very long time."""
+        """Like `age_micros`, but a very large value before the first list."""
         return self.clock.now() - self.roster.at_micros
 
     def is_fresh_within(self, bound_micros: int) -> bool:
-        """Whether the roster is no older than that, or can't be: the list gives this node no answer, or the process was
-        not run until just now."""
+        """Whether the roster is no older than `bound_micros`, or this node is excused from keeping it so.
+
+        It is excused while its own request to the list is pending or has failed, and shortly after the process was
+        suspended.
+        """
         now_micros = self.clock.now()
         was_paused = now_micros - self.ticked_micros > PAUSED_MICROS
         has_resumed = now_micros - self.resumed_micros <= PAUSED_MICROS
@@ -214,7 +223,7 @@
         return self._roster_age() <= bound_micros or is_unanswered or was_paused or has_resumed
 
     async def _pull_while_old(self) -> None:
-        """Asks one peer after another while the list is old; less often while nobody has a newer one."""
+        """Pulls from random peers while the roster is old, and backs off while none has a newer one."""
         pause_micros = PULL_MICROS
         while True:
             await sleep_for(self.clock, pause_micros)
@@ -227,21 +236,24 @@
                 pause_micros = min(pause_micros * 3 // 2, MAX_PULL_MICROS)
 
     async def _pull_from(self, address: str) -> bool:
-        """Takes a peer's list if that is newer, and says whether it was."""
-        told = await self._ask_peer(address, RosterNote(age_micros=self._roster_age()))
-        if told is None:
+        """Merges a peer's roster if it is newer; returns whether the peer sent one."""
+        peer_roster = await self._ask_peer(address, RosterNote(age_micros=self._roster_age()))
+        if peer_roster is None:
             return False
-        self._apply_list(told.backends.values(), told.at_micros, address)
+        self._apply_list(peer_roster.backends.values(), peer_roster.at_micros, address)
         return True
 
     async def _ask_peer(self, address: str, note: RosterNote) -> Roster | None:
-        """A peer's list; None if it gives none. It counts from the asking, so never as newer than it is."""
-        asked_micros = self.clock.now()
-        given = await self.rpc_endpoint.call(address, "roster_note", note, PEER_TIMEOUT_MICROS)
-        if isinstance(given, Err) or not given.ok_value.worker:
+        """Requests a peer's roster; None if the peer sends none.
+
+        Its time is reckoned from before the request, so that it never appears newer than it is.
+        """
+        requested_micros = self.clock.now()
+        reply = await self.rpc_endpoint.call(address, "roster_note", note, PEER_TIMEOUT_MICROS)
+        if isinstance(reply, Err) or not reply.ok_value.worker:
             return None
-        backends = [unpack_backend(worker) for worker in given.ok_value.worker]
-        return Roster({backend.name: backend for backend in backends}, asked_micros - given.ok_value.age_micros)
+        backends = [unpack_backend(worker) for worker in reply.ok_value.worker]
+        return Roster({backend.name: backend for backend in backends}, requested_micros - reply.ok_value.age_micros)
 
     def _apply_list(self, listed: Iterable[Backend], at_micros: int, source: str) -> None:
         if at_micros > self.roster.at_micros:
@@ -258,14 +270,19 @@
             self.is_asker = False
             LOGGER.info("router: Stops asking the list for the fleet. reason=%s", reason.value)
 
-    # ---- telling ---------------------------------------------------------------------------------
+    # ---- broadcasting ----------------------------------------------------------------------------
 
-    def _announce_attempt(self, began_micros: int) -> None:
-        note = RosterNote(age_micros=self.clock.now() - began_micros)
+    def _announce_attempt(self, requested_micros: int) -> None:
+        note = RosterNote(age_micros=self.clock.now() - requested_micros)
         self.rpc_endpoint.multicast([r.address for r in self.directory.members("router")], "roster_note", note)
 
-    async def _announce_roster(self, listed: Mapping[str, Backend], began_micros: int) -> None:
-        """What the list showed: whole to nodes not told before and now and then, else only names and what changed."""
+    async def _announce_roster(self, listed: Mapping[str, Backend], requested_micros: int) -> None:
+        """Broadcasts a list that was just read.
+
+        Nodes not notified before get all fields of every worker, and so does every node once in
+        `FULL_NOTE_PERIOD_MICROS`. The other notes have the name of every worker, whether it leaves, and all fields of
+        those that changed recently.
+        """
         now_micros = self.clock.now()
         for name, backend in listed.items():
             if _has_relevant_change(self.announced_backends.get(name), backend):
@@ -278,29 +295,29 @@
         if now_micros - self.full_note_micros >= FULL_NOTE_PERIOD_MICROS:
             self.notified_identities.clear()
             self.full_note_micros = now_micros
-        whole = RosterNote(worker=[pack_backend(b) for b in listed.values()])
+        full_note = RosterNote(worker=[pack_backend(b) for b in listed.values()])
         brief_note = RosterNote(
             worker=[
                 pack_backend(b) if n in self.changed_micros else ListedWorker(name=n, leaving=b.is_leaving)
                 for n, b in listed.items()
             ],
         )
-        known = [r.address for r in records if r.identity in self.notified_identities]
-        unnotified = [r.address for r in records if r.identity not in self.notified_identities]
+        notified_addresses = [r.address for r in records if r.identity in self.notified_identities]
+        other_addresses = [r.address for r in records if r.identity not in self.notified_identities]
         self.notified_identities = {r.identity for r in records}
-        await self._send_paced(known, brief_note, began_micros)
-        await self._send_paced(unnotified, whole, began_micros)
+        await self._send_paced(notified_addresses, brief_note, requested_micros)
+        await self._send_paced(other_addresses, full_note, requested_micros)
 
-    async def _send_paced(self, addresses: list[str], note: RosterNote, began_micros: int) -> None:
-        """Each batch is told the list's age as it leaves: what it waited here counts."""
+    async def _send_paced(self, addresses: list[str], note: RosterNote, requested_micros: int) -> None:
+        """Sends a note in batches; each carries the list's age at its own sending, which includes the wait here."""
 
         def send_batch(batch: list[str]) -> None:
-            note.age_micros = self.clock.now() - began_micros
+            note.age_micros = self.clock.now() - requested_micros
             self.rpc_endpoint.broadcast(batch, "roster_note", note)
 
         await self.note_broadcaster.send(addresses, note.ByteSize(), send_batch)
 
-    # ---- hearing ---------------------------------------------------------------------------------
+    # ---- receiving -------------------------------------------------------------------------------
 
     def _handle_note(self, identity: str, address: str, note: RosterNote) -> None:
         now_micros = self.clock.now()
@@ -312,16 +329,16 @@
             self.identity, ROSTER_RENDEZVOUS_SUBJECT
         ):
             self._stop_asking(AskerStopReason.OUTRANKED)
-        unknown = [w.name for w in note.worker if not w.address and w.name not in self.roster.backends]
+        unknown_names = [w.name for w in note.worker if not w.address and w.name not in self.roster.backends]
         listed = []
         for worker in note.worker:
             if worker.address:
                 listed.append(unpack_backend(worker))
             elif worker.name in self.roster.backends:
-                held = self.roster.backends[worker.name]
-                listed.append(dataclasses.replace(held, is_leaving=held.is_leaving or worker.leaving))
+                known_backend = self.roster.backends[worker.name]
+                listed.append(dataclasses.replace(known_backend, is_leaving=known_backend.is_leaving or worker.leaving))
         self._apply_list(listed, at_micros, address)
-        if any(name not in self.merge.excluded_until for name in unknown) and not self.is_merging_from_peer:
+        if any(name not in self.merge.excluded_until for name in unknown_names) and not self.is_merging_from_peer:
             self.task_group.start(self._merge_from_peer(address))
 
     def _merge(
@@ -335,7 +352,7 @@
         else:
             self.merge.merge_list(listed, at_micros, self.clock.now())
         for name in before.backends.keys() - self.roster.backends.keys():
-            LOGGER.info("router: A worker is gone from the list. worker=%s", name)
+            LOGGER.info("router: A worker was removed from the roster. worker=%s", name)
         self._log_leaving(leaving_before, at_micros, source)
         self._observe_age()
         self._check_merged(before)
@@ -357,14 +374,14 @@
         if self.roster is before:
             return
         backends = self.roster.backends
-        left = [name for name, held in before.backends.items() if held.is_leaving]
-        returned = [name for name in left if name in backends and not backends[name].is_leaving]
-        self.invariants.check(Invariant.LEAVING_IS_FINAL, not returned, returned)
+        leaving_names = [name for name, backend in before.backends.items() if backend.is_leaving]
+        returned_names = [name for name in leaving_names if name in backends and not backends[name].is_leaving]
+        self.invariants.check(Invariant.LEAVING_IS_FINAL, not returned_names, returned_names)
         advances = self.roster.at_micros >= before.at_micros
         self.invariants.check(Invariant.ROSTER_TIME_ADVANCES, advances, (before.at_micros, self.roster.at_micros))
 
     async def _answer_roster_ask(self, identity: str, address: str, note: RosterNote) -> RosterNote:
-        """Answers a peer: with the workers, if it has no list or an older one; it tells how old its own is."""
+        """Answers a peer: with all workers if it has no roster or an older one, as told by the age in its note."""
         if not self.roster.backends or 0 < note.age_micros <= self._roster_age() + MIN_NEWER_MICROS:
             return RosterNote()
         return RosterNote(
@@ -375,14 +392,14 @@
     async def _merge_from_peer(self, address: str) -> None:
         self.is_merging_from_peer = True
         try:
-            told = await self._ask_peer(address, RosterNote())
-            if told is not None:
-                self._merge(told.backends.values(), told.at_micros, address, adds_only=True)
+            peer_roster = await self._ask_peer(address, RosterNote())
+            if peer_roster is not None:
+                self._merge(peer_roster.backends.values(), peer_roster.at_micros, address, adds_only=True)
         finally:
             self.is_merging_from_peer = False
 
     async def _bootstrap_from_peers(self) -> None:
-        """A fresh node asks a peer; it asks the list itself if none has told it within 0.5 s."""
+        """Pulls the first roster from a peer, in up to ten attempts; `run` polls the list if none succeeds within 0.5 to 1 s."""
         for _ in range(10):
             addresses = [r.address for r in self.directory.members("router")]
             if self.roster.backends:
@@ -392,9 +409,12 @@
             await sleep_for(self.clock, TICK_MICROS)
 
 
-def _has_relevant_change(told: Backend | None, backend: Backend) -> bool:
-    """Whether more changed than what each note says of every worker, or what nobody decides by."""
-    if told is None:
+def _has_relevant_change(announced: Backend | None, backend: Backend) -> bool:
+    """Whether a worker changed in more than `is_leaving`, which every note has, and `cold_left_micros`.
+
+    No decision depends on `cold_left_micros`, so its changes alone are not broadcast.
+    """
+    if announced is None:
         return True
-    same = dataclasses.replace(told, cold_left_micros=backend.cold_left_micros, is_leaving=backend.is_leaving)
+    same = dataclasses.replace(announced, cold_left_micros=backend.cold_left_micros, is_leaving=backend.is_leaving)
     return same != backend
