--- a/src/pearhead/router/prefix_cache_index.py
+++ b/src/pearhead/router/prefix_cache_index.py
@@ -1,4 +1,4 @@
-"""PrefixCacheIndex (§6.5): which worker or store keeps which parts under which salt, by what they reported."""
+"""PrefixCacheIndex (§6.5): which worker or store caches which prompt parts under which salt, as they reported."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class PrefixCacheIndex:
-    """A location is a worker's or a store's name. What was not reported is not known; what was may be gone.
+    """Index of the cached prompt parts by location; a location is the name of a worker or a store.
 
-    A report that is lost or overtaken leaves what is known as it is (§6.5): a placement by what is gone costs a read,
-    and so would each part that was forgotten though it is kept.
+    The index is a hint: parts that were not reported are missing, and reported ones may have been evicted since. A lost
+    or overtaken report leaves the entries unchanged (§6.5): placing a request by an evicted part costs one
+    prefill, and so would forgetting a part that is still cached.
     """
 
     def __init__(self) -> None:
@@ -24,47 +25,57 @@
         self.cache_locations: dict[tuple[str, str], set[str]] = {}
 
     def apply_note(self, note: KeptNote) -> None:
+        """Applies a report, unless one of the same life with the same or a later sequence number came before.
+
+        A report of another life, or one marked `whole`, replaces all that was known of its location.
+        """
         life, sequence = self.sequences.get(note.worker, ("", 0))
         if note.whole or life != note.life:
             self.forget(note.worker)
         elif note.sequence <= sequence:
             return
         self.sequences[note.worker] = (note.life, note.sequence)
-        held = self.parts.setdefault(note.worker, OrderedDict())
+        cached_tokens = self.parts.setdefault(note.worker, OrderedDict())
         for part in note.part:
             key = (part.salt, part.part)
             if part.tokens:
-                held[key] = part.tokens
-                held.move_to_end(key)
+                cached_tokens[key] = part.tokens
+                cached_tokens.move_to_end(key)
                 self.cache_locations.setdefault(key, set()).add(note.worker)
-                if len(held) > PARTS_PER_LOCATION_LIMIT:
-                    oldest, _ = held.popitem(last=False)
+                if len(cached_tokens) > PARTS_PER_LOCATION_LIMIT:
+                    oldest, _ = cached_tokens.popitem(last=False)
                     self._remove_location(oldest, note.worker)
-            elif held.pop(key, None) is not None:
+            elif cached_tokens.pop(key, None) is not None:
                 self._remove_location(key, note.worker)
 
     def forget(self, location: str) -> None:
+        """Removes all entries of a location."""
         for key in self.parts.pop(location, ()):
             self._remove_location(key, location)
         self.sequences.pop(location, None)
 
     def cached_prefix_tokens(self, location: str, salt: str, parts: Sequence[PromptPart]) -> int:
-        """How many tokens of the prompt it keeps from its beginning: a part counts only behind all before it."""
-        held = self.parts.get(location)
-        if not held:
+        """Returns how many tokens from the beginning of the prompt the location has cached.
+
+        Counting ends at the first part that is not cached in full.
+        """
+        cached_tokens = self.parts.get(location)
+        if not cached_tokens:
             return 0
         total = 0
         for part in parts:
-            tokens = held.get((salt, part.part), 0)
+            tokens = cached_tokens.get((salt, part.part), 0)
             total += min(tokens, part.tokens)
             if tokens < part.tokens:
                 break
         return total
 
     def holds(self, worker: str, salt: str, part: str) -> bool:
+        """Whether the part is known to be cached at that worker or store."""
         return (salt, part) in self.parts.get(worker, ())
 
     def cache_locations_of(self, salt: str, part: str) -> frozenset[str]:
+        """The locations known to have the part cached."""
         return frozenset(self.cache_locations.get((salt, part), ()))
 
     def _remove_location(self, key: tuple[str, str], location: str) -> None:
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -1,4 +1,4 @@
-"""Relay (§3.6): nodes of a large fleet tell one another by way of one node of each zone, not each to each."""
+"""Relay (§3.6): nodes of a large fleet exchange notes through one relay node per zone instead of pairwise."""
 
 from __future__ import annotations
 
@@ -22,32 +22,33 @@
 FRESH_MICROS = 1_500 * MILLI
 DIRECT_LIMIT = 16
 PENDING_CACHE_NOTE_LIMIT = 2_000
-# A zone of more nodes than this is told by way of some of them.
+# In a zone of more nodes than this, the relay sends to some of them, which forward to the others.
 DIRECT_FAN_OUT = 6
-# Nodes heard within this time pass notes on before others: records of nodes that are gone live for seconds.
+# Nodes heard from within this time are preferred as forwarders: the directory records of dead nodes live for seconds.
 HEAD_RECENT_MICROS = 150 * MILLI
 FLEET_SENDER = "fleet"
 
 
 @dataclass(frozen=True)
-class _HeardNote:
+class _ReceivedNote:
     note: UseNote
-    heard_micros: int
+    received_micros: int
 
     def is_within(self, span_micros: int, now_micros: int) -> bool:
-        """Whether it was heard no longer ago than that."""
-        return now_micros - self.heard_micros < span_micros
+        """Whether it was received less than `span_micros` ago."""
+        return now_micros - self.received_micros < span_micros
 
 
-def _drop_stale_notes(book: dict[str, _HeardNote], now_micros: int) -> dict[str, _HeardNote]:
-    return {name: told for name, told in book.items() if told.is_within(FRESH_MICROS, now_micros)}
+def _drop_stale_notes(notes: dict[str, _ReceivedNote], now_micros: int) -> dict[str, _ReceivedNote]:
+    return {name: received for name, received in notes.items() if received.is_within(FRESH_MICROS, now_micros)}
 
 
 class Relay:
-    """Takes part once the fleet has more than `direct_limit` nodes; below, nodes tell one another directly.
+    """Exchanges load and cache notes through the relays of zones, once the fleet has more than `direct_limit` nodes.
 
-    The relay of a zone is the first of its nodes by rendezvous that is not silent. Each node goes by its own view, and
-    whoever is sent a node's word relays it, so nobody is chosen and a relay that dies is missed for under a second.
+    In a smaller fleet nodes send to one another directly. The relay of a zone is the node that rendezvous hashing ranks
+    first among those that are not silent. Each node decides that by its own view, and a node relays whatever the nodes
+    of its zone send it. So there is no election, and a relay that dies is replaced in less than a second.
     """
 
     def __init__(
@@ -71,8 +72,8 @@
         self.direct_limit = direct_limit
         self.avoided_until: dict[str, int] = {}
         self.chosen_relays: dict[str, tuple[str, int]] = {}
-        self.members: dict[str, _HeardNote] = {}
-        self.zones: dict[str, _HeardNote] = {}
+        self.members: dict[str, _ReceivedNote] = {}
+        self.zones: dict[str, _ReceivedNote] = {}
         self.own_cache_notes: list[KeptNote] = []
         self.zone_cache_notes: list[KeptNote] = []
         self.remote_cache_notes: list[KeptNote] = []
@@ -82,16 +83,18 @@
         rpc_endpoint.on_message("relay_note", self._handle_relay_note)
 
     def is_active(self) -> bool:
+        """Whether the fleet is large enough for notes to go through relays."""
         return len(self.directory.members("router")) >= self.direct_limit
 
     def relay_cache_note(self, note: KeptNote) -> bool:
-        """Whether it goes this way; otherwise its gatherer tells all nodes itself."""
+        """Queues a cache note for the relay; False if relays are inactive, so that the caller must broadcast it."""
         if not self.is_active():
             return False
         self._queue_notes(self.own_cache_notes, [note])
         return True
 
     async def run(self) -> None:
+        """Sends this node's notes, and relays those of its zone if it is the relay, in every period."""
         while True:
             await sleep_for(self.clock, RELAY_PERIOD_MICROS)
             if self.is_active():
@@ -99,7 +102,7 @@
             else:
                 self._set_relaying(False)
 
-    # ---- telling ---------------------------------------------------------------------------------
+    # ---- sending ---------------------------------------------------------------------------------
 
     def _work_once(self) -> None:
         by_zone: dict[str, list[Record]] = {}
@@ -135,7 +138,9 @@
 
     def _relay_once(self, by_zone: dict[str, list[Record]], includes_own: bool) -> None:
         now_micros = self.clock.now()
-        notes = [told.note for told in self.members.values()] + ([self.own_announced_use] if includes_own else [])
+        notes = [received.note for received in self.members.values()] + (
+            [self.own_announced_use] if includes_own else []
+        )
         zone_sum = sum_use_notes(notes, now_micros)
         remote_addresses = []
         for zone, records in by_zone.items():
@@ -143,28 +148,29 @@
                 remote_addresses.append(relay.address)
         self._broadcast(remote_addresses, RelayNote(hop=1, zone=self.zone, use=zone_sum, kept=self.zone_cache_notes))
         self.zones = _drop_stale_notes(self.zones, now_micros)
-        fleet_sum = sum_use_notes([zone_sum, *(told.note for told in self.zones.values())], now_micros)
-        kept = [*self.zone_cache_notes, *self.remote_cache_notes]
+        fleet_sum = sum_use_notes([zone_sum, *(received.note for received in self.zones.values())], now_micros)
+        cache_notes = [*self.zone_cache_notes, *self.remote_cache_notes]
         self.zone_cache_notes, self.remote_cache_notes = [], []
         self._fan_out(
             by_zone.get(self.zone, []),
-            RelayNote(hop=2, zone=self.zone, use=fleet_sum, kept=kept, relay=self.identity),
+            RelayNote(hop=2, zone=self.zone, use=fleet_sum, kept=cache_notes, relay=self.identity),
         )
         if includes_own:
             self._apply_fleet_use(fleet_sum)
 
     def _fan_out(self, records: list[Record], note: RelayNote) -> None:
-        """To a zone's nodes in two steps: the head of each group passes it on, so no link carries it all.
+        """Sends a note to the nodes of the zone in two steps, so that no link carries all copies.
 
-        A note that is lost costs its group what is known of every worker in it, so heads are nodes that were heard
-        just now. Groups are drawn anew each time: a head that is gone all the same costs others each time.
+        The nodes are split into groups, and the head of each group forwards the note to the others. A lost copy
+        costs its whole group the update for all workers, so nodes heard from just now become heads. Groups are drawn
+        anew each time, so that a head that is dead nevertheless does not cost the same nodes every time.
         """
         shuffled = self.chance.sample(records, len(records))
         if len(shuffled) <= DIRECT_FAN_OUT:
             return self._broadcast([record.address for record in shuffled], note)
         group_count = math.isqrt(len(shuffled) - 1)
-        heard = [record for record in shuffled if record.identity in self.members]
-        heads = sorted(heard, key=lambda record: not self._is_recently_heard(record.identity))[:group_count]
+        live_records = [record for record in shuffled if record.identity in self.members]
+        heads = sorted(live_records, key=lambda record: not self._is_recently_heard(record.identity))[:group_count]
         head_identities = {head.identity for head in heads}
         others = [record.address for record in shuffled if record.identity not in head_identities]
         if not heads:
@@ -187,10 +193,13 @@
         self.rpc_endpoint.broadcast(addresses, "relay_note", note)
 
     def _relay_of(self, zone: str, records: list[Record]) -> Record | None:
-        """The zone's relay as this node sees it; None if that is itself. One that is silent is passed over."""
+        """Returns the zone's relay as this node sees it; None if that is this node, or if the zone has no nodes.
+
+        A relay that falls silent is avoided for `AVOID_RELAY_MICROS`.
+        """
         now_micros = self.clock.now()
-        identity, heard_micros = self.chosen_relays.get(zone, ("", 0))
-        if identity and identity != self.identity and now_micros - heard_micros > RELAY_SILENCE_MICROS:
+        identity, last_heard_micros = self.chosen_relays.get(zone, ("", 0))
+        if identity and identity != self.identity and now_micros - last_heard_micros > RELAY_SILENCE_MICROS:
             self.avoided_until[identity] = now_micros + AVOID_RELAY_MICROS
         candidates = [r for r in records if self.avoided_until.get(r.identity, 0) <= now_micros] or records
         subject = f"relay/{zone}"
@@ -203,7 +212,7 @@
             self.chosen_relays[zone] = (chosen, now_micros)
         return None if is_self else best
 
-    # ---- hearing ---------------------------------------------------------------------------------
+    # ---- receiving -------------------------------------------------------------------------------
 
     def _handle_relay_note(self, identity: str, address: str, note: RelayNote) -> None:
         now_micros = self.clock.now()
@@ -215,49 +224,53 @@
         if note.hop and relay == chosen:
             self.chosen_relays[note.zone] = (relay, now_micros)
         if note.hop == 0:
-            self.members[identity] = _HeardNote(note.use, now_micros)
+            self.members[identity] = _ReceivedNote(note.use, now_micros)
             self._queue_notes(self.zone_cache_notes, note.kept)
         elif note.hop == 1:
-            self.zones[note.zone] = _HeardNote(note.use, now_micros)
+            self.zones[note.zone] = _ReceivedNote(note.use, now_micros)
             self._queue_notes(self.remote_cache_notes, note.kept)
         elif relay == chosen:
             self._apply_fleet_use(note.use)
-        for kept in note.kept:
-            self.handle_cache_note(identity, address, kept)
+        for cache_note in note.kept:
+            self.handle_cache_note(identity, address, cache_note)
 
     @staticmethod
-    def _queue_notes(waiting: list[KeptNote], notes: Iterable[KeptNote]) -> None:
-        """What is to be passed on next; bounded, as a node that no longer relays passes nothing on."""
-        waiting.extend(notes)
-        del waiting[:-PENDING_CACHE_NOTE_LIMIT]
+    def _queue_notes(queue: list[KeptNote], notes: Iterable[KeptNote]) -> None:
+        """Adds notes to those to be sent next.
+
+        The queue is bounded because a node that no longer relays does not empty it.
+        """
+        queue.extend(notes)
+        del queue[:-PENDING_CACHE_NOTE_LIMIT]
 
     def _apply_fleet_use(self, fleet_sum: UseNote) -> None:
-        """All nodes' use together, less what this node told itself: its own is known exactly."""
-        own = {use.worker: use for use in self.own_announced_use.use}
+        """Applies the fleet's total use less the share this node announced, since its own use is known exactly."""
+        own_use_by_worker = {use.worker: use for use in self.own_announced_use.use}
         others = UseNote(serial=self.clock.now())
         for use in fleet_sum.use:
-            mine = own.get(use.worker)
+            own_use = own_use_by_worker.get(use.worker)
             others.use.append(
                 use
-                if mine is None
+                if own_use is None
                 else WorkerUse(
                     worker=use.worker,
-                    running=max(0, use.running - mine.running),
-                    waiting_tokens=max(0, use.waiting_tokens - mine.waiting_tokens),
-                    held_tokens=max(0, use.held_tokens - mine.held_tokens),
+                    running=max(0, use.running - own_use.running),
+                    waiting_tokens=max(0, use.waiting_tokens - own_use.waiting_tokens),
+                    held_tokens=max(0, use.held_tokens - own_use.held_tokens),
                 )
             )
         self.loads.apply_report(FLEET_SENDER, others)
 
 
 def sum_use_notes(notes: list[UseNote], serial: int) -> UseNote:
+    """Adds up the use of each worker over all notes; the result bears `serial`."""
     sums: dict[str, list[int]] = {}
     for note in notes:
         for use in note.use:
-            held = sums.setdefault(use.worker, [0, 0, 0])
-            held[0] += use.running
-            held[1] += use.waiting_tokens
-            held[2] += use.held_tokens
+            totals = sums.setdefault(use.worker, [0, 0, 0])
+            totals[0] += use.running
+            totals[1] += use.waiting_tokens
+            totals[2] += use.held_tokens
     return UseNote(
         serial=serial,
         use=[
--- a/src/pearhead/router/roster_merge.py
+++ b/src/pearhead/router/roster_merge.py
@@ -60,10 +60,10 @@
 class RosterMerge:
     """Merges worker lists so that a worker's state only moves forward.
 
-    A worker once seen leaving stays leaving. One that is absent from two lists requested at least 0.4 s apart is removed,
-    and stays out for 60 s. A single absence is not enough: the pages of a list are read one after another, so an entry
-    that moves between pages can be missing although the worker is there. Waiting for the next list, a second later, still
-    fits into the 3 s that a leaving worker goes on serving. An empty list is ignored.
+    A worker once seen leaving stays leaving. One that is absent from two lists requested at least 0.4 s apart is
+    removed, and stays out for 60 s. A single absence is not enough: the pages of a list are read one after another, so
+    an entry that moves between pages can be missing although the worker is there. Waiting for the next list, a second
+    later, still leaves time within the 3 s that a leaving worker takes to go. An empty list is ignored.
     """
 
     def __init__(self) -> None:
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -36,7 +36,7 @@
 # wait for each of those before them.
 MAX_COUNTED_RANK = 8
 FAILED_ATTEMPT_RANK_MICROS = 100 * MILLI
-# A node whose roster is this old polls the list itself, whatever its rank; the jitter keeps nodes from doing so at once.
+# A node whose roster is this old polls the list itself, whatever its rank; the jitter keeps nodes from polling at once.
 STALE_MICROS = 2 * SECOND
 STALE_JITTER_MICROS = 300 * MILLI
 # From this roster age on, a node pulls from peers, with pauses between PULL_MICROS and MAX_PULL_MICROS. A peer answers
@@ -399,7 +399,10 @@
             self.is_merging_from_peer = False
 
     async def _bootstrap_from_peers(self) -> None:
-        """Pulls the first roster from a peer, in up to ten attempts; `run` polls the list if none succeeds within 0.5 to 1 s."""
+        """Pulls the first roster from a peer, in up to ten attempts.
+
+        `run` polls the list if none of them succeeds within 0.5 to 1 s.
+        """
         for _ in range(10):
             addresses = [r.address for r in self.directory.members("router")]
             if self.roster.backends:
--- a/src/pearhead/router/weights_rollout.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -1,4 +1,4 @@
-"""WeightsRollout (§7.7): one node brings all workers of a line to the weights that operators named."""
+"""WeightsRollout (§7.7): one node makes all workers of a line load the weights that operators named."""
 
 from __future__ import annotations
 
@@ -46,13 +46,16 @@
 
 
 class RosterProvider(Protocol):
+    """Where the rollout reads which workers there are."""
+
     @property
-    def roster(self) -> Roster: ...
+    def roster(self) -> Roster:
+        """The current roster."""
 
 
 @dataclass(frozen=True)
 class _WorkerLease:
-    """`order_until`: no order begins later (§7.2)."""
+    """A hold on a worker, granted by the core. No order may begin after `order_until` (§7.2)."""
 
     fence: int
     order_until: int
@@ -60,15 +63,20 @@
 
 @dataclass
 class _LineState:
+    """The rollout of one version to the workers of a line; `wanted` is that version."""
+
     wanted: int
     named_micros: int
     progress_micros: int
-    is_told: bool = False
+    is_logged: bool = False
 
 
 @dataclass
 class _SettledState:
-    """No worker was behind by these; what each is, never changes. The lines' progress lasts while they are in force."""
+    """The view and the roster by which no worker was behind; both are immutable objects.
+
+    While they stay in force, the progress time of `states` counts as renewed in every round, last at `seen_micros`.
+    """
 
     view: View
     roster: Roster
@@ -77,12 +85,16 @@
 
 
 class WeightsRollout:
-    """The first by rendezvous over the line orders; the next when it saw no progress for 2 s and 1.5 s a rank.
+    """Brings the workers of each line to the named version, a third of them at a time.
+
+    The node ranked first by rendezvous hashing over the line sends the orders; the others take over when they saw no
+    progress for 2 s plus 1.5 s per rank.
 
-    A hold is taken for each order, and only then. Its orders begin within `order_micros` from when it was asked for;
-    the core gives a worker to another holder only `worker_lease_micros` after. So orders of two holders lie further
-    apart than the difference of the two, whichever of them froze or was cut off: where holders may not take turns
-    within a time, the core's holds must last that time and `order_micros`.
+    An order needs a hold on its worker: a lease from the core, requested only when an order is due. The holder begins
+    its orders within `order_micros` of requesting the hold, and the core grants the worker to another holder only after
+    `worker_lease_micros`. So the orders of two holders lie further apart than the difference of the two times,
+    whichever holder was frozen or cut off. Where two holders must not give orders within a certain time, the core's
+    holds have to last for that time plus `order_micros`.
     """
 
     def __init__(
@@ -124,27 +136,32 @@
         rpc_endpoint.on_message("model_note", self._handle_note)
 
     async def run(self) -> None:
+        """Looks for workers that are behind, in rounds, and starts their loads while it is this node's turn."""
         seen_micros, quiet_until = self.clock.now(), 0
         while True:
             await sleep_for(self.clock, ROUND_MICROS)
             now_micros = self.clock.now()
             if now_micros - seen_micros >= SUSPENDED_MICROS:
-                # It slept: what others did meanwhile comes with the next list, and would be ordered again.
+                # The process was suspended. What other nodes ordered meanwhile shows only in the next list; without
+                # this wait it would be ordered again.
                 quiet_until = now_micros + LIST_WAIT_MICROS
             seen_micros = now_micros
             if now_micros >= quiet_until and self.view_source.is_current() and not self.is_draining:
                 self._work_once()
 
     def record_version(self, worker: str, line: str, version: int) -> None:
-        """What an answer of the worker told; from the way of requests."""
+        """Records a version that a worker's answer to a request told."""
         if self.version_table.record(worker, line, version):
             self._record_progress(line, version)
 
-    # ---- what there is to do ---------------------------------------------------------------------
+    # ---- planning --------------------------------------------------------------------------------
 
     def _work_once(self) -> None:
-        """Versions never go down within a life: where no worker was behind, none is before the view or the roster
-        changes, so that a round costs nothing until then."""
+        """Starts the loads that are due.
+
+        A worker's version never goes down within a life. So once no worker is behind, rounds return at once until the
+        view or the roster changes.
+        """
         now_micros = self.clock.now()
         settled = self.settled
         if settled is not None:
@@ -155,7 +172,7 @@
                 settled_state.progress_micros = max(settled_state.progress_micros, settled.seen_micros)
             self.settled = None
         self.loads = {key: task for key, task in self.loads.items() if not task.done()}
-        self.leases = {n: hold for n, hold in self.leases.items() if n in self.rosters.roster.backends}
+        self.leases = {n: lease for n, lease in self.leases.items() if n in self.rosters.roster.backends}
         self.retry_at_micros = {n: at for n, at in self.retry_at_micros.items() if at > now_micros}
         self.failure_counts = {n: c for n, c in self.failure_counts.items() if n in self.rosters.roster.backends}
         states = []
@@ -180,7 +197,7 @@
             self.settled = _SettledState(self.view_source.view, self.rosters.roster, states, now_micros)
 
     def _wanted_version(self, line: str) -> int | None:
-        """The version named for a line; None while its weights' name is no decimal."""
+        """The version named for a line; None if the name of its weights is not a decimal number."""
         fact = self.view_source.view.weights.get(line)
         return int(fact.weights) if fact is not None and fact.weights.isdecimal() else None
 
@@ -193,7 +210,7 @@
         return not self._is_leaving(backend.name) and (version is None or version < wanted)
 
     def _is_leaving(self, name: str) -> bool:
-        """By the list or by operators; one that is gone leaves as well."""
+        """Whether the list or operators mark the worker as leaving, or it is no longer in the roster."""
         backend = self.rosters.roster.backends.get(name)
         fact = self.view_source.view.workers.get(name)
         return backend is None or backend.is_leaving or (fact is not None and fact.leaving)
@@ -209,21 +226,19 @@
 
     def _start_loads(self, line: str, state: _LineState, pending: list[Backend]) -> None:
         workers = [b for b in self._workers_of(line) if not self._is_leaving(b.name)]
-        if not state.is_told:
-            state.is_told = True
-            LOGGER.info(
-                "router: Brings workers to a version. line=%s version=%d workers=%d", line, state.wanted, len(pending)
-            )
-        # Requests on older weights end soon after the naming: a worker not loaded by then serves nobody, so
-        # nothing is spared by letting it wait.
+        if not state.is_logged:
+            state.is_logged = True
+            LOGGER.info("router: Rolls out a version. line=%s version=%d workers=%d", line, state.wanted, len(pending))
+        # Requests on older weights end soon after new weights are named. A worker that still has the old ones by then
+        # serves nobody, so making it wait for its turn saves no capacity.
         is_late = self.clock.now() - state.named_micros >= self.full_parallel_after_micros
-        room = len(workers) if is_late else max(1, len(workers) // 3)
+        max_busy_count = len(workers) if is_late else max(1, len(workers) // 3)
         busy = {key[1] for key in self.loads if key[0] == line}
         busy |= {b.name for b in workers if self.version_table.is_loading(b.name)}
-        # One that failed does not keep others from their turn. While several versions are about, the oldest goes first:
-        # requests that were served by newer ones would go back to it.
+        # Workers with failed loads come last, so that they don't delay the others. Among the rest the oldest version is
+        # first: while several versions are in service, requests already served by a newer one could go back to it.
         for backend in sorted(pending, key=lambda b: self._load_priority(b, line)):
-            if len(busy) >= room:
+            if len(busy) >= max_busy_count:
                 return
             if backend.name in busy or backend.name in self.retry_at_micros:
                 continue
@@ -236,27 +251,30 @@
     # ---- one worker ------------------------------------------------------------------------------
 
     async def _load(self, line: str, backend: Backend, wanted: int) -> None:
-        """Holds it, tells nodes to leave it alone, orders, and looks until it is done."""
+        """Has a worker load a version, while it holds the worker's lease.
+
+        Announces the load first, so that nodes place no requests there, then orders it and waits until it is done.
+        """
         if await self._acquire_lease(backend.name) is None:
             self.retry_at_micros[backend.name] = self.clock.now() + RETRY_DELAY_MICROS // 4
             return
         if not self._is_behind(backend, line, wanted):
-            return  # Word of it came meanwhile: this node had slept, or another was quicker.
+            return  # Loaded meanwhile: this node was suspended, or another node was quicker.
         is_done = False
         await self._announce_loading(backend.name, line, wanted)
         try:
             for _ in range(ORDER_ATTEMPTS):
-                hold = await self._acquire_lease(backend.name)
-                if hold is None:
+                lease = await self._acquire_lease(backend.name)
+                if lease is None:
                     break
-                outcome = await self._send_order(line, backend, wanted, hold)
+                outcome = await self._send_order(line, backend, wanted, lease)
                 if outcome is OrderOutcome.HOLDS_ALREADY:
                     is_done = True
                 elif outcome in (OrderOutcome.TAKEN, OrderOutcome.BUSY, None):
-                    watched = await self._wait_for_version(line, backend, wanted, outcome is OrderOutcome.TAKEN)
-                    if watched is None:
+                    wait_result = await self._wait_for_version(line, backend, wanted, outcome is OrderOutcome.TAKEN)
+                    if wait_result is None:
                         break
-                    is_done = watched
+                    is_done = wait_result
                 else:
                     break
                 if is_done:
@@ -269,90 +287,104 @@
                 self.retry_at_micros[backend.name] = self.clock.now() + RETRY_DELAY_MICROS * min(count, 4)
             self._announce(ModelNote(worker=backend.name, line=line, version=wanted if is_done else 0, loading=False))
 
-    async def _send_order(self, line: str, backend: Backend, wanted: int, hold: _WorkerLease) -> OrderOutcome | None:
-        """None: no answer, so it may have been taken."""
+    async def _send_order(self, line: str, backend: Backend, wanted: int, lease: _WorkerLease) -> OrderOutcome | None:
+        """Sends an order; None if no answer came, in which case the worker may have taken it."""
 
         def may_begin() -> bool:
             return (
-                self.leases.get(backend.name) == hold
-                and self.clock.now() < hold.order_until
+                self.leases.get(backend.name) == lease
+                and self.clock.now() < lease.order_until
                 and self.view_source.is_current()
                 and self._wanted_version(line) == wanted
                 and not self._is_leaving(backend.name)
             )
 
-        order = LoadOrder(backend.name, line, wanted, self.identity, hold.fence)
-        given = await self.control.order_load(backend.address, order, may_begin, ORDER_LIMIT_MICROS)
-        if isinstance(given, Err):
-            LOGGER.warning("router: An order got no answer. worker=%s fault=%r", backend.name, given.err_value)
+        order = LoadOrder(backend.name, line, wanted, self.identity, lease.fence)
+        reply = await self.control.order_load(backend.address, order, may_begin, ORDER_LIMIT_MICROS)
+        if isinstance(reply, Err):
+            LOGGER.warning("router: A load order got no answer. worker=%s fault=%r", backend.name, reply.err_value)
             return None
-        if given.ok_value is OrderOutcome.OLDER_FENCE:
+        if reply.ok_value is OrderOutcome.OLDER_FENCE:
             self.leases.pop(backend.name, None)
-        if given.ok_value not in (OrderOutcome.TAKEN, OrderOutcome.HOLDS_ALREADY):
-            LOGGER.warning("router: An order was not taken. worker=%s outcome=%s", backend.name, given.ok_value.value)
-        return given.ok_value
+        if reply.ok_value not in (OrderOutcome.TAKEN, OrderOutcome.HOLDS_ALREADY):
+            LOGGER.warning(
+                "router: A load order was not accepted. worker=%s outcome=%s", backend.name, reply.ok_value.value
+            )
+        return reply.ok_value
 
     async def _wait_for_version(self, line: str, backend: Backend, wanted: int, is_taken: bool) -> bool | None:
-        """Whether it runs the wanted version; False once it has no order of ours to do, None if it can't be asked."""
-        began_micros = self.clock.now()
-        told_micros = began_micros
+        """Waits until the worker runs the wanted version, and returns True then.
+
+        Returns False once its reports show that it has no order to carry out. Returns None if it left the roster, does
+        not answer, or is still loading after `LOAD_LIMIT_MICROS`.
+        """
+        started_micros = self.clock.now()
+        announced_micros = started_micros
         wait_micros = FIRST_REPORT_DELAY_MICROS if is_taken else REPORT_INTERVAL_MICROS
         idle_count = unanswered_report_count = 0
-        while self.clock.now() - began_micros < LOAD_LIMIT_MICROS:
+        while self.clock.now() - started_micros < LOAD_LIMIT_MICROS:
             await sleep_for(self.clock, wait_micros)
             if (self.version_table.version_of(backend.name, line) or 0) >= wanted:
                 return True
             if backend.name not in self.rosters.roster.backends or unanswered_report_count >= UNANSWERED_REPORT_LIMIT:
                 return None
-            given = await self.control.report(backend.address, REPORT_LIMIT_MICROS)
-            unanswered_report_count = unanswered_report_count + 1 if isinstance(given, Err) else 0
-            if isinstance(given, Ok):
-                if given.ok_value.versions.get(line, 0) >= wanted:
+            report_result = await self.control.report(backend.address, REPORT_LIMIT_MICROS)
+            unanswered_report_count = unanswered_report_count + 1 if isinstance(report_result, Err) else 0
+            if isinstance(report_result, Ok):
+                if report_result.ok_value.versions.get(line, 0) >= wanted:
                     return True
-                # A report is some hundred milliseconds old: three without an order tell that there is none.
-                idle_count = 0 if given.ok_value.is_loading else idle_count + 1
+                # A report is some hundred milliseconds old, so only three in a row show that there is no order.
+                idle_count = 0 if report_result.ok_value.is_loading else idle_count + 1
                 if idle_count >= IDLE_REPORT_LIMIT:
                     return False
             now_micros = self.clock.now()
-            # What runs ends first, which may take seconds: reports cost, so they come more seldom then.
-            wait_micros = max(REPORT_INTERVAL_MICROS, (now_micros - began_micros) // 5)
-            if now_micros - told_micros >= SECOND:
-                told_micros = now_micros
+            # A worker finishes its running requests before it loads, which may take seconds. Reports have a cost, so
+            # the interval grows with the wait.
+            wait_micros = max(REPORT_INTERVAL_MICROS, (now_micros - started_micros) // 5)
+            if now_micros - announced_micros >= SECOND:
+                announced_micros = now_micros
                 self._announce(ModelNote(worker=backend.name, line=line, version=wanted, loading=True))
         return None
 
     # ---- holds -----------------------------------------------------------------------------------
 
     async def _acquire_lease(self, name: str) -> _WorkerLease | None:
-        """A hold with time left for an order, from the core if need be; None if another node has the worker."""
+        """Returns a hold with enough time left for an order, requested from the core if need be.
+
+        Returns None if the core refuses, as while another node holds the worker; if it does not answer in
+        `LEASE_ATTEMPTS` tries; or if this node got a newer hold meanwhile.
+        """
         for _ in range(LEASE_ATTEMPTS):
-            held = self.leases.get(name)
-            asked_micros = self.clock.now()
-            if held is not None and asked_micros < held.order_until - ORDER_LIMIT_MICROS:
-                return held
+            lease = self.leases.get(name)
+            requested_micros = self.clock.now()
+            if lease is not None and requested_micros < lease.order_until - ORDER_LIMIT_MICROS:
+                return lease
             command = Command()
             command.hold.worker, command.hold.holder = name, self.identity
             command.hold.term_micros = self.worker_lease_micros
-            command.hold.renew_fence = held.fence if held is not None else 0
-            given = await self.command_client.command(command)
-            if isinstance(given, Err) or given.ok_value.status not in ("done", "held", "refused"):
+            command.hold.renew_fence = lease.fence if lease is not None else 0
+            command_result = await self.command_client.command(command)
+            if isinstance(command_result, Err) or command_result.ok_value.status not in ("done", "held", "refused"):
                 continue
-            if given.ok_value.status != "done":
+            if command_result.ok_value.status != "done":
                 self.leases.pop(name, None)
                 return None
-            fence = int(json.loads(given.ok_value.body)["fence"])
-            present = self.leases.get(name)
-            if present is not None and present.fence > fence:
+            fence = int(json.loads(command_result.ok_value.body)["fence"])
+            current = self.leases.get(name)
+            if current is not None and current.fence > fence:
                 return None
-            # Counted from before it was asked for (§7.2).
-            self.leases[name] = _WorkerLease(fence, asked_micros + self.order_micros)
+            # Counted from before the request, so that it ends here before it ends at the core (§7.2).
+            self.leases[name] = _WorkerLease(fence, requested_micros + self.order_micros)
             return self.leases[name]
         return None
 
-    # ---- telling ---------------------------------------------------------------------------------
+    # ---- announcing ------------------------------------------------------------------------------
 
     async def _announce_loading(self, name: str, line: str, wanted: int) -> None:
-        """Twice, as datagrams get lost; then what was already on its way has time to arrive."""
+        """Announces a load twice, as datagrams get lost.
+
+        Then waits until what was already on its way to the worker has arrived.
+        """
         note = ModelNote(worker=name, line=line, version=wanted, loading=True)
         self._announce(note)
         await sleep_for(self.clock, NOTE_REPEAT_MICROS)
