--- a/tests/test_kept_gatherer.py
+++ b/tests/test_kept_gatherer.py
@@ -1,4 +1,4 @@
-"""What is kept, gathered by one node for each worker and told to all, on virtual time."""
+"""Cache events over a simulated fleet: one node polls each worker and broadcasts the events to all nodes."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 def run_fleet(
-    node_count: int, worker_count: int, play: Callable[[WorkerFleet], Coroutine[Any, Any, Any]], seed: int = 1
+    node_count: int, worker_count: int, scenario: Callable[[WorkerFleet], Coroutine[Any, Any, Any]], seed: int = 1
 ) -> Any:
-    async def whole(world: World) -> Any:
+    async def run_scenario(world: World) -> Any:
         fleet = WorkerFleet(world, node_count, worker_count)
-        fleet.start("rosters", "gatherer")
+        fleet.start("rosters", "poller")
         await pause(world, 6 * SECOND)
-        result = await play(fleet)
+        result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
         return result
 
-    return run_in_virtual_time(seed, whole)
+    return run_in_virtual_time(seed, run_scenario)
 
 
 class PackTest(unittest.TestCase):
@@ -41,12 +41,12 @@
         self.assertEqual(list(unpack_note(KeptNote(part=packed)).part), parts)
 
     def test_a_note_says_the_one_before_again_if_it_follows_it(self) -> None:
-        def note(low: int, high: int, whole: bool, **tokens: int) -> KeptNote:
+        def note(first: int, last: int, whole: bool, **tokens: int) -> KeptNote:
             parts = [KeptPart(salt="s", part=p, tokens=t, line=LINE) for p, t in tokens.items()]
-            return KeptNote(worker="w", life="1", from_sequence=low, sequence=high, whole=whole, part=parts)
+            return KeptNote(worker="w", life="1", from_sequence=first, sequence=last, whole=whole, part=parts)
 
-        joined = combine_notes(note(2, 4, True, a=5, b=5), note(4, 6, False, a=0, c=5))
-        self.assertEqual(joined, note(2, 6, True, a=0, b=5, c=5))
+        combined = combine_notes(note(2, 4, True, a=5, b=5), note(4, 6, False, a=0, c=5))
+        self.assertEqual(combined, note(2, 6, True, a=0, b=5, c=5))
         self.assertIsNone(combine_notes(note(2, 4, False), note(5, 6, False)))
         self.assertIsNone(combine_notes(note(2, 4, False), note(4, 6, True)))
         self.assertIsNone(combine_notes(None, note(4, 6, False)))
@@ -54,7 +54,7 @@
 
 class KeptGathererTest(unittest.TestCase):
     def test_one_node_asks_for_each_and_all_are_told(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             began = fleet.world.now()
             worker = fleet.platform.workers["w1"]
             for number in range(20):
@@ -62,22 +62,22 @@
                 await pause(fleet.world, 50 * MILLI)
             worker.events.append(make_event("00000003", 0))
             await pause(fleet.world, 300 * MILLI)
-            wanted = {("a-salt-of-some-length-as-they-are", f"{n:08x}"): 100 + n for n in range(20) if n != 3}
+            expected = {("a-salt-of-some-length-as-they-are", f"{n:08x}"): 100 + n for n in range(20) if n != 3}
             for node in fleet.nodes:
-                self.assertEqual(node.sink.kept("w1"), wanted, node.name)
+                self.assertEqual(node.sink.kept("w1"), expected, node.name)
             calls = [c for c in fleet.platform.event_calls if c[0] >= began]
-            for asked in ("w0:80", "w1:80"):
-                self.assertEqual(len({node for _, node, address, _ in calls if address == asked}), 1)
+            for polled_address in ("w0:80", "w1:80"):
+                self.assertEqual(len({node for _, node, address, _ in calls if address == polled_address}), 1)
             self.assertLessEqual(busiest_second([at for at, _, address, _ in calls if address == "w1:80"]), 11)
             idle = [at for at, _, address, _ in calls if address == "w0:80"]
-            self.assertLessEqual(busiest_second(idle), 2, "an idle worker's call is held")
+            self.assertLessEqual(busiest_second(idle), 2, "a worker without events holds the call")
             for address in ("w0:80", "w1:80", "w2:80", "store:1"):
                 self.assertTrue([c for c in fleet.platform.event_calls if c[2] == address], address)
 
-        run_fleet(8, 3, play)
+        run_fleet(8, 3, scenario)
 
     def test_events_of_a_pause_are_one_note(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             node = fleet.nodes[0]
             before = len(node.sink.notes)
             for number in range(100):
@@ -88,56 +88,56 @@
             self.assertLessEqual(len(notes), 13)
             self.assertEqual(len(node.sink.kept("w0")), 100)
             for earlier, later in zip(notes, notes[1:], strict=False):
-                self.assertLessEqual(later.from_sequence, earlier.sequence, "no span is left out")
+                self.assertLessEqual(later.from_sequence, earlier.sequence, "no sequence numbers are left out")
                 self.assertGreater(later.sequence, earlier.sequence)
 
-        run_fleet(5, 1, play)
+        run_fleet(5, 1, scenario)
 
     def test_another_life_begins_anew_and_a_gap_does_not(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             worker = fleet.platform.workers["w0"]
             worker.events += [make_event("1", 5), make_event("2", 5)]
             await pause(fleet.world, 400 * MILLI)
-            # Only the newest are kept: two went unseen.
-            worker.first_number, worker.events = 5, [make_event("5", 7)]
+            # The worker retains only the newest event, so events 3 and 4 are never seen.
+            worker.first_sequence, worker.events = 5, [make_event("5", 7)]
             await pause(fleet.world, 1_200 * MILLI)
             for node in fleet.nodes:
                 self.assertEqual({p for _, p in node.sink.kept("w0")}, {"1", "2", "5"}, node.name)
-            worker.life, worker.first_number, worker.events = "2", 1, [make_event("9", 3)]
+            worker.life, worker.first_sequence, worker.events = "2", 1, [make_event("9", 3)]
             await pause(fleet.world, 2 * SECOND)
             for node in fleet.nodes:
                 self.assertEqual({p for _, p in node.sink.kept("w0")}, {"9"}, node.name)
                 self.assertEqual(node.sink.notes[-1].life, "2")
 
-        run_fleet(5, 1, play)
+        run_fleet(5, 1, scenario)
 
     def test_the_next_gatherer_goes_on_from_the_last_sequence(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             worker = fleet.platform.workers["w0"]
             worker.events += [make_event("1", 5), make_event("2", 5)]
             await pause(fleet.world, SECOND)
-            gatherer = fleet.node_of([c for c in fleet.platform.event_calls if c[2] == "w0:80"][-1][1])
-            gatherer.machine.freeze()
+            poller = fleet.node_of([c for c in fleet.platform.event_calls if c[2] == "w0:80"][-1][1])
+            poller.machine.freeze()
             worker.events.append(make_event("3", 5))
             began = fleet.world.now()
             await pause(fleet.world, 8 * SECOND)
-            others = [n for n in fleet.nodes if n is not gatherer]
+            others = [n for n in fleet.nodes if n is not poller]
             for node in others:
                 self.assertEqual({p for _, p in node.sink.kept("w0")}, {"1", "2", "3"}, node.name)
-                begun = {n.from_sequence for n in node.sink.notes if n.whole and n.worker == "w0"}
-                self.assertEqual(begun, {0}, "nothing began anew")
+                first_sequences = {n.from_sequence for n in node.sink.notes if n.whole and n.worker == "w0"}
+                self.assertEqual(first_sequences, {0}, "no poller started over")
             sinces = [c[3] for c in fleet.platform.event_calls if c[2] == "w0:80" and c[0] >= began]
             self.assertEqual(min(sinces), 2)
-            gatherer.machine.wake()
+            poller.machine.wake()
             worker.events.append(make_event("4", 5))
             await pause(fleet.world, 3 * SECOND)
             for node in fleet.nodes:
                 self.assertEqual({p for _, p in node.sink.kept("w0")}, {"1", "2", "3", "4"}, node.name)
 
-        run_fleet(5, 1, play)
+        run_fleet(5, 1, scenario)
 
     def test_a_silent_worker_is_asked_more_seldom_and_one_that_is_gone_not_at_all(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             fleet.platform.workers["w0"].is_up = False
             await pause(fleet.world, 5 * SECOND)
             began = fleet.world.now()
@@ -150,16 +150,16 @@
             await pause(fleet.world, 5 * SECOND)
             self.assertEqual([c for c in fleet.platform.event_calls if c[2] == "w0:80" and c[0] >= began], [])
 
-        run_fleet(4, 2, play)
+        run_fleet(4, 2, scenario)
 
     def test_one_lost_datagram_and_calls_without_news_cost_nothing(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             node = fleet.nodes[0]
             index = PrefixCacheIndex()
             node.sink.apply_note = index.apply_note  # type: ignore[method-assign]
             worker = fleet.platform.workers["w0"]
             for number in range(12):
-                # Every other note is lost; parts without a salt are nothing to tell.
+                # Every other note is lost; events without a salt are not announced.
                 fleet.world.datagram_loss = float(number % 2)
                 worker.events += [make_event(f"{number:08x}", 9), make_event("0", 9, salt="")]
                 await pause(fleet.world, 300 * MILLI)
@@ -170,14 +170,14 @@
             self.assertEqual(len(index.parts["w0"]), 13)
 
         for seed in (1, 2, 3):
-            run_fleet(5, 1, play, seed)
+            run_fleet(5, 1, scenario, seed)
 
     def test_notes_are_small(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             before = sent_bytes(fleet.nodes, "kept_note")
             for number in range(50):
                 fleet.platform.workers["w0"].events.append(make_event(f"{number:08x}", 700))
             await pause(fleet.world, SECOND)
-            self.assertLess((sent_bytes(fleet.nodes, "kept_note") - before) / 4 / 50, 25, "bytes a part and node")
+            self.assertLess((sent_bytes(fleet.nodes, "kept_note") - before) / 4 / 50, 25, "bytes per part and node")
 
-        run_fleet(5, 1, play)
+        run_fleet(5, 1, scenario)
--- a/tests/test_kept_index.py
+++ b/tests/test_kept_index.py
@@ -1,4 +1,4 @@
-"""PrefixCacheIndex: what reports say, and what their gaps leave."""
+"""PrefixCacheIndex: effects of reports, of gaps between them, and of a worker's restart."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
         self.index.apply_note(note(2, ("a", 100)))
         self.assertEqual(self.kept(), 150)
         self.index.apply_note(note(3, ("b", 16)))
-        self.assertEqual(self.kept(), 116, "a part that is kept in part ends the prefix")
+        self.assertEqual(self.kept(), 116, "a partly cached part ends the prefix")
         self.assertEqual(self.index.cached_prefix_tokens("w", "other", PARTS), 0, "another salt")
 
     def test_drops_gaps_and_new_lives_are_believed(self) -> None:
         self.index.apply_note(note(1, ("a", 100)))
         self.index.apply_note(note(1, ("a", 0)))
-        self.assertEqual(self.kept(), 100, "an old report")
+        self.assertEqual(self.kept(), 100, "an old report is ignored")
         self.index.apply_note(note(2, ("a", 0)))
         self.assertEqual((self.kept(), self.index.cache_locations_of("s", "a")), (0, frozenset()))
         self.index.apply_note(note(3, ("a", 100)))
         self.index.apply_note(note(9, ("b", 50), since=8))
-        self.assertEqual(self.kept(), 150, "what was dropped in a gap is not known, and what was kept before stands")
+        self.assertEqual(self.kept(), 150, "a gap hides evictions and leaves known parts as they are")
         self.index.apply_note(note(10, ("a", 100)))
         self.index.apply_note(note(1, ("b", 50), life="2"))
-        self.assertEqual(self.kept(), 0, "another life keeps nothing of the one before")
+        self.assertEqual(self.kept(), 0, "a new life starts with an empty cache")
         self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset({"w"}))
         self.index.forget("w")
         self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset())
--- a/tests/test_paced_cast.py
+++ b/tests/test_paced_cast.py
@@ -1,4 +1,4 @@
-"""RpcEndpoint.broadcast and PacedBroadcaster: what leaves as datagrams, what as frames, and how much at once."""
+"""RpcEndpoint.broadcast and PacedBroadcaster: the choice between datagrams and frames, and the size of batches."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 ADDRESSES = ["a:1", "b:1", "c:1"]
 
 
-class RecordingNet:
-    """A net that only notes what is sent."""
+class RecordingNetwork:
+    """A network that records the target addresses and delivers nothing."""
 
     def __init__(self) -> None:
         self.frames: list[str] = []
@@ -37,21 +37,23 @@
 
 class BroadcastTest(unittest.TestCase):
     def test_what_fits_a_datagram_is_cast_and_the_rest_is_told(self) -> None:
-        for byte_count, is_cast in ((MAXIMUM_DATAGRAM_BODY_BYTES, True), (MAXIMUM_DATAGRAM_BODY_BYTES + 1, False)):
-            net = RecordingNet()
+        for byte_count, is_datagram in ((MAXIMUM_DATAGRAM_BODY_BYTES, True), (MAXIMUM_DATAGRAM_BODY_BYTES + 1, False)):
+            net = RecordingNetwork()
             rpc_endpoint = RpcEndpoint("me", "me:1", net, World)  # type: ignore[arg-type]
             note = note_of(byte_count)
             self.assertEqual(note.ByteSize(), byte_count)
             rpc_endpoint.broadcast(ADDRESSES, "roster_note", note)
-            self.assertEqual((net.datagrams, net.frames), (ADDRESSES, []) if is_cast else ([], ADDRESSES))
+            self.assertEqual((net.datagrams, net.frames), (ADDRESSES, []) if is_datagram else ([], ADDRESSES))
             self.assertEqual(rpc_endpoint.sent_counts, {"roster_note": len(ADDRESSES)})
             rpc_endpoint.broadcast([], "roster_note", note)
-            self.assertEqual(rpc_endpoint.sent_counts, {"roster_note": len(ADDRESSES)}, "nobody is told nothing")
+            self.assertEqual(
+                rpc_endpoint.sent_counts, {"roster_note": len(ADDRESSES)}, "an empty broadcast counts as nothing"
+            )
 
 
 class PacedCastTest(unittest.TestCase):
     def test_batches_are_bounded_and_reach_each_address_once(self) -> None:
-        async def play(world: World) -> None:
+        async def scenario(world: World) -> None:
             machine = world.machine("m")
             machine.boot()
             addresses = [f"n{number}:1" for number in range(20)]
@@ -64,4 +66,4 @@
             self.assertEqual([at for at, _ in batches], [n * BATCH_PAUSE_MICROS for n in range(3)])
             self.assertEqual(sorted(a for _, batch in batches for a in batch), sorted(addresses))
 
-        run_in_virtual_time(1, play)
+        run_in_virtual_time(1, scenario)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Relay: what a large fleet's nodes know of one another, at what price, and how soon after a relay is lost."""
+"""Relay: what the nodes of a large fleet know of one another, at what traffic, and how soon after a relay is lost."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FakeRpcEndpoint:
-    """Hands each note to its target in the next period; counts messages and bytes."""
+    """Queues each note in the fleet, which delivers it."""
 
     def __init__(self, fleet: Fleet, own: str) -> None:
         self.fleet = fleet
@@ -53,16 +53,16 @@
 
 class Fleet:
     def __init__(self, size: int) -> None:
-        self.bench = FakeRuntime()
+        self.runtime = FakeRuntime()
         self.records = [
             Record(identity=f"n{n}", address=f"n{n}", role="router", area=ZONES[n % len(ZONES)]) for n in range(size)
         ]
         self.queue: list[tuple[str, str, RelayNote]] = []
         self.kept: dict[str, list[int]] = {r.identity: [] for r in self.records}
-        self.loads = {r.identity: WorkerLoadTracker(self.bench) for r in self.records}
+        self.loads = {r.identity: WorkerLoadTracker(self.runtime) for r in self.records}
         self.dead: set[str] = set()
         self.chance = random.Random(7)
-        self.lost_share = 0.0
+        self.loss_share = 0.0
         self.messages = 0
         self.bytes = 0
         self.bytes_by_sender: dict[str, int] = {}
@@ -72,54 +72,60 @@
         rpc_endpoint: RpcEndpoint = FakeRpcEndpoint(self, record.identity)  # type: ignore[assignment]
         directory: Directory = FakeDirectory(record.identity, self.records)  # type: ignore[assignment]
 
-        def take(identity: str, address: str, note: KeptNote) -> None:
+        def record_note(identity: str, address: str, note: KeptNote) -> None:
             self.kept[record.identity].append(note.sequence)
 
         return Relay(
-            record.identity, record.area, rpc_endpoint, directory, self.bench, self.loads[record.identity], take
+            record.identity,
+            record.area,
+            rpc_endpoint,
+            directory,
+            self.runtime,
+            self.loads[record.identity],
+            record_note,
         )
 
-    def lose_one_in(self, count: int) -> None:
-        """From now on one message of so many is lost, by chance."""
-        self.lost_share = 1 / count
+    def set_loss_one_in(self, count: int) -> None:
+        """Sets the share of randomly lost messages to one in `count`."""
+        self.loss_share = 1 / count
 
     def play(self, periods: int) -> None:
         for _ in range(periods):
-            self.bench.now_micros += RELAY_PERIOD_MICROS
+            self.runtime.now_micros += RELAY_PERIOD_MICROS
             for name, relay in self.relays.items():
                 if name not in self.dead and relay.is_active():
                     relay._work_once()
-            # What is passed on arrives within the period as well.
+            # Notes that are forwarded on receipt arrive within the same period.
             while self.queue:
                 own, address, note = self.queue.pop(0)
                 self.messages += 1
                 self.bytes += note.ByteSize()
                 self.bytes_by_sender[own] = self.bytes_by_sender.get(own, 0) + note.ByteSize()
-                if address not in self.dead and self.chance.random() >= self.lost_share:
+                if address not in self.dead and self.chance.random() >= self.loss_share:
                     self.relays[address]._handle_relay_note(own, own, note)
 
     def seen_running(self, name: str) -> int:
         return self.loads[name].current_load("w").running
 
 
-class KeptFleet:
-    """A fleet whose nodes keep what they hear in real indexes; node `nK` gathers the events of worker `wK`."""
+class CachingFleet:
+    """A fleet whose nodes store cache notes in real indexes; node `nK` polls the events of worker `wK`."""
 
     def __init__(self, size: int, worker_count: int) -> None:
         self.fleet = Fleet(size)
         self.worker_count = worker_count
         self.sequence = 0
-        self.told_notes: dict[int, KeptNote] = {}
+        self.announced_notes: dict[int, KeptNote] = {}
         self.indexes = {name: PrefixCacheIndex() for name in self.fleet.relays}
         for name, relay in self.fleet.relays.items():
             unused: Any = Mock()
-            gatherer = PrefixCachePoller(
-                name, unused, unused, self.fleet.bench, unused, unused, unused, unused, self.indexes[name]
+            poller = PrefixCachePoller(
+                name, unused, unused, self.fleet.runtime, unused, unused, unused, unused, self.indexes[name]
             )
-            relay.handle_cache_note = gatherer.apply_note
+            relay.handle_cache_note = poller.apply_note
 
     def play(self, periods: int) -> None:
-        """In each period each worker keeps one part more."""
+        """Runs the fleet for so many periods; in each, every worker caches one more part."""
         for _ in range(periods):
             for number in range(self.worker_count):
                 note = KeptNote(
@@ -130,14 +136,14 @@
                     part=[KeptPart(salt="s", part=f"p{self.sequence + 1}", tokens=600, line="m")],
                 )
                 self.indexes[f"n{number}"].apply_note(note)
-                joined = combine_notes(self.told_notes.get(number), note)
-                self.told_notes[number] = note
-                self.fleet.relays[f"n{number}"].relay_cache_note(pack_note(joined or note))
+                combined = combine_notes(self.announced_notes.get(number), note)
+                self.announced_notes[number] = note
+                self.fleet.relays[f"n{number}"].relay_cache_note(pack_note(combined or note))
             self.sequence += 1
             self.fleet.play(1)
 
     def known_share(self) -> float:
-        """Of all that all workers keep, what the running nodes know on average."""
+        """The share of all cached parts that a running node knows, on average."""
         running = [index for name, index in self.indexes.items() if name not in self.fleet.dead]
         known_count = sum(len(index.parts.get(f"w{n}", ())) for index in running for n in range(self.worker_count))
         return known_count / (len(running) * self.worker_count * self.sequence)
@@ -171,9 +177,9 @@
         fleet.play(5)
         relay = fleet.relays["n0"].chosen_relays["a"][0]
         fleet.dead.add(relay)
-        teller = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
+        sender = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
         fleet.play(14)  # 1.4 s
-        fleet.loads[teller].begin("w", 1, 1)
+        fleet.loads[sender].begin("w", 1, 1)
         fleet.play(4)
         expected = 1 + (relay != "n0")
         alive = [name for name in fleet.loads if name not in fleet.dead]
@@ -194,7 +200,7 @@
         self.assertLessEqual(counts[120], 2 * 120 + 9)
 
     def test_no_relay_sends_more_than_a_narrow_link_carries(self) -> None:
-        """Incident of issue 20: relays of 21 nodes filled their links of 625 KB/s, and what shared them was late."""
+        """Incident of issue 20: relays of 21 nodes filled their links of 625 KB/s, which delayed all other traffic."""
         fleet = Fleet(63)
         for name, loads in fleet.loads.items():
             for worker in range(28):
@@ -216,7 +222,7 @@
                     fleet.relays[f"n{number}"].relay_cache_note(note)
             fleet.play(10)
         most = max(fleet.bytes_by_sender.values()) / 10
-        self.assertLess(most, 625_000 / 4, "bytes a second of the busiest node")
+        self.assertLess(most, 625_000 / 4, "bytes per second sent by the busiest node")
 
     def test_a_node_that_is_gone_costs_its_zone_few_notes(self) -> None:
         fleet = Fleet(63)
@@ -238,25 +244,25 @@
         self.assertGreaterEqual(sum(heard) / len(heard), 36)
 
     def test_nodes_that_are_gone_do_not_cost_the_others_what_workers_keep(self) -> None:
-        """Records live for 5 s."""
+        """Directory records of dead nodes live for 5 s, during which relays and other nodes still send to them."""
         for gone_count in (1, 6):
-            kept_fleet = KeptFleet(63, worker_count=8)
-            fleet = kept_fleet.fleet
-            kept_fleet.play(40)
-            self.assertGreater(kept_fleet.known_share(), 0.9)
-            spared = [name for name, relay in fleet.relays.items() if not relay.is_relaying and int(name[1:]) >= 8]
-            fleet.dead.update(spared[:gone_count])
-            kept_fleet.play(40)
-            self.assertGreater(kept_fleet.known_share(), 0.9, f"{gone_count} nodes are gone")
+            caching_fleet = CachingFleet(63, worker_count=8)
+            fleet = caching_fleet.fleet
+            caching_fleet.play(40)
+            self.assertGreater(caching_fleet.known_share(), 0.9)
+            non_relays = [name for name, relay in fleet.relays.items() if not relay.is_relaying and int(name[1:]) >= 8]
+            fleet.dead.update(non_relays[:gone_count])
+            caching_fleet.play(40)
+            self.assertGreater(caching_fleet.known_share(), 0.9, f"{gone_count} dead nodes")
 
     def test_notes_that_are_lost_cost_no_more_than_what_they_tell(self) -> None:
-        """Each note repeats the one before, so that only two lost ones in a row take a part away."""
-        kept_fleet = KeptFleet(63, worker_count=8)
-        kept_fleet.fleet.lose_one_in(50)
-        kept_fleet.play(60)
-        # What is on its way arrives.
-        kept_fleet.fleet.play(4)
-        self.assertGreater(kept_fleet.known_share(), 0.97)
+        """Each note repeats the one before, so a part is lost only if two notes in a row are."""
+        caching_fleet = CachingFleet(63, worker_count=8)
+        caching_fleet.fleet.set_loss_one_in(50)
+        caching_fleet.play(60)
+        # Lets notes under way arrive.
+        caching_fleet.fleet.play(4)
+        self.assertGreater(caching_fleet.known_share(), 0.97)
 
     def test_a_small_fleet_tells_directly(self) -> None:
         fleet = Fleet(9)
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -1,4 +1,4 @@
-"""Roll-outs over a fleet on virtual time: a third at a time, lost replies, and holds through freezes and cuts."""
+"""Rollouts over a simulated fleet: a third at a time, with lost replies, and holds during freezes and partitions."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from pearhead.rpc.wire_pb2 import ModelNote
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
-from tests.workerfleet import LINE, FleetNode, ModelWorker, WorkerFleet, find_turns
+from tests.workerfleet import LINE, FakeWorker, FleetNode, WorkerFleet, find_order_violations
 
 
 def run_fleet(
-    node_count: int, worker_count: int, play: Callable[[WorkerFleet], Coroutine[Any, Any, Any]], seed: int = 1
+    node_count: int, worker_count: int, scenario: Callable[[WorkerFleet], Coroutine[Any, Any, Any]], seed: int = 1
 ) -> Any:
-    async def whole(world: World) -> Any:
+    async def run_scenario(world: World) -> Any:
         fleet = WorkerFleet(world, node_count, worker_count)
-        fleet.core.list_workers(fleet.platform)
-        fleet.start("rosters", "roll_out")
+        fleet.core.set_workers(fleet.platform)
+        fleet.start("rosters", "rollout")
         await pause(world, 4 * SECOND)
-        result = await play(fleet)
+        result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
-        assert not find_turns(fleet.platform.orders), find_turns(fleet.platform.orders)
+        assert not find_order_violations(fleet.platform.orders), find_order_violations(fleet.platform.orders)
         return result
 
-    return run_in_virtual_time(seed, whole)
+    return run_in_virtual_time(seed, run_scenario)
 
 
 def versions(fleet: WorkerFleet) -> list[int]:
     for worker in fleet.platform.workers.values():
-        fleet.platform.settle(worker)
+        fleet.platform.finish_due_load(worker)
     return [worker.version for worker in fleet.platform.workers.values()]
 
 
@@ -44,7 +44,7 @@
     return next(n for n in fleet.nodes if rendezvous_rank(n.identity, identities, f"roll-out/{LINE}") == 0)
 
 
-class Hand:
+class FakeClock:
     def __init__(self) -> None:
         self.micros = 100 * SECOND
 
@@ -52,142 +52,150 @@
         return self.micros
 
     def after(self, delay_micros: int, callback: Callable[[], None]) -> Any:
-        raise AssertionError("it has no timer")
+        raise AssertionError("no timer is expected")
 
 
 class VersionBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.hand = Hand()
-        self.book = WorkerVersionTable(self.hand)
+        self.clock = FakeClock()
+        self.version_table = WorkerVersionTable(self.clock)
 
-    def tell(self, version: int, loading: bool) -> bool:
-        return self.book.apply_note(ModelNote(worker="w", line=LINE, version=version, loading=loading))
+    def apply_note(self, version: int, loading: bool) -> bool:
+        return self.version_table.apply_note(ModelNote(worker="w", line=LINE, version=version, loading=loading))
 
     def test_versions_only_rise(self) -> None:
-        self.assertIsNone(self.book.version_of("w", LINE))
-        self.assertTrue(self.book.record("w", LINE, 3))
-        self.assertFalse(self.book.record("w", LINE, 2))
-        self.tell(2, loading=False)
-        self.assertEqual(self.book.version_of("w", LINE), 3)
+        self.assertIsNone(self.version_table.version_of("w", LINE))
+        self.assertTrue(self.version_table.record("w", LINE, 3))
+        self.assertFalse(self.version_table.record("w", LINE, 2))
+        self.apply_note(2, loading=False)
+        self.assertEqual(self.version_table.version_of("w", LINE), 3)
 
     def test_loading_ends_by_word_or_by_time(self) -> None:
-        self.book.record("w", LINE, 1)
-        self.tell(2, loading=True)
-        self.assertTrue(self.book.is_loading("w"))
-        self.tell(2, loading=False)
-        self.assertEqual((self.book.is_loading("w"), self.book.version_of("w", LINE)), (False, 2))
-        self.tell(2, loading=True)
-        self.assertFalse(self.book.is_loading("w"), "a late double of the first word")
-        self.tell(3, loading=True)
-        self.tell(0, loading=False)
-        self.assertEqual((self.book.is_loading("w"), self.book.version_of("w", LINE)), (False, 2), "it failed")
-        self.tell(3, loading=True)
-        self.hand.micros += LOADING_NOTE_TTL_MICROS
-        self.assertFalse(self.book.is_loading("w"))
-        self.tell(3, loading=True)
-        self.book.record("w", LINE, 3)
-        self.assertFalse(self.book.is_loading("w"), "an answer told of the new weights")
+        self.version_table.record("w", LINE, 1)
+        self.apply_note(2, loading=True)
+        self.assertTrue(self.version_table.is_loading("w"))
+        self.apply_note(2, loading=False)
+        self.assertEqual((self.version_table.is_loading("w"), self.version_table.version_of("w", LINE)), (False, 2))
+        self.apply_note(2, loading=True)
+        self.assertFalse(self.version_table.is_loading("w"), "a late duplicate of the first note")
+        self.apply_note(3, loading=True)
+        self.apply_note(0, loading=False)
+        self.assertEqual(
+            (self.version_table.is_loading("w"), self.version_table.version_of("w", LINE)),
+            (False, 2),
+            "the load failed",
+        )
+        self.apply_note(3, loading=True)
+        self.clock.micros += LOADING_NOTE_TTL_MICROS
+        self.assertFalse(self.version_table.is_loading("w"))
+        self.apply_note(3, loading=True)
+        self.version_table.record("w", LINE, 3)
+        self.assertFalse(self.version_table.is_loading("w"), "an answer carried the new version")
 
 
 class RollOutTest(unittest.TestCase):
     def test_a_third_at_a_time_and_all_within_five_seconds(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
-            fleet.core.name(2)
+        async def scenario(fleet: WorkerFleet) -> None:
+            fleet.core.name_weights(2)
             await pause(fleet.world, 3_500 * MILLI)
             self.assertEqual(set(versions(fleet)), {2})
-            self.assertLessEqual(fleet.platform.most_loading, 4)
+            self.assertLessEqual(fleet.platform.max_loading_count, 4)
             self.assertEqual(len(fleet.platform.orders), 12, "one order each")
             self.assertLessEqual(len(fleet.platform.report_calls), 24)
             self.assertEqual(len({order.holder for order in fleet.platform.orders}), 1)
             for node in fleet.nodes:
-                self.assertEqual([node.book.version_of(f"w{n}", LINE) for n in range(12)], [2] * 12)
-                self.assertFalse(any(node.book.is_loading(f"w{n}") for n in range(12)))
-            holds = len(fleet.core.commands)
+                self.assertEqual([node.version_table.version_of(f"w{n}", LINE) for n in range(12)], [2] * 12)
+                self.assertFalse(any(node.version_table.is_loading(f"w{n}") for n in range(12)))
+            command_count = len(fleet.core.commands)
             await pause(fleet.world, 10 * SECOND)
-            self.assertEqual(len(fleet.core.commands), holds, "nothing is renewed between roll-outs")
+            self.assertEqual(len(fleet.core.commands), command_count, "no hold is renewed between rollouts")
 
-        run_fleet(6, 12, play)
+        run_fleet(6, 12, scenario)
 
     def test_nodes_leave_a_worker_alone_before_it_is_ordered(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
-            placed: list[tuple[str, str]] = []
+        async def scenario(fleet: WorkerFleet) -> None:
+            unaware: list[tuple[str, str]] = []
 
-            waiting: list[str] = []
+            ordered: list[str] = []
             original = fleet.platform.order
 
-            def order(worker: ModelWorker, sent: LoadOrder) -> OrderOutcome:
-                waiting.append(sent.worker)
-                placed.extend((n.name, sent.worker) for n in fleet.nodes if not n.book.is_loading(sent.worker))
-                return original(worker, sent)
+            def order(worker: FakeWorker, load_order: LoadOrder) -> OrderOutcome:
+                ordered.append(load_order.worker)
+                unaware.extend(
+                    (n.name, load_order.worker)
+                    for n in fleet.nodes
+                    if not n.version_table.is_loading(load_order.worker)
+                )
+                return original(worker, load_order)
 
             fleet.platform.order = order  # type: ignore[method-assign,assignment]
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 4 * SECOND)
-            self.assertEqual(len(waiting), 6)
-            self.assertEqual(placed, [])
+            self.assertEqual(len(ordered), 6)
+            self.assertEqual(unaware, [])
 
-        run_fleet(6, 6, play)
+        run_fleet(6, 6, scenario)
 
     def test_long_runs_hold_a_third_up_and_the_rest_goes_at_once_when_it_is_late(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             for worker in fleet.platform.workers.values():
                 worker.run_micros = 2 * SECOND
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 4_500 * MILLI)
-            self.assertLessEqual(fleet.platform.most_loading, 2)
+            self.assertLessEqual(fleet.platform.max_loading_count, 2)
             await pause(fleet.world, 3_500 * MILLI)
             self.assertEqual(set(versions(fleet)), {2})
 
-        run_fleet(4, 8, play)
+        run_fleet(4, 8, scenario)
 
     def test_leaving_workers_are_left_alone(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             listed = fleet.platform.listed
             listed["w1"] = dataclasses.replace(listed["w1"], is_leaving=True)
             await pause(fleet.world, 3 * SECOND)
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 4 * SECOND)
             self.assertEqual(versions(fleet), [2, 1, 2])
 
-        run_fleet(4, 3, play)
+        run_fleet(4, 3, scenario)
 
     def test_lost_replies_are_asked_after_and_ordered_again(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
-            fleet.platform.workers["w0"].loses_replies = 1
-            fleet.platform.workers["w1"].loses_replies = 2
-            fleet.core.name(2)
+        async def scenario(fleet: WorkerFleet) -> None:
+            fleet.platform.workers["w0"].lost_reply_count = 1
+            fleet.platform.workers["w1"].lost_reply_count = 2
+            fleet.core.name_weights(2)
             await pause(fleet.world, 5 * SECOND)
             self.assertEqual(versions(fleet), [2, 2, 2])
             self.assertEqual({w.order_count for w in fleet.platform.workers.values()}, {1}, "none loads twice")
 
-        run_fleet(4, 3, play)
+        run_fleet(4, 3, scenario)
 
     def test_a_worker_that_does_not_answer_is_ordered_when_it_is_back(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             fleet.platform.workers["w0"].is_up = False
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 4 * SECOND)
             self.assertEqual(versions(fleet), [1, 2, 2])
             fleet.platform.workers["w0"].is_up = True
             await pause(fleet.world, 4 * SECOND)
             self.assertEqual(versions(fleet), [2, 2, 2])
 
-        run_fleet(4, 3, play)
+        run_fleet(4, 3, scenario)
 
     def test_a_later_naming_overtakes(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
-            fleet.core.name(2)
+        async def scenario(fleet: WorkerFleet) -> None:
+            fleet.core.name_weights(2)
             await pause(fleet.world, 500 * MILLI)
-            fleet.core.name(3)
+            fleet.core.name_weights(3)
             await pause(fleet.world, 5 * SECOND)
             self.assertEqual(set(versions(fleet)), {3})
             late = [o for o in fleet.platform.orders if o.version == 2 and o.at_micros > fleet.world.now() - 5 * SECOND]
-            self.assertEqual(late, [], "nobody is ordered to older weights")
+            self.assertEqual(late, [], "no order names older weights")
 
-        run_fleet(4, 6, play)
+        run_fleet(4, 6, scenario)
 
     def test_an_order_frozen_before_its_first_byte_is_not_sent_after_the_term(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             orderer = orderer_of(fleet)
             frozen: list[int] = []
 
@@ -197,38 +205,38 @@
                     orderer.machine.freeze()
 
             orderer.control.before_order = freeze
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 12 * SECOND)
-            self.assertEqual(set(versions(fleet)), {2}, "another node went on")
+            self.assertEqual(set(versions(fleet)), {2}, "another node continued the rollout")
             before = len(fleet.platform.orders)
             self.assertEqual({o.holder for o in fleet.platform.orders} & {orderer.identity}, set())
             orderer.machine.wake()
             await pause(fleet.world, 3 * SECOND)
-            self.assertEqual(len(fleet.platform.orders), before, "it sends nothing when it wakes")
+            self.assertEqual(len(fleet.platform.orders), before, "the node sends no order after waking")
 
-        run_fleet(5, 6, play)
+        run_fleet(5, 6, scenario)
 
     def test_the_oldest_weights_are_replaced_first(self) -> None:
-        """Named twice in a row: a worker of the first naming is not loaded again before one that has neither."""
+        """Two versions in a row: a worker that loaded the first is not loaded again before one that has neither."""
 
-        async def play(fleet: WorkerFleet) -> None:
-            fleet.core.name(2)
+        async def scenario(fleet: WorkerFleet) -> None:
+            fleet.core.name_weights(2)
             await pause(fleet.world, 900 * MILLI)
-            fleet.core.name(3)
+            fleet.core.name_weights(3)
             await pause(fleet.world, 9 * SECOND)
             self.assertEqual(set(versions(fleet)), {3})
             loaded_before = {o.worker for o in fleet.platform.orders if o.version == 2}
-            self.assertIn(len(loaded_before), range(1, 9), "some have the first naming, some not")
+            self.assertIn(len(loaded_before), range(1, 9), "only some workers loaded the first version")
             again = [o.worker in loaded_before for o in fleet.platform.orders if o.version == 3]
-            self.assertEqual(again, sorted(again), "first those that were not loaded before")
+            self.assertEqual(again, sorted(again), "workers that were not loaded before come first")
 
         for seed in range(1, 4):
-            run_fleet(5, 9, play, seed)
+            run_fleet(5, 9, scenario, seed)
 
     def test_the_next_takes_over_what_another_left(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             orderer = orderer_of(fleet)
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 300 * MILLI)
             self.assertTrue(fleet.platform.orders)
             orderer.machine.crash(loses_power=True)
@@ -237,86 +245,86 @@
             self.assertGreater(len({o.holder for o in fleet.platform.orders}), 1)
 
         for seed in range(1, 5):
-            run_fleet(5, 9, play, seed)
+            run_fleet(5, 9, scenario, seed)
 
     def test_two_that_order_at_once_never_take_turns(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             for node in fleet.nodes[:2]:
-                node.roll_out._is_turn = lambda line, state: True  # type: ignore[method-assign]
-            fleet.core.name(2)
+                node.rollout._is_turn = lambda line, state: True  # type: ignore[method-assign]
+            fleet.core.name_weights(2)
             await pause(fleet.world, 9 * SECOND)
             self.assertEqual(set(versions(fleet)), {2})
-            fleet.core.name(3)
+            fleet.core.name_weights(3)
             await pause(fleet.world, 9 * SECOND)
             self.assertEqual(set(versions(fleet)), {3})
 
         for seed in range(1, 5):
-            run_fleet(4, 6, play, seed)
+            run_fleet(4, 6, scenario, seed)
 
     def test_the_last_order_of_a_hold_lies_far_from_the_first_of_the_next(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             first = orderer_of(fleet)
             second = next(n for n in fleet.nodes if n is not first)
             worker = fleet.platform.workers["w0"]
-            worker.is_deaf = True
-            fleet.core.name(2)
+            worker.is_always_busy = True
+            fleet.core.name_weights(2)
             await pause(fleet.world, 200 * MILLI)
-            # It still sees what is in force, and orders again as long as its hold lets it.
-            first.keeper.is_unheard = True
-            second.roll_out._is_turn = lambda line, state: True  # type: ignore[method-assign]
+            # It still receives views, and repeats its order as long as its hold allows.
+            first.core_client.loses_commands = True
+            second.rollout._is_turn = lambda line, state: True  # type: ignore[method-assign]
             await pause(fleet.world, 7 * SECOND)
             by_first = [o for o in fleet.platform.orders if o.holder == first.identity]
             self.assertGreater(len(by_first), 1)
-            taken_over.append(any(o.holder == second.identity for o in fleet.platform.orders))
-            worker.is_deaf = False
+            took_over.append(any(o.holder == second.identity for o in fleet.platform.orders))
+            worker.is_always_busy = False
             await pause(fleet.world, 8 * SECOND)
             self.assertEqual(versions(fleet), [2])
 
-        # The rules hold in every course; in some the first keeps its hold for longer than the play lasts.
-        taken_over: list[bool] = []
+        # The rules hold for every seed; for some the first keeps its hold for longer than the scenario lasts.
+        took_over: list[bool] = []
         for seed in range(1, 11):
-            run_fleet(3, 1, play, seed)
-        self.assertGreaterEqual(sum(taken_over), 3, "courses in which the second comes to order")
+            run_fleet(3, 1, scenario, seed)
+        self.assertGreaterEqual(sum(took_over), 3, "number of seeds with which the second node sends an order")
 
     def test_freezes_cuts_and_new_leaders_never_break_the_rules_on_orders(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             chance = random.Random(fleet.world.seed)
             version = 1
             for _ in range(30):
-                strike = chance.choice(("freeze", "wake", "cut", "join", "lead", "name", "name"))
+                action = chance.choice(("freeze", "wake", "cut", "join", "lead", "name", "name"))
                 node = chance.choice(fleet.nodes)
-                if strike == "freeze" and sum(n.machine.is_frozen for n in fleet.nodes) < 3:
+                if action == "freeze" and sum(n.machine.is_frozen for n in fleet.nodes) < 3:
                     node.machine.freeze()
-                elif strike == "wake":
+                elif action == "wake":
                     node.machine.wake()
-                elif strike in ("cut", "join"):
-                    node.keeper.is_cut_off = strike == "cut"
-                elif strike == "lead":
-                    # A new leader knows fences from its log, and not since when (§7.2).
+                elif action in ("cut", "join"):
+                    node.core_client.is_cut_off = action == "cut"
+                elif action == "lead":
+                    # A new leader knows the fences from its log, but not when they were granted (§7.2).
                     fleet.core.leader_since = fleet.world.now()
                     fleet.core.hold_last_seen = {
                         w: (h["fence"], fleet.world.now()) for w, h in fleet.core.fleet.holds.items()
                     }
-                elif strike == "name":
+                elif action == "name":
                     version += 1
-                    fleet.core.name(version)
+                    fleet.core.name_weights(version)
                 await pause(fleet.world, chance.randrange(20, 2_500) * MILLI)
             for node in fleet.nodes:
                 node.machine.wake()
-                node.keeper.is_cut_off = False
+                node.core_client.is_cut_off = False
             await pause(fleet.world, 15 * SECOND)
             self.assertEqual(set(versions(fleet)), {version})
 
         for seed in range(1, 9):
             with self.subTest(seed=seed):
-                run_fleet(5, 6, play, seed)
+                run_fleet(5, 6, scenario, seed)
 
     def test_an_application_on_the_list_is_no_concern(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             fleet.platform.add("desk0", service="desk")
             await pause(fleet.world, 2 * SECOND)
-            fleet.core.name(2)
+            fleet.core.name_weights(2)
             await pause(fleet.world, 3 * SECOND)
             self.assertEqual(versions(fleet), [2, 2, 1])
 
-        run_fleet(3, 2, play)
+        run_fleet(3, 2, scenario)
--- a/tests/test_roster_freshness.py
+++ b/tests/test_roster_freshness.py
@@ -1,4 +1,4 @@
-"""How old a node's list of workers may be: behind narrow links, with lost notes, and with askers that are gone."""
+"""How old a roster may become: behind narrow links, with lost notes, and when the polling nodes are gone."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 from tests.workerfleet import LINE, SERVICE, WorkerFleet, asker_of, busiest_second
 
-# The users' grown sites: 63 nodes behind 5 Mbit/s; what their links queue is not told, and reckoned from a trial.
+# The size of the users' sites: 63 nodes behind links of 5 Mbit/s. They did not state the links' queue size; it is
+# estimated from a trial.
 NODE_COUNT = 63
 WORKER_COUNT = 31
 LINK_BYTES_PER_SECOND = 625_000
 LINK_QUEUE_BYTES = 32 * 1024
-# Of the 3 s that a worker serves on at least, a half is left for the request's own way.
+# A leaving worker serves for at least 3 s more, of which half a second is left for a request to reach it.
 KNOWN_WITHIN_MICROS = 2_500 * MILLI
-# One batch on its sender's link, and the way.
+# Time of one batch on the sender's link, plus the network latency.
 ON_THE_LINK_MICROS = 30 * MILLI
 
 
-def run_fleet(node_count: int, play: Callable[[WorkerFleet], Coroutine[Any, Any, Any]], seed: int = 1) -> Any:
-    """A fleet whose nodes have narrow links, after ten seconds of quiet."""
+def run_fleet(node_count: int, scenario: Callable[[WorkerFleet], Coroutine[Any, Any, Any]], seed: int = 1) -> Any:
+    """Runs a scenario on a fleet whose nodes have narrow links, ten seconds after its start."""
 
-    async def whole(world: World) -> Any:
+    async def run_scenario(world: World) -> Any:
         fleet = WorkerFleet(world, node_count)
         for node in fleet.nodes:
             world.uplinks[node.name] = Uplink(LINK_BYTES_PER_SECOND, LINK_QUEUE_BYTES)
@@ -35,11 +36,11 @@
             add_worker(fleet, f"i-{number:010x}")
         fleet.start("rosters")
         await pause(world, 10 * SECOND)
-        result = await play(fleet)
+        result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
         return result
 
-    return run_in_virtual_time(seed, whole)
+    return run_in_virtual_time(seed, run_scenario)
 
 
 def add_worker(fleet: WorkerFleet, name: str) -> None:
@@ -50,7 +51,7 @@
 
 
 def start_leaving(fleet: WorkerFleet, count: int) -> set[str]:
-    """The list shows so many workers as leaving from now on."""
+    """Marks `count` workers as leaving in the list, and returns their names."""
     listed = fleet.platform.listed
     names = [name for name, backend in listed.items() if not backend.is_leaving][:count]
     for name in names:
@@ -59,88 +60,88 @@
 
 
 def unaware(fleet: WorkerFleet, leaving: set[str]) -> list[str]:
-    """The running nodes that would still send requests to a worker that leaves."""
+    """The running nodes that would still send requests to one of the leaving workers."""
     running = [node for node in fleet.nodes if node.machine.is_alive and not node.machine.is_frozen]
-    return [node.name for node in running if leaving & node.names()]
+    return [node.name for node in running if leaving & node.available_names()]
 
 
 class RosterFreshnessTest(unittest.TestCase):
     def test_a_large_fleet_behind_narrow_links_hears_in_time_who_leaves(self) -> None:
-        """Incident of issue 20: bursts of notes overflowed the link of their sender, which always dropped the same."""
+        """Incident of issue 20: bursts of notes overflowed the sender's link, which always dropped the same nodes' copies."""
 
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             for count in (5, 3, 7):
                 leaving = start_leaving(fleet, count)
                 for name in leaving:
-                    # New weights at the same time: such entries are told with all that is known of them.
+                    # New weights at the same time: changed entries are sent with all fields.
                     fleet.platform.workers[name].version += 1
                 await pause(fleet.world, KNOWN_WITHIN_MICROS)
                 self.assertEqual(unaware(fleet, leaving), [])
-            # New workers are told with all that is known of them, so these notes are the largest.
+            # New workers are sent with all fields, so these notes are the largest.
             for number in range(5):
                 add_worker(fleet, f"n-{number:010x}")
             leaving = start_leaving(fleet, 3)
             await pause(fleet.world, KNOWN_WITHIN_MICROS)
             self.assertEqual(unaware(fleet, leaving), [])
             dropped = {name: uplink.dropped_count for name, uplink in fleet.world.uplinks.items()}
-            self.assertEqual({name for name, count in dropped.items() if count}, set(), "no link was overrun")
+            self.assertEqual({name for name, count in dropped.items() if count}, set(), "no link dropped datagrams")
 
         for seed in (1, 2):
-            run_fleet(NODE_COUNT, play, seed)
+            run_fleet(NODE_COUNT, scenario, seed)
 
     def test_a_node_that_the_asker_does_not_reach_asks_its_peers(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
-            deaf = next(node for node in fleet.nodes if node is not asker_of(fleet))
-            fleet.world.cut([asker_of(fleet).name], [deaf.name])
+        async def scenario(fleet: WorkerFleet) -> None:
+            unreached = next(node for node in fleet.nodes if node is not asker_of(fleet))
+            fleet.world.cut([asker_of(fleet).name], [unreached.name])
             calls_before = len(fleet.platform.list_calls)
             for _ in range(4):
                 leaving = start_leaving(fleet, 2)
                 await pause(fleet.world, KNOWN_WITHIN_MICROS)
                 self.assertEqual(unaware(fleet, leaving), [])
-            self.assertLessEqual(len(fleet.platform.list_calls) - calls_before, 12, "no second asker is needed")
+            self.assertLessEqual(len(fleet.platform.list_calls) - calls_before, 12, "no second node has to poll")
 
-        run_fleet(9, play)
+        run_fleet(9, scenario)
 
     def test_a_node_that_hears_nobody_asks_the_list_itself(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
-            deaf = next(node for node in reversed(fleet.nodes) if node is not asker_of(fleet))
-            fleet.world.cut([node.name for node in fleet.nodes], [deaf.name])
+        async def scenario(fleet: WorkerFleet) -> None:
+            unreached = next(node for node in reversed(fleet.nodes) if node is not asker_of(fleet))
+            fleet.world.cut([node.name for node in fleet.nodes], [unreached.name])
             for _ in range(4):
                 leaving = start_leaving(fleet, 2)
                 await pause(fleet.world, KNOWN_WITHIN_MICROS)
                 self.assertEqual(unaware(fleet, leaving), [])
 
-        run_fleet(9, play)
+        run_fleet(9, scenario)
 
     def test_no_node_takes_its_list_for_younger_than_it_is(self) -> None:
-        """Notes that wait for their batch are told with their age as they leave."""
+        """Each batch must carry the list's age at its own sending, which includes the wait for earlier batches."""
 
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             for _ in range(120):
                 await pause(fleet.world, 100 * MILLI)
-                # Clocks of machines begin anywhere, so ages are compared.
+                # The clocks of the machines have different origins, so ages are compared instead of times.
                 true_age_micros = fleet.world.now() - fleet.platform.list_calls[-1][0]
                 youngest_micros = min(node.rosters.age_micros() or 0 for node in fleet.nodes)
                 self.assertGreaterEqual(youngest_micros, true_age_micros - ON_THE_LINK_MICROS)
 
-        run_fleet(NODE_COUNT, play)
+        run_fleet(NODE_COUNT, scenario)
 
     def test_no_list_grows_old_in_a_quiet_fleet(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             ages = []
             for _ in range(60):
                 await pause(fleet.world, 100 * MILLI)
                 ages += [fleet.world.now() - node.rosters.roster.at_micros for node in fleet.nodes]
             self.assertLess(max(ages), 2 * SECOND)
 
-        run_fleet(NODE_COUNT, play)
+        run_fleet(NODE_COUNT, scenario)
 
     def test_an_asker_that_goes_is_missed_in_time(self) -> None:
-        """Also where those next in rank are gone with it."""
+        """Also when the nodes ranked next fail together with the polling node."""
         for gone_count in (1, 3, 5):
             for seed in range(1, 5):
 
-                async def play(fleet: WorkerFleet, gone_count: int = gone_count) -> None:
+                async def scenario(fleet: WorkerFleet, gone_count: int = gone_count) -> None:
                     ranked = sorted(fleet.nodes, key=lambda node: node.rosters._rank())
                     gone = {asker_of(fleet).name: asker_of(fleet), **{node.name: node for node in ranked}}
                     for node in list(gone.values())[:gone_count]:
@@ -150,10 +151,10 @@
                     self.assertEqual(unaware(fleet, leaving), [])
                     self.assertLessEqual(busiest_second([at for at, _ in fleet.platform.list_calls]), 12)
 
-                run_fleet(9, play, seed)
+                run_fleet(9, scenario, seed)
 
     def test_notes_that_are_lost_are_made_up_for(self) -> None:
-        async def play(fleet: WorkerFleet) -> None:
+        async def scenario(fleet: WorkerFleet) -> None:
             for _ in range(5):
                 leaving = start_leaving(fleet, 2)
                 await pause(fleet.world, KNOWN_WITHIN_MICROS)
@@ -161,11 +162,11 @@
 
         for loss in (0.3, 0.9):
 
-            async def lossy(fleet: WorkerFleet, loss: float = loss) -> None:
+            async def scenario_with_loss(fleet: WorkerFleet, loss: float = loss) -> None:
                 fleet.world.datagram_loss = loss
-                await play(fleet)
+                await scenario(fleet)
 
-            run_fleet(9, lossy)
+            run_fleet(9, scenario_with_loss)
 
 
 class UplinkTest(unittest.TestCase):
@@ -176,4 +177,4 @@
         self.assertEqual(departures, [n * 1_000 for n in range(1, 11)] + [None, None])
         self.assertEqual(uplink.dropped_count, 2)
         self.assertEqual(uplink.departure(0, size, is_stream=True), 11_000)
-        self.assertEqual(uplink.departure(20_000, size, is_stream=False), 21_000, "it has been idle")
+        self.assertEqual(uplink.departure(20_000, size, is_stream=False), 21_000, "the queue is empty again")
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -1,4 +1,4 @@
-"""A fleet of front nodes, a core's state and a platform's workers, on virtual time."""
+"""A simulated fleet for tests, on virtual time: front nodes, a core's state, and a platform with its workers."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 SERVICE = "models"
 HOLD_MICROS = 5 * SECOND
 ORDER_MICROS = 1_700 * MILLI
-TURN_MICROS = 3 * SECOND
+MIN_HOLDER_GAP_MICROS = 3 * SECOND
 DESCRIPTION = {
     "lines": [{"name": LINE, "weights": "1"}],
     "services": [
@@ -61,8 +61,8 @@
 
 
 @dataclass
-class ModelWorker:
-    """What the platform and the worker itself know of it."""
+class FakeWorker:
+    """State of one simulated worker, as the platform and the worker itself know it."""
 
     backend: Backend
     version: int = 1
@@ -72,15 +72,15 @@
     fence: int = 0
     order_count: int = 0
     is_up: bool = True
-    loses_replies: int = 0
-    is_deaf: bool = False
+    lost_reply_count: int = 0
+    is_always_busy: bool = False
     life: str = "1"
-    first_number: int = 1
+    first_sequence: int = 1
     events: list[PrefixCacheEvent] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class SeenOrder:
+class RecordedOrder:
     at_micros: int
     worker: str
     holder: str
@@ -88,55 +88,55 @@
     version: int
 
 
-class PlatformModel:
-    """Workers, their list, and a book of every call that the platform saw."""
+class FakePlatform:
+    """The workers and their list; records every call that the platform receives."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.workers: dict[str, ModelWorker] = {}
+        self.workers: dict[str, FakeWorker] = {}
         self.listed: dict[str, Backend] = {}
         self.is_list_up = True
-        self.listers_cut: set[str] = set()
+        self.cut_off_listers: set[str] = set()
         self.list_calls: list[tuple[int, str]] = []
         self.event_calls: list[tuple[int, str, str, int]] = []
         self.report_calls: list[tuple[int, str]] = []
-        self.orders: list[SeenOrder] = []
-        self.most_loading = 0
+        self.orders: list[RecordedOrder] = []
+        self.max_loading_count = 0
 
-    def add(self, name: str, version: int = 1, service: str = SERVICE) -> ModelWorker:
+    def add(self, name: str, version: int = 1, service: str = SERVICE) -> FakeWorker:
         backend = Backend(name, f"{name}:80", "z", service, 4, versions={LINE: version})
-        self.workers[name] = ModelWorker(backend, version)
+        self.workers[name] = FakeWorker(backend, version)
         self.listed[name] = backend
         return self.workers[name]
 
-    def at(self, address: str) -> ModelWorker | None:
+    def worker_at(self, address: str) -> FakeWorker | None:
         found = [w for w in self.workers.values() if w.backend.address == address and w.is_up]
         return found[0] if found else None
 
-    def settle(self, worker: ModelWorker) -> None:
+    def finish_due_load(self, worker: FakeWorker) -> None:
         if worker.loading_version and self.world.now() >= worker.loading_until:
             worker.version, worker.loading_version = worker.loading_version, 0
 
     def loading(self) -> list[str]:
         for worker in self.workers.values():
-            self.settle(worker)
+            self.finish_due_load(worker)
         return [n for n, w in self.workers.items() if w.loading_version]
 
-    def show_list(self) -> list[Backend]:
+    def current_list(self) -> list[Backend]:
         for name, worker in self.workers.items():
-            self.settle(worker)
+            self.finish_due_load(worker)
             if name in self.listed:
                 self.listed[name] = dataclasses.replace(self.listed[name], versions={LINE: worker.version})
         return list(self.listed.values())
 
-    def order(self, worker: ModelWorker, order: LoadOrder) -> OrderOutcome:
-        self.settle(worker)
-        self.orders.append(SeenOrder(self.world.now(), order.worker, order.holder, order.fence, order.version))
+    def order(self, worker: FakeWorker, order: LoadOrder) -> OrderOutcome:
+        self.finish_due_load(worker)
+        self.orders.append(RecordedOrder(self.world.now(), order.worker, order.holder, order.fence, order.version))
         if order.worker != worker.backend.name:
             return OrderOutcome.OTHER_WORKER
         if order.fence < worker.fence:
             return OrderOutcome.OLDER_FENCE
-        if worker.is_deaf:
+        if worker.is_always_busy:
             return OrderOutcome.BUSY
         worker.fence = order.fence
         if worker.version == order.version:
@@ -146,14 +146,14 @@
         worker.order_count += 1
         worker.loading_version = order.version
         worker.loading_until = self.world.now() + worker.run_micros + 400 * MILLI
-        self.most_loading = max(self.most_loading, len(self.loading()))
+        self.max_loading_count = max(self.max_loading_count, len(self.loading()))
         return OrderOutcome.TAKEN
 
 
-class ModelControl:
-    """`WorkerControl` of one node: what it waits for passes its machine's gate."""
+class FakeWorkerControl:
+    """`WorkerControl` of one node; it waits on the clock of the node's machine, so it stops while that is frozen."""
 
-    def __init__(self, platform: PlatformModel, machine: Machine) -> None:
+    def __init__(self, platform: FakePlatform, machine: Machine) -> None:
         self.platform = platform
         self.machine = machine
         self.before_order: Callable[[], None] = lambda: None
@@ -161,10 +161,10 @@
     async def list_workers(self, limit_micros: int) -> Result[list[Backend], str]:
         self.platform.list_calls.append((self.platform.world.now(), self.machine.name))
         await sleep_for(self.machine, 2 * MILLI)
-        if not self.platform.is_list_up or self.machine.name in self.platform.listers_cut:
+        if not self.platform.is_list_up or self.machine.name in self.platform.cut_off_listers:
             await sleep_for(self.machine, limit_micros)
             return Err("no answer")
-        listed = self.platform.show_list()
+        listed = self.platform.current_list()
         await sleep_for(self.machine, 2 * MILLI)
         return Ok(listed)
 
@@ -173,35 +173,35 @@
     ) -> Result[PrefixCacheEventBatch, str]:
         self.platform.event_calls.append((self.platform.world.now(), self.machine.name, address, since))
         await sleep_for(self.machine, MILLI)
-        worker = self.platform.at(address)
+        worker = self.platform.worker_at(address)
         if worker is None:
             return Err("refused")
         end_micros = self.machine.now() + wait_micros
         while True:
-            last_number = worker.first_number + len(worker.events) - 1
-            if last_number > since or self.machine.now() >= end_micros:
+            last_sequence = worker.first_sequence + len(worker.events) - 1
+            if last_sequence > since or self.machine.now() >= end_micros:
                 break
             await sleep_for(self.machine, 10 * MILLI)
-        fresh = worker.events[max(0, since + 1 - worker.first_number) :]
+        new_events = worker.events[max(0, since + 1 - worker.first_sequence) :]
         return Ok(
             PrefixCacheEventBatch(
                 worker.life,
-                max(last_number, since if since <= last_number else 0),
-                since + 1 < worker.first_number,
-                tuple(fresh),
+                max(last_sequence, since if since <= last_sequence else 0),
+                since + 1 < worker.first_sequence,
+                tuple(new_events),
             )
         )
 
     async def kept_list(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
-        raise AssertionError("it holds the worker up")
+        raise AssertionError("a full cache list blocks the worker and must not be requested")
 
     async def report(self, address: str, limit_micros: int) -> Result[WorkerReport, str]:
         self.platform.report_calls.append((self.platform.world.now(), address))
         await sleep_for(self.machine, 2 * MILLI)
-        worker = self.platform.at(address)
+        worker = self.platform.worker_at(address)
         if worker is None:
             return Err("refused")
-        self.platform.settle(worker)
+        self.platform.finish_due_load(worker)
         return Ok(
             WorkerReport(
                 {LINE: worker.version},
@@ -220,25 +220,25 @@
         await sleep_for(self.machine, MILLI)
         self.before_order()
         await sleep_for(self.machine, 0)
-        worker = self.platform.at(address)
+        worker = self.platform.worker_at(address)
         if worker is None:
             return Err("refused")
         if not may_begin():
             return Ok(OrderOutcome.WITHDRAWN)
         outcome = self.platform.order(worker, order)
-        if worker.loses_replies:
-            worker.loses_replies -= 1
+        if worker.lost_reply_count:
+            worker.lost_reply_count -= 1
             await sleep_for(self.machine, limit_micros)
             return Err("no answer")
         await sleep_for(self.machine, MILLI)
         return Ok(outcome)
 
     async def probe(self, address: str, path: str, limit_micros: int) -> Result[str, str]:
-        raise AssertionError("not asked for")
+        raise AssertionError("probes are not expected")
 
 
-class ModelCore:
-    """A lasting core: the state and the judging of holds are the product's own."""
+class FakeCore:
+    """A core that never fails; its state and its rule on expired holds are the production code."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -269,10 +269,10 @@
             self.view = View().with_delta(self.fleet.delta_since(0, "") or delta) or self.view
         return outcome
 
-    def name(self, version: int) -> None:
+    def name_weights(self, version: int) -> None:
         self.run(weights=NameWeights(line=LINE, weights=str(version)))
 
-    def list_workers(self, platform: PlatformModel) -> None:
+    def set_workers(self, platform: FakePlatform) -> None:
         self.run(
             workers=SetWorkers(
                 worker=[
@@ -283,22 +283,26 @@
         )
 
 
-class NodeKeeper:
-    """`ViewSource` and `CommandClient` of one node: it has the core's view 2 ms late unless it is cut off."""
+class NodeCoreClient:
+    """`ViewSource` and `CommandClient` of one node.
 
-    def __init__(self, core: ModelCore, machine: Machine) -> None:
+    It always has the core's newest view, and commands take 2 ms each way, unless the node is cut off. With
+    `loses_commands` it still receives views, but its commands get no answer.
+    """
+
+    def __init__(self, core: FakeCore, machine: Machine) -> None:
         self.core = core
         self.machine = machine
-        self.held = core.view
+        self.last_view = core.view
         self.is_cut_off = False
-        self.is_unheard = False
+        self.loses_commands = False
         self.current_at = machine.now()
 
     @property
     def view(self) -> View:
         if not self.is_cut_off and not self.machine.is_frozen:
-            self.held, self.current_at = self.core.view, self.machine.now()
-        return self.held
+            self.last_view, self.current_at = self.core.view, self.machine.now()
+        return self.last_view
 
     def is_current(self) -> bool:
         discard_result(self.view)
@@ -309,7 +313,7 @@
 
     async def command(self, command: Command) -> Result[CommandResult, str]:
         await sleep_for(self.machine, 2 * MILLI)
-        if self.is_cut_off or self.is_unheard:
+        if self.is_cut_off or self.loses_commands:
             await sleep_for(self.machine, 700 * MILLI)
             return Err("no answer")
         outcome = self.core.execute(command)
@@ -317,7 +321,9 @@
         return Ok(CommandResult(status=outcome["status"], body=json.dumps(outcome).encode()))
 
 
-class ListSink:
+class RecordingSink:
+    """A `PrefixCacheSink` that keeps all notes."""
+
     def __init__(self) -> None:
         self.notes: list[KeptNote] = []
 
@@ -325,7 +331,7 @@
         self.notes.append(note)
 
     def kept(self, worker: str) -> dict[tuple[str, str], int]:
-        """What a reader of the notes holds for true."""
+        """The cached tokens by salt and part that follow from the notes on a worker."""
         parts: dict[tuple[str, str], int] = {}
         for note in self.notes:
             if note.worker != worker:
@@ -340,6 +346,8 @@
 
 
 class FleetNode:
+    """A front node with those parts that deal with workers; `start` runs parts by their attribute names."""
+
     def __init__(self, fleet: WorkerFleet, name: str) -> None:
         self.name = name
         self.machine = fleet.world.machine(name)
@@ -350,9 +358,9 @@
         self.rpc_endpoint = RpcEndpoint(self.identity, address, SimNetwork(machine, address), machine)
         record = Record(identity=self.identity, address=address, role="router")
         self.directory = Directory(record, [CORE], self.rpc_endpoint, machine, chance)
-        self.keeper = NodeKeeper(fleet.core, machine)
-        self.control = ModelControl(fleet.platform, machine)
-        self.book = WorkerVersionTable(machine)
+        self.core_client = NodeCoreClient(fleet.core, machine)
+        self.control = FakeWorkerControl(fleet.platform, machine)
+        self.version_table = WorkerVersionTable(machine)
         self.rosters = RosterSynchronizer(
             self.identity,
             self.rpc_endpoint,
@@ -364,10 +372,10 @@
             SECOND,
             InvariantCounters(machine, strict=True),
         )
-        self.rosters.watchers.append(self.book.apply_roster)
-        self.recorder = RosterPublisher(self.rosters, self.keeper, self.keeper, machine)
-        self.sink = ListSink()
-        self.gatherer = PrefixCachePoller(
+        self.rosters.watchers.append(self.version_table.apply_roster)
+        self.publisher = RosterPublisher(self.rosters, self.core_client, self.core_client, machine)
+        self.sink = RecordingSink()
+        self.poller = PrefixCachePoller(
             self.identity,
             self.rpc_endpoint,
             self.directory,
@@ -375,10 +383,10 @@
             machine.task_group,
             self.control,
             self.rosters,
-            self.keeper,
+            self.core_client,
             self.sink,
         )
-        self.roll_out = WeightsRollout(
+        self.rollout = WeightsRollout(
             self.identity,
             self.rpc_endpoint,
             self.directory,
@@ -386,9 +394,9 @@
             machine.task_group,
             self.control,
             self.rosters,
-            self.keeper,
-            self.keeper,
-            self.book,
+            self.core_client,
+            self.core_client,
+            self.version_table,
             HOLD_MICROS,
             ORDER_MICROS,
         )
@@ -398,18 +406,18 @@
         for part in parts:
             self.machine.task_group.start(getattr(self, part).run())
 
-    def names(self) -> set[str]:
-        """Whom requests may be placed on."""
+    def available_names(self) -> set[str]:
+        """Names of the workers on which requests may be placed."""
         return {n for n, b in self.rosters.roster.backends.items() if not b.is_leaving}
 
 
 class WorkerFleet:
-    """A machine that only passes records on stands for the cores' directory."""
+    """All nodes, with one core and one platform. The core's directory is a machine that only passes records on."""
 
     def __init__(self, world: World, node_count: int, worker_count: int = 0) -> None:
         self.world = world
-        self.platform = PlatformModel(world)
-        self.core = ModelCore(world)
+        self.platform = FakePlatform(world)
+        self.core = FakeCore(world)
         for number in range(worker_count):
             self.platform.add(f"w{number}")
         machine = world.machine("core")
@@ -433,7 +441,7 @@
 
 
 def asker_of(fleet: WorkerFleet) -> FleetNode:
-    """The node that asked the platform's list last."""
+    """The node that polled the platform's list last."""
     return fleet.node_of(fleet.platform.list_calls[-1][1])
 
 
@@ -442,21 +450,25 @@
 
 
 def busiest_second(times: list[int]) -> int:
-    """The most of these moments that lie within one second."""
+    """The largest number of these times that lie within one second."""
     return max((sum(start <= t < start + SECOND for t in times) for start in times), default=0)
 
 
-def find_turns(orders: list[SeenOrder]) -> list[str]:
-    """What the rules on orders forbid: a fence of two holders, lower fences later, two holders within the lease."""
-    faults = []
+def find_order_violations(orders: list[RecordedOrder]) -> list[str]:
+    """Describes each violation of the rules on the orders of a worker.
+
+    Forbidden are a fence used by two holders, a lower fence after a higher one, and orders of two holders less than
+    `MIN_HOLDER_GAP_MICROS` apart.
+    """
+    violations = []
     for worker in {order.worker for order in orders}:
-        seen = [order for order in orders if order.worker == worker]
-        for before, after in zip(seen, seen[1:], strict=False):
+        worker_orders = [order for order in orders if order.worker == worker]
+        for before, after in zip(worker_orders, worker_orders[1:], strict=False):
             if after.fence < before.fence:
-                faults.append(f"{worker}: fence {after.fence} after {before.fence}")
+                violations.append(f"{worker}: fence {after.fence} after {before.fence}")
             if after.holder != before.holder:
                 if after.fence == before.fence:
-                    faults.append(f"{worker}: fence {after.fence} of two holders")
-                if after.at_micros - before.at_micros < TURN_MICROS:
-                    faults.append(f"{worker}: two holders within {after.at_micros - before.at_micros}")
-    return faults
+                    violations.append(f"{worker}: fence {after.fence} of two holders")
+                if after.at_micros - before.at_micros < MIN_HOLDER_GAP_MICROS:
+                    violations.append(f"{worker}: two holders within {after.at_micros - before.at_micros}")
+    return violations
