--- a/tests/test_roster_freshness.py
+++ b/tests/test_roster_freshness.py
@@ -67,7 +67,7 @@
 
 class RosterFreshnessTest(unittest.TestCase):
     def test_a_large_fleet_behind_narrow_links_hears_in_time_who_leaves(self) -> None:
-        """Incident of issue 20: bursts of notes overflowed the sender's link, which always dropped the same nodes' copies."""
+        """Incident of issue 20: bursts of notes overflowed the sender's link, which always dropped the same copies."""
 
         async def scenario(fleet: WorkerFleet) -> None:
             for count in (5, 3, 7):
