--- a/src/pearhead/router/prefix_cache_index.py
+++ b/src/pearhead/router/prefix_cache_index.py
@@ -25,9 +25,9 @@
         self.cache_locations: dict[tuple[str, str], set[str]] = {}
 
     def apply_note(self, note: KeptNote) -> None:
-        """Applies a report, unless one of the same life with the same or a later sequence number came before.
+        """Applies a report; ignores one that is repeated or late by its life's sequence numbers.
 
-        A report of another life, or one marked `whole`, replaces all that was known of its location.
+        A report of another life, or one marked `whole`, always replaces all that was known of its location.
         """
         life, sequence = self.sequences.get(note.worker, ("", 0))
         if note.whole or life != note.life:
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -65,7 +65,7 @@
 
 
 class RosterSynchronizer:
-    """Keeps this node's roster current and elects, without coordination, the node that polls the list.
+    """Keeps this node's roster current and elects, without coordination, the node that polls the list (the asker).
 
     The node ranked first by rendezvous hashing polls every `list_period_micros`. The others take over when they have
     received no list for 1.2 periods plus 0.1 s per rank, and any node polls once its roster is about 2 s old. Takeover
--- a/src/pearhead/router/weights_rollout.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -150,7 +150,7 @@
                 self._work_once()
 
     def record_version(self, worker: str, line: str, version: int) -> None:
-        """Records a version that a worker's answer to a request told."""
+        """Records a version that a worker reported in its answer to a request."""
         if self.version_table.record(worker, line, version):
             self._record_progress(line, version)
 
