--- a/src/pearhead/discovery/directory.py
+++ b/src/pearhead/discovery/directory.py
@@ -1,4 +1,4 @@
-"""Directory (§3.2): soft records of every process, told by hellos and aged by holding time."""
+"""Directory (§3.2): soft-state records of all processes, exchanged in hello messages and expired by age."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 
 HELLO_INTERVAL_MICROS = SECOND
 LIFETIME_MICROS = 5 * SECOND
-# Records older than this are told one by one also to those who know the same, so that none of them ages the others;
-# not where more than this share are: then most of them are only not heard of yet.
+# A process that knows the same records is sent only the oldest age of them all. Records older than this are sent to it
+# one by one instead, so that a record of a dead process does not make the others look as old. That is left out when
+# more than this share of the records are old: then most of them are alive and their news just has not arrived yet.
 LAGGING_RECORD_AGE_MICROS = 2_500 * MILLI
 MAXIMUM_LAGGING_SHARE = 0.5
 GOSSIP_FANOUT = 2
@@ -39,22 +40,26 @@
         self.clock = clock
         self.chance = chance
         self.records: dict[str, tuple[Record, int]] = {}
-        # Asked for many times a second; who is known changes seldom, and records end by whole seconds.
+        # `members` is called many times a second, while the set of members changes seldom and a record lives for
+        # whole seconds.
         self.cached_members: dict[str | None, list[Record]] = {}
         self.cache_start_micros = self.cache_expiry_micros = 0
         rpc_endpoint.on_message("hello", self._take_hello)
         rpc_endpoint.on_message("hello_result", self._handle_hello_result)
 
     def members(self, role: str | None = None) -> list[Record]:
-        """The live records, one an address: a process started again goes before its former life."""
+        """Returns the live records of other processes, all or those of one role, sorted by identity.
+
+        There is one record per address, the newest: a restarted process replaces its former incarnation.
+        """
         now_micros = self.clock.now()
         if not self.cache_start_micros <= now_micros < self.cache_expiry_micros:
             self.cached_members = {}
             self.cache_start_micros, self.cache_expiry_micros = now_micros, now_micros + MEMBERS_CACHE_LIFETIME_MICROS
-        found = self.cached_members.get(role)
-        if found is None:
-            found = self.cached_members[role] = self._find_members(role, now_micros)
-        return list(found)
+        members = self.cached_members.get(role)
+        if members is None:
+            members = self.cached_members[role] = self._find_members(role, now_micros)
+        return list(members)
 
     def _find_members(self, role: str | None, now_micros: int) -> list[Record]:
         oldest_live_micros = now_micros - LIFETIME_MICROS
@@ -63,18 +68,18 @@
             known_issued_micros, _ = by_address.get(record.address, (-1, record))
             if issued_micros >= oldest_live_micros and issued_micros > known_issued_micros:
                 by_address[record.address] = (issued_micros, record)
-        found = [record for _, record in by_address.values() if role is None or record.role == role]
-        return sorted(found, key=lambda r: r.identity)
+        members = [record for _, record in by_address.values() if role is None or record.role == role]
+        return sorted(members, key=lambda r: r.identity)
 
     def rows(self) -> list[dict[str, str]]:
-        """The live records as operators' tools read them."""
+        """Returns the live records in the form that operators' tools read."""
         return [
             {"identity": r.identity, "address": r.address, "role": r.role, "area": r.area, "httpAddress": r.httpAddress}
             for r in self.members()
         ]
 
     def listeners(self, channel_number: int) -> list[str]:
-        """Addresses of the members that joined a channel (§6.2)."""
+        """Returns the addresses of the members that joined a channel (§6.2)."""
         found_addresses = []
         for record in self.members():
             joined_bits = bitarray()
@@ -84,15 +89,15 @@
         return found_addresses
 
     async def run(self) -> None:
-        """Sends hellos in rounds, until it is cancelled."""
+        """Sends hellos once per `HELLO_INTERVAL_MICROS`, until it is cancelled."""
         round_number = 0
         while True:
             target_addresses = self._choose_targets()
             known_hash = self._known_hash()
             for position, target_address in enumerate(target_addresses):
-                # All are told of this process; one in turn is asked what it knows (§3.2).
-                is_asked = position == round_number % len(target_addresses)
-                hello = Hello(known_hash=known_hash if is_asked else "", wants_known=is_asked)
+                # All targets receive this process's record; one, in turn, is asked for the records it knows (§3.2).
+                wants_known = position == round_number % len(target_addresses)
+                hello = Hello(known_hash=known_hash if wants_known else "", wants_known=wants_known)
                 hello.self.CopyFrom(self.self_record)
                 self.rpc_endpoint.send_message(target_address, "hello", hello)
             round_number += 1
@@ -102,11 +107,11 @@
         core_addresses = [r.address for r in self.members("control_plane")]
         other_addresses = [r.address for r in self.members() if r.role != "control_plane"]
         peer_addresses = self.chance.sample(other_addresses, min(GOSSIP_FANOUT, len(other_addresses)))
-        # Seeds serve first contact only (§3.2).
+        # Seeds are contacted only while no core is known (§3.2).
         return (core_addresses or self.seed_addresses) + peer_addresses
 
     def _records_with_age(self) -> list[Record]:
-        """A relay adds its holding time, so no record lives longer for being passed on."""
+        """Returns copies with the age of each record, so that no record lives longer by being passed on."""
         aged_records = []
         for record in self.members():
             aged_record = Record()
@@ -140,7 +145,10 @@
             self._refresh_shared_records(hello_result)
 
     def _refresh_shared_records(self, hello_result: HelloResult) -> None:
-        """All that both know, but for those told one by one, were alive no longer ago than the oldest of them."""
+        """Refreshes the records that both processes know, except those that were sent one by one.
+
+        Each was alive no longer ago than the reported age of the oldest one.
+        """
         issued_micros = self.clock.now() - hello_result.oldest_age_micros
         lagging = {record.identity for record in hello_result.known}
         for record in self.members():
@@ -149,7 +157,7 @@
                 self.records[record.identity] = (record, max(known_issued_micros, issued_micros))
 
     def _known_hash(self) -> str:
-        """Over all live records and this process's own, so that two who know the same agree."""
+        """Hashes all live records and this process's own, so that two processes that know the same get the same."""
         known_hash = hashlib.blake2b(digest_size=8)
         records = sorted([*self.members(), self.self_record], key=lambda r: r.identity)
         for record in records:
--- a/src/pearhead/invalidation/channel.py
+++ b/src/pearhead/invalidation/channel.py
@@ -1,4 +1,7 @@
-"""Channels (§6.2): objects and volumes hashed onto a fixed range, joined by those who listen."""
+"""Channels (§6.2): objects and volumes are hashed onto a fixed number of channels, which listeners join.
+
+A volume is an owner's parts on one model line; an object is one part of it.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,12 @@
 
 
 def volume_channel(owner: str, line: str) -> int:
+    """Returns the channel of a volume's revision tables and wakeups."""
     return _hash_channel(f"volume\0{owner}\0{line}")
 
 
 def object_channel(owner: str, line: str, part: int) -> int:
+    """Returns the channel of the revision changes of one part."""
     return _hash_channel(f"object\0{owner}\0{line}\0{part}")
 
 
@@ -22,18 +27,19 @@
 
 
 class JoinedChannels:
-    """The channels one process listens on, as the bits that its record carries."""
+    """The channels that one process has joined, as the bitmap that its directory record carries."""
 
     def __init__(self) -> None:
         self.joined_bits = bitarray(CHANNEL_COUNT)
         self.joined_bits.setall(0)
 
     def join(self, channel_number: int) -> bool:
-        """True if the channel was not joined before."""
+        """Joins a channel; returns False if it was joined already."""
         if self.joined_bits[channel_number]:
             return False
         self.joined_bits[channel_number] = 1
         return True
 
     def to_bytes(self) -> bytes:
+        """Returns the bitmap, one bit per channel."""
         return self.joined_bits.tobytes()
--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -1,4 +1,4 @@
-"""RevisionListener (§6.4): a node's side of purge, which tells whether a part's revision is known now."""
+"""RevisionListener (§6.4): tracks, on a node, the current revisions of prompt parts and whether they are known."""
 
 from __future__ import annotations
 
@@ -35,6 +35,16 @@
 
 @dataclass
 class VolumeState:
+    """What a listener knows of one volume.
+
+    `epoch`, `index` and `serial` identify the table in use, and `expiry_micros` is when it expires. `table_revisions`
+    holds the table's revision of each part; a part that is missing there has revision 1. `newer_revisions` holds the
+    revision and log index of changes that came after the table, and `changing` the transaction and start time of
+    changes whose result is not known yet. The `pages` fields collect the pages of an incoming table until all have
+    arrived. `asked_micros` is when a table was last requested, plus a random delay, and `relay_due_micros` is when this
+    node sends its own table to other listeners, 0 if it is not going to.
+    """
+
     used_micros: int
     epoch: int = 0
     index: int = 0
@@ -50,11 +60,17 @@
     pages_expiry_micros: int = 0
 
     def has_newer_revisions(self) -> bool:
-        """A bump was heard of that the table does not hold: who had only the table would use the old part (§6.4)."""
+        """Whether a bump is known that the table lacks: a node with only the table would use the old part (§6.4)."""
         return bool(self.newer_revisions or self.changing)
 
 
 class RevisionListener:
+    """Answers which revision of a part is current, from tables and change messages on the joined channels.
+
+    The leader's tables are valid for `lifetime_micros` from when it received the request for them.
+    `copy_note_handler` is called with the purge notes about workers' copies and changed keys.
+    """
+
     def __init__(
         self,
         rpc_endpoint: RpcEndpoint,
@@ -78,12 +94,15 @@
         self.copy_note_handler: Callable[[PurgeNote], None] = lambda note: None
         rpc_endpoint.on_message("purge_note", self._take_note)
 
-    # ---- asked by the router and the fetch planner ---------------------------------------------
+    # ---- queries and changes by the router ------------------------------------------------------
 
     def revision_of(self, owner: str, line: str, part: int) -> int | None:
-        """The part's revision if it is known to be current now; None means prefill (§6.4)."""
+        """Returns the part's revision if it is known to be current now, else None.
+
+        With None the part must be prefilled, not taken from a cache (§6.4).
+        """
         state = self._touch_volume(owner, line)
-        self._join(object_channel(owner, line, part))
+        self._join_channel(object_channel(owner, line, part))
         if state.expiry_micros <= self.clock.now() or part in state.changing:
             return None
         if part in state.newer_revisions:
@@ -91,20 +110,28 @@
         return state.table_revisions.get(part, 1)
 
     def last_revision_of(self, owner: str, line: str, part: int) -> int:
-        """The last that was known, current or not; good only where a worker checks what it runs on (§6.7)."""
+        """Returns the last known revision, which may be out of date.
+
+        Safe only where the worker itself checks the revision that it runs on (§6.7).
+        """
         state = self._touch_volume(owner, line)
         return state.newer_revisions[part][0] if part in state.newer_revisions else state.table_revisions.get(part, 1)
 
     def is_changing(self, owner: str, line: str, part: int) -> bool:
+        """Whether a change of the part was requested, by any node, and its new revision is not known yet."""
         return part in self._touch_volume(owner, line).changing
 
     async def bump(self, owner: str, line: str, part: int) -> int | None:
-        """Asks the serializer for the next revision; goes on with plus one until the answer is here."""
+        """Requests the part's next revision from the sequencer and returns it.
+
+        The part counts as changing until the reply arrives. Returns None if none came after `RESEND_COUNT` requests.
+        A revision other than the last known one plus one is counted as a conflict: another node changed the part too.
+        """
         state = self._touch_volume(owner, line)
-        self._join(object_channel(owner, line, part))
+        self._join_channel(object_channel(owner, line, part))
         transaction = self.chance.randbytes(16)
-        held_revision = state.newer_revisions.get(part, (state.table_revisions.get(part, 1), 0))[0]
-        expected_revision = held_revision + 1
+        known_revision = state.newer_revisions.get(part, (state.table_revisions.get(part, 1), 0))[0]
+        expected_revision = known_revision + 1
         request = PurgeNote(owner=owner, line=line, part=part)
         request.revision_request.CopyFrom(RevisionRequest(transaction=transaction))
         wakeup = PurgeNote(owner=owner, line=line, part=part)
@@ -112,18 +139,19 @@
         self._mark_changing(state, part, transaction)
         self.open_transactions.add(transaction)
         try:
-            for try_number in range(RESEND_COUNT):
-                # Woken first: the request that follows a silence finds the serializer listening.
-                if try_number:
+            for attempt in range(RESEND_COUNT):
+                # After an unanswered request, wake the sequencer first, so that it has joined the channel when the
+                # request is sent again.
+                if attempt:
                     self._send_to_channel(volume_channel(owner, line), wakeup)
-                self._send_to_channel(object_channel(owner, line, part), request, include_cores=try_number > 0)
+                self._send_to_channel(object_channel(owner, line, part), request, include_cores=attempt > 0)
                 await sleep_for(self.clock, REQUEST_RESEND_MICROS)
                 repair = self.repairs.pop(transaction, None)
                 if repair is not None:
                     if repair.revision != expected_revision:
                         self.conflict_count += 1
                         LOGGER.info(
-                            "invalidation: A part was changed by another as well. owner=%s line=%s part=%d",
+                            "invalidation: Another node changed the part at the same time. owner=%s line=%s part=%d",
                             owner,
                             line,
                             part,
@@ -133,9 +161,10 @@
             self.open_transactions.discard(transaction)
         return None
 
-    # ---- keeping tables fresh -------------------------------------------------------------------
+    # ---- refreshing tables ----------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Requests and relays tables and forgets unused volumes, until it is cancelled."""
         while True:
             await sleep_for(self.clock, 100 * MILLI)
             self._refresh()
@@ -147,16 +176,17 @@
                 del self.volumes[owner, line]
                 continue
             for part, (_, since_micros) in list(state.changing.items()):
-                # Its answer never came: only a table made since then can tell (§6.4).
+                # The reply was lost, so only a table made since then can tell the revision (§6.4).
                 if now_micros - since_micros > CHANGE_TIMEOUT_MICROS:
                     del state.changing[part]
                     state.expiry_micros = min(state.expiry_micros, now_micros)
             if state.relay_due_micros and now_micros >= state.relay_due_micros:
                 state.relay_due_micros = 0
                 self._relay_table(owner, line, state)
-            is_soon = state.expiry_micros - now_micros < self.lifetime_micros // 3
-            if is_soon and now_micros - state.asked_micros >= TABLE_REQUEST_INTERVAL_MICROS:
-                # Spread, so that one request and its table serve all who listen (SRM).
+            is_expiring = state.expiry_micros - now_micros < self.lifetime_micros // 3
+            if is_expiring and now_micros - state.asked_micros >= TABLE_REQUEST_INTERVAL_MICROS:
+                # Randomized, as in Scalable Reliable Multicast (SRM), so that the listeners' requests are spread and
+                # one request and its table serve all of them.
                 state.asked_micros = now_micros + self.chance.randrange(100) * MILLI
                 request = PurgeNote(owner=owner, line=line)
                 request.table_request.SetInParent()
@@ -166,11 +196,11 @@
         state = self.volumes.get((owner, line))
         if state is None:
             state = self.volumes[owner, line] = VolumeState(self.clock.now())
-            self._join(volume_channel(owner, line))
+            self._join_channel(volume_channel(owner, line))
         state.used_micros = self.clock.now()
         return state
 
-    def _join(self, channel_number: int) -> None:
+    def _join_channel(self, channel_number: int) -> None:
         if self.channels.join(channel_number):
             self.directory.self_record.channels = self.channels.to_bytes()
 
@@ -193,7 +223,7 @@
             return
         state = self.volumes.get((note.owner, note.line))
         if state is None:
-            return  # A collision of channels, or nothing of ours: spurious (§6.2).
+            return  # Another volume on the same channel, or one that is not tracked here: spurious (§6.2).
         body_name = note.WhichOneof("body")
         if body_name == "revision_request":
             self._mark_changing(state, note.part, note.revision_request.transaction)
@@ -212,8 +242,8 @@
             self.repairs[repair.transaction] = repair
         if repair.epoch < state.epoch:
             return
-        held_revision, held_index = state.newer_revisions.get(part, (0, 0))
-        if repair.index > max(held_index, state.index):
+        known_revision, known_index = state.newer_revisions.get(part, (0, 0))
+        if repair.index > max(known_index, state.index):
             state.newer_revisions[part] = (repair.revision, repair.index)
         changing_transaction, _ = state.changing.get(part, (b"", 0))
         if changing_transaction == repair.transaction:
@@ -222,25 +252,29 @@
     def _apply_table_page(self, state: VolumeState, table: Table) -> None:
         if table.epoch < state.epoch or (table.epoch, table.index) < (state.epoch, state.index):
             return
-        mark = (table.epoch, table.index, table.serial)
-        if mark != state.pages_version:
-            state.pages, state.pages_version = {}, mark
+        version = (table.epoch, table.index, table.serial)
+        if version != state.pages_version:
+            state.pages, state.pages_version = {}, version
             state.pages_expiry_micros = self.clock.now() + table.lifetime_micros
         state.pages[table.page] = [(pair.part, pair.revision) for pair in table.pair]
         state.pages_expiry_micros = min(state.pages_expiry_micros, self.clock.now() + table.lifetime_micros)
         if len(state.pages) < table.pages:
             return
         state.relay_due_micros = 0
-        state.epoch, state.index, state.serial = mark
+        state.epoch, state.index, state.serial = version
         state.table_revisions = {p: r for pairs in state.pages.values() for p, r in pairs}
-        state.newer_revisions = {p: h for p, h in state.newer_revisions.items() if h[1] > table.index}
+        state.newer_revisions = {p: known for p, known in state.newer_revisions.items() if known[1] > table.index}
         state.expiry_micros = max(state.expiry_micros, state.pages_expiry_micros)
         state.pages_version = (0, 0, 0)
 
     def _relay_table(self, owner: str, line: str, state: VolumeState) -> None:
-        """Any holder may repair the table; it takes its holding time off the lifetime (§6.4)."""
-        left_micros = state.expiry_micros - self.clock.now()
-        if left_micros <= 0 or state.has_newer_revisions():
+        """Sends this node's table to the other listeners.
+
+        Any node that has the table may answer a request for it; the lifetime that it sends is what is left of its
+        own (§6.4). A table that lacks a known change is not sent.
+        """
+        remaining_micros = state.expiry_micros - self.clock.now()
+        if remaining_micros <= 0 or state.has_newer_revisions():
             return
         pages = paginate_pairs(sorted(state.table_revisions.items()))
         for page_number, pairs in enumerate(pages):
@@ -252,7 +286,7 @@
                     page=page_number,
                     pages=len(pages),
                     pair=[Pair(part=p, revision=r) for p, r in pairs],
-                    lifetime_micros=left_micros,
+                    lifetime_micros=remaining_micros,
                     serial=state.serial,
                 )
             )
--- a/src/pearhead/invalidation/revision_sequencer.py
+++ b/src/pearhead/invalidation/revision_sequencer.py
@@ -1,4 +1,4 @@
-"""RevisionSequencer (§6.3): the core's leader numbers the parts of every volume and sends their tables."""
+"""RevisionSequencer (§6.3): assigns revisions to the parts of volumes on the core's leader, and sends their tables."""
 
 from __future__ import annotations
 
@@ -18,26 +18,39 @@
 
 
 class RevisionStore(Protocol):
-    """What the serializer asks of the core."""
+    """What the sequencer needs of the core."""
 
-    def is_leader(self) -> bool: ...
+    def is_leader(self) -> bool:
+        """Whether this core believes that it leads."""
 
-    async def confirm(self) -> bool: ...
+    async def confirm(self) -> bool:
+        """Whether a majority, asked after this call, still follows this core as the leader."""
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
-        """The revision and log index once committed, or None."""
+        """Raises the part's revision by one; returns the revision and its log index once committed.
 
-    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]: ...
+        Returns None if it is not known to be committed.
+        """
+
+    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+        """Returns the part number and revision of each part of a volume whose revision is above 1."""
 
     def position(self) -> tuple[int, int]:
-        """Epoch and applied index."""
+        """Returns the leader's epoch and the applied log index."""
 
 
 def paginate_pairs(pairs: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
+    """Splits a table into pages of at most `PAIRS_PER_PAGE` pairs; an empty table has one empty page."""
     return [pairs[i : i + PAIRS_PER_PAGE] for i in range(0, len(pairs), PAIRS_PER_PAGE)] or [[]]
 
 
 class RevisionSequencer:
+    """Answers revision requests and table requests while the core that it runs on leads.
+
+    A request that repeats the transaction of one in progress is ignored, as is a request for a table that is just
+    being sent.
+    """
+
     def __init__(
         self,
         keeper: RevisionStore,
@@ -64,18 +77,18 @@
         rpc_endpoint.on_message("purge_note", self._take_note)
 
     def join_volumes(self, volumes: Iterable[tuple[str, str]]) -> None:
-        """Passive at first: volume channels only; object channels are joined when woken."""
+        """Joins the channels of the given volumes only; object channels are joined when a wakeup names the part."""
         for owner, line in volumes:
-            self._join(volume_channel(owner, line))
+            self._join_channel(volume_channel(owner, line))
 
-    def _join(self, channel_number: int) -> None:
+    def _join_channel(self, channel_number: int) -> None:
         if self.channels.join(channel_number):
             self.directory.self_record.channels = self.channels.to_bytes()
 
     def _take_note(self, identity: str, address: str, note: PurgeNote) -> None:
         body_name = note.WhichOneof("body")
         if body_name == "wakeup":
-            self._join(object_channel(note.owner, note.line, note.part))
+            self._join_channel(object_channel(note.owner, note.line, note.part))
         handler = self.handlers.get(body_name or "")
         if handler is not None and self.keeper.is_leader():
             self.task_group.start(handler(address, note))
@@ -83,21 +96,23 @@
     async def _assign_revision(self, address: str, note: PurgeNote) -> None:
         channel_number = object_channel(note.owner, note.line, note.part)
         if not self.channels.joined_bits[channel_number]:
-            return  # Not on this channel yet: the sender's wakeup brings us in.
+            return  # The channel is not joined yet: the sender's next wakeup makes the sequencer join it.
         transaction = note.revision_request.transaction
         if transaction in self.busy_transactions:
             return
         self.busy_transactions.add(transaction)
         try:
-            numbered = await self.keeper.bump(note)
+            revision_and_index = await self.keeper.bump(note)
         finally:
             self.busy_transactions.discard(transaction)
-        if numbered is None:
+        if revision_and_index is None:
             return
         epoch, _ = self.keeper.position()
         repair = PurgeNote(owner=note.owner, line=note.line, part=note.part)
         repair.revision_repair.CopyFrom(
-            RevisionRepair(transaction=transaction, revision=numbered[0], index=numbered[1], epoch=epoch)
+            RevisionRepair(
+                transaction=transaction, revision=revision_and_index[0], index=revision_and_index[1], epoch=epoch
+            )
         )
         self._send_to_channel(channel_number, address, repair)
 
@@ -107,14 +122,14 @@
             return
         self.busy_tables.add(volume)
         try:
-            asked_micros = self.clock.now()
-            # A woken leader of an older epoch fails here, so it can't refresh a table (§6.4).
+            request_micros = self.clock.now()
+            # A former leader that resumes after a pause fails here, so it can't extend an old table (§6.4).
             if not await self.keeper.confirm():
                 return
             epoch, index = self.keeper.position()
             pages = paginate_pairs(self.keeper.pairs_of(note.owner, note.line))
-            left_micros = self.lifetime_micros - (self.clock.now() - asked_micros)
-            if left_micros <= 0:
+            remaining_micros = self.lifetime_micros - (self.clock.now() - request_micros)
+            if remaining_micros <= 0:
                 return
             self.table_serial += 1
             for page_number, pairs in enumerate(pages):
@@ -127,15 +142,15 @@
                         pages=len(pages),
                         serial=self.table_serial,
                         pair=[Pair(part=p, revision=r) for p, r in pairs],
-                        lifetime_micros=left_micros,
+                        lifetime_micros=remaining_micros,
                     )
                 )
                 self._send_to_channel(volume_channel(note.owner, note.line), address, table_note)
         finally:
             self.busy_tables.discard(volume)
 
-    def _send_to_channel(self, channel_number: int, asker_address: str, note: PurgeNote) -> None:
+    def _send_to_channel(self, channel_number: int, requester_address: str, note: PurgeNote) -> None:
         target_addresses = self.directory.listeners(channel_number)
-        if asker_address not in target_addresses:
-            target_addresses.append(asker_address)
+        if requester_address not in target_addresses:
+            target_addresses.append(requester_address)
         self.rpc_endpoint.multicast(target_addresses, "purge_note", note)
--- a/src/pearhead/rpc/metrics.py
+++ b/src/pearhead/rpc/metrics.py
@@ -1,4 +1,4 @@
-"""MessageCollector (§3.4): what a process says to others, by kind of message."""
+"""MessageCollector (§3.4): metrics of the messages that a process sends to others, by kind of message."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MessageCollector(Collector):
-    """Messages and bytes sent by kind, by connection or datagram."""
+    """Messages and bytes sent, by kind of message; connections and datagrams are counted together."""
 
     def __init__(self, rpc_endpoint: RpcEndpoint) -> None:
         self.rpc_endpoint = rpc_endpoint
--- a/src/pearhead/runtime/background_task_group.py
+++ b/src/pearhead/runtime/background_task_group.py
@@ -1,4 +1,4 @@
-"""BackgroundTaskGroup (§2.2): the tasks one process owns, started together and ended together."""
+"""BackgroundTaskGroup (§2.2): owns the background tasks of one process and cancels them together."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BackgroundTaskGroup:
-    """A group of tasks; the exceptions that end tasks are logged and kept in `faults`."""
+    """A group of tasks; exceptions that end a task are logged under `prefix` and collected in `faults`."""
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
@@ -19,14 +19,14 @@
         self.faults: list[BaseException] = []
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Starts a task that belongs to the group until it ends."""
+        """Starts a task on the running event loop; it belongs to the group until it ends."""
         owned_task = asyncio.get_running_loop().create_task(work)
         self.owned_tasks[owned_task] = None
         owned_task.add_done_callback(self._handle_task_end)
         return owned_task
 
     def stop(self) -> None:
-        """Cancels all tasks that still run."""
+        """Cancels all tasks that are still running, without waiting for them."""
         for owned_task in list(self.owned_tasks):
             owned_task.cancel()
 
@@ -36,4 +36,4 @@
             fault = owned_task.exception()
             assert fault is not None
             self.faults.append(fault)
-            LOGGER.error("%s: A task ended. fault=%r", self.prefix, fault, exc_info=fault)
+            LOGGER.error("%s: A background task failed. fault=%r", self.prefix, fault, exc_info=fault)
--- a/src/pearhead/runtime/clock.py
+++ b/src/pearhead/runtime/clock.py
@@ -1,4 +1,4 @@
-"""Clock (§2.1): whole microseconds since boot, and timers. Wall time decides nothing."""
+"""Clock (§2.1): monotonic time in whole microseconds, and timers. No decision depends on wall-clock time."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class Timer(Protocol):
-    """A callback that is due at a later time."""
+    """A callback that is scheduled for a later time."""
 
     def cancel(self) -> None:
-        """Prevents the callback, if it has not run yet."""
+        """Cancels the callback if it has not run yet."""
 
 
 class Clock(Protocol):
-    """A steady clock, which orders events within one machine."""
+    """A monotonic clock, which orders events within one machine, and its timers."""
 
     def now(self) -> int:
-        """Whole microseconds since an arbitrary start."""
+        """Returns whole microseconds since an arbitrary start."""
 
     def after(self, delay_micros: int, callback: Callable[[], None]) -> Timer:
-        """Calls `callback` once `delay_micros` have passed."""
+        """Calls `callback` once `delay_micros` microseconds have passed."""
 
 
 def choose_clock(read: Callable[[int], int]) -> int:
-    """A kernel that refuses CLOCK_BOOTTIME has a steady clock at least."""
+    """Returns CLOCK_BOOTTIME, or CLOCK_MONOTONIC where the kernel refuses it; `read` reads a clock by its id."""
     try:
         read(time.CLOCK_BOOTTIME)
     except OSError:
@@ -38,22 +38,28 @@
 
 
 class BootClock:
-    """CLOCK_BOOTTIME goes on while the machine sleeps, so a woken process knows it is late."""
+    """The real clock. CLOCK_BOOTTIME advances during suspend, so a process that resumes sees that time has passed."""
 
     def __init__(self) -> None:
         self.clock_id = choose_clock(time.clock_gettime_ns)
 
     def now(self) -> int:
-        """Whole microseconds since the machine was booted."""
+        """Returns whole microseconds since the machine was booted."""
         return time.clock_gettime_ns(self.clock_id) // 1_000
 
     def after(self, delay_micros: int, callback: Callable[[], None]) -> Timer:
-        """Calls `callback` from the running event loop once `delay_micros` have passed."""
+        """Calls `callback` from the running event loop once `delay_micros` microseconds have passed.
+
+        A negative delay counts as 0.
+        """
         return asyncio.get_running_loop().call_later(max(delay_micros, 0) / SECOND, callback)
 
 
 async def sleep_for(clock: Clock, delay_micros: int) -> None:
-    """Suspends the calling task; the simulator freezes it with its process."""
+    """Suspends the calling task for `delay_micros` microseconds of the given clock.
+
+    It uses the clock's timers, not `asyncio.sleep`, so that the simulator can freeze the task with its process.
+    """
     wake_future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def wake() -> None:
--- a/src/pearhead/runtime/collectors.py
+++ b/src/pearhead/runtime/collectors.py
@@ -1,4 +1,4 @@
-"""Collectors (§3.4) of what all processes keep: links, the event loop, invariants."""
+"""Metrics collectors (§3.4) that all processes share: outgoing connections, event loop lag and invariants."""
 
 from __future__ import annotations
 
@@ -15,21 +15,23 @@
 
 
 class LinkCollector(Collector):
-    """The connections out to other processes, and the datagrams."""
+    """Outgoing connections to other processes, and datagrams."""
 
     def __init__(self, net: SocketNet) -> None:
         self.net = net
 
     def collect(self) -> Iterable[Metric]:
-        """Reads the queues and the counts of losses."""
+        """Yields the queue lengths and the loss counts."""
         links, losses = self.net.outgoing_connections.values(), self.net.losses
         yield gauge("links", "Connections out, kept or tried.", len(links))
         yield gauge(
-            "link_queued_frames", "Frames that wait on connections out.", sum(len(x.queued_frames) for x in links)
+            "link_queued_frames", "Frames that wait on connections out.", sum(len(link.queued_frames) for link in links)
         )
-        yield gauge("link_queued_bytes", "Bytes that wait on connections out.", sum(x.queued_byte_count for x in links))
         yield gauge(
-            "link_longest_queue_bytes", "The longest queue.", max((x.queued_byte_count for x in links), default=0)
+            "link_queued_bytes", "Bytes that wait on connections out.", sum(link.queued_byte_count for link in links)
+        )
+        yield gauge(
+            "link_longest_queue_bytes", "The longest queue.", max((link.queued_byte_count for link in links), default=0)
         )
         yield labelled_counter(
             "link_frames_dropped",
@@ -43,24 +45,24 @@
 
 
 class LoopLagCollector(Collector):
-    """The lateness of the event loop."""
+    """How late the event loop runs its timers."""
 
     def __init__(self, loop_lag: LoopLag) -> None:
         self.loop_lag = loop_lag
 
     def collect(self) -> Iterable[Metric]:
-        """Reads the greatest lateness."""
+        """Yields the greatest recent lateness, in seconds."""
         lag_seconds = self.loop_lag.maximum_micros() / SECOND
         yield gauge("event_loop_lag_seconds", "The greatest lateness of a timer in the last 10 to 20 s.", lag_seconds)
 
 
 class InvariantCollector(Collector):
-    """Violations of invariants."""
+    """Counts of invariant violations."""
 
     def __init__(self, invariants: InvariantCounters) -> None:
         self.invariants = invariants
 
     def collect(self) -> Iterable[Metric]:
-        """Reads the count of each, also those that were never violated."""
+        """Yields the count of every invariant, also of those that were never violated."""
         counts = {invariant.value: count for invariant, count in self.invariants.violations.items()}
         yield labelled_counter("invariant_violations", "Checks that did not hold.", "invariant", counts)
--- a/src/pearhead/runtime/command_line.py
+++ b/src/pearhead/runtime/command_line.py
@@ -1,4 +1,4 @@
-"""run_command (§3.4): what all command lines do alike: the version, closed pipes, interrupts."""
+"""run_command (§3.4): what all command-line programs share: the version, closed pipes and interrupts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 def run_command(command: type, program_name: str) -> None:
-    """Runs the command line of `sys.argv` with the methods of `command` as its subcommands."""
+    """Runs `sys.argv` with the methods of `command` as subcommands.
+
+    Raises SystemExit(1) if the reader of the output closed the pipe, and SystemExit(130) on an interrupt.
+    """
     if sys.argv[1:] == ["--version"]:
         print(f"{program_name} {PEARHEAD_RELEASE}")
         return
@@ -19,7 +22,8 @@
         fire.Fire(command, name=program_name)
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever read our output has seen enough.
+        # The reader of the output closed the pipe. What is left goes to the null device, so that flushing standard
+        # output at exit does not fail as well.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         raise SystemExit(1) from None
     except KeyboardInterrupt:
--- a/src/pearhead/runtime/daemon.py
+++ b/src/pearhead/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""Daemon (§3.4): what both daemons do alike: logs, signals, one clear line when they can't start."""
+"""What both daemons share (§3.4): the log format, and shutdown on signals."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from typing import Any
 
 LOGGER = logging.getLogger("pearhead")
-FORMAT_ERROR_TEXT = "log: A line could not be formed."
+FORMAT_ERROR_TEXT = "log: A record could not be formatted."
 
 
 class LineFormatter(logging.Formatter):
-    """`TIME LEVEL part: Short sentence. name=value ...` (§3.4).
+    """Formats records as `TIME LEVEL part: Short sentence. name=value ...` (§3.4).
 
-    The time is the machine's time of day in UTC: it is for readers and decides nothing. The text of one second is
-    made once.
+    The time is the machine's wall-clock time in UTC; it is for readers only and no decision depends on it. Its text
+    down to the second is cached.
     """
 
     def __init__(self, now_nanos: Callable[[], int] = time.time_ns) -> None:
@@ -30,14 +30,14 @@
         self.second_text = ""
 
     def format(self, record: Any) -> str:
-        """Formats a record as one line, followed by the traceback if it carries an exception."""
+        """Formats a record as one line, followed by the traceback if it has an exception."""
         second, nanos = divmod(self.now_nanos(), 1_000_000_000)
         if second != self.second:
             self.second, self.second_text = second, time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(second))
         try:
             message = record.getMessage()
         except (TypeError, ValueError):
-            # A wrong call of the log is no reason to end what called it.
+            # A log call whose arguments don't match its text must not fail its caller.
             message = f"{FORMAT_ERROR_TEXT} text={record.msg!r}"
         line = f"{self.second_text}.{nanos // 1_000:06d}Z {record.levelname} {message}"
         if not record.exc_info or record.exc_info[0] is None:
@@ -46,8 +46,8 @@
 
 
 def configure_logging(level_name: str) -> None:
-    """Sends the logger's records of `level_name` and above to standard error, in the form of `LineFormatter`."""
-    # The records' fields that no line shows are not gathered (Python's logging HOWTO, "Optimization").
+    """Sends the project logger's records of `level_name` and above to standard error, formatted by `LineFormatter`."""
+    # Don't collect the record fields that no line shows (Python's logging HOWTO, "Optimization").
     logging.logThreads = False
     logging.logMultiprocessing = False
     logging.logProcesses = False
@@ -63,9 +63,11 @@
     failed: asyncio.Event,
     on_signal: Callable[[], None] = lambda: None,
 ) -> int:
-    """The first SIGTERM drains, a second one stops at once.
+    """Waits for a signal or for `failed`, and drains before it returns the exit code.
 
-    `on_signal` is called in the signal's own handler, and so in the middle of what the event loop does.
+    The first SIGTERM or SIGINT starts `drain`; a second one, or `failed`, ends the wait for it at once. Returns 1 if
+    `failed` is set before a signal arrives, else 0. `on_signal` is called in the signal handler itself, so possibly in
+    the middle of a callback of the event loop.
     """
     event_loop = asyncio.get_running_loop()
     stop_events = [asyncio.Event(), asyncio.Event()]
@@ -77,21 +79,21 @@
         event_loop.add_signal_handler(signal_number, handle_signal)
         _call_on_signal(signal_number, on_signal)
     gc.freeze()
-    first_stop = asyncio.ensure_future(stop_events[0].wait())
-    failure = asyncio.ensure_future(failed.wait())
-    await asyncio.wait([first_stop, failure], return_when=asyncio.FIRST_COMPLETED)
+    first_signal = asyncio.ensure_future(stop_events[0].wait())
+    failure_wait = asyncio.ensure_future(failed.wait())
+    await asyncio.wait([first_signal, failure_wait], return_when=asyncio.FIRST_COMPLETED)
     if failed.is_set():
         return 1
     LOGGER.info("daemon: Drains.")
     drain_task = asyncio.ensure_future(drain())
-    second_stop = asyncio.ensure_future(stop_events[1].wait())
-    await asyncio.wait([drain_task, second_stop, failure], return_when=asyncio.FIRST_COMPLETED)
+    second_signal = asyncio.ensure_future(stop_events[1].wait())
+    await asyncio.wait([drain_task, second_signal, failure_wait], return_when=asyncio.FIRST_COMPLETED)
     LOGGER.info("daemon: Stops.")
     return 0
 
 
 def _call_on_signal(signal_number: int, on_signal: Callable[[], None]) -> None:
-    """Calls it at once, also while the event loop is busy; the loop still hears of the signal by its wakeup pipe."""
+    """Calls `on_signal` at once, also while the event loop is busy, which itself gets the signal by its wakeup pipe."""
     signal.signal(signal_number, lambda number, frame: on_signal())
-    # Setting a handler makes the signal interrupt system calls again.
+    # `signal.signal` makes the signal interrupt system calls again, so restarting them is switched back on.
     signal.siginterrupt(signal_number, False)
--- a/src/pearhead/runtime/disk.py
+++ b/src/pearhead/runtime/disk.py
@@ -1,4 +1,4 @@
-"""Disk (§2.1): files under one data folder, which last only once they are synced."""
+"""Disk (§2.1): the files of one data folder, which are durable only once they are synced."""
 
 from __future__ import annotations
 
@@ -18,64 +18,64 @@
 
 
 class FolderBusyError(Exception):
-    """Another process holds the data folder."""
+    """Another process has locked the data folder."""
 
 
 class Disk(Protocol):
     """Durable files in one flat folder."""
 
     def names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Returns the names of all files, sorted."""
 
     def read(self, file_name: str) -> bytes:
-        """The whole content of a file."""
+        """Returns the whole content of a file."""
 
     async def append(self, file_name: str, content_bytes: bytes) -> None:
-        """Appends and syncs; a file made by this is synced into its folder too."""
+        """Appends and syncs; if this creates the file, its folder is synced too."""
 
     async def replace(self, file_name: str, content_bytes: bytes) -> None:
-        """Writes beside, syncs, renames over and syncs the folder."""
+        """Replaces a file atomically: writes and syncs a temporary file, renames it and syncs the folder."""
 
     async def remove(self, file_name: str) -> None:
-        """Deletes a file, if it exists, and syncs the folder."""
+        """Deletes a file if it exists, and syncs the folder."""
 
     async def truncate(self, file_name: str, kept_size: int) -> None:
-        """Cuts a file to `kept_size` bytes and syncs it."""
+        """Truncates a file to `kept_size` bytes and syncs it."""
 
 
 class FileSystem(Protocol):
-    """What the data folder asks of the operating system: tests put one in its place that loses power."""
+    """The operating system calls that `FolderDisk` uses; tests substitute one that simulates power loss."""
 
     def names(self) -> list[str]:
-        """The names of all files but the lock, sorted."""
+        """Returns the names of all files except the lock file, sorted."""
 
     def holds(self, file_name: str) -> bool:
         """Whether a file of that name exists."""
 
     def read(self, file_name: str) -> bytes:
-        """The whole content of a file."""
+        """Returns the whole content of a file."""
 
     def write(self, file_name: str, content_bytes: bytes, at_end: bool) -> None:
-        """Writes and syncs what the file holds, not its name; without `at_end` it begins anew."""
+        """Appends to a file if `at_end`, else overwrites it; syncs its content, but not its name in the folder."""
 
     def truncate(self, file_name: str, kept_size: int) -> None:
-        """Cuts and syncs."""
+        """Truncates a file to `kept_size` bytes and syncs it."""
 
     def sync(self, file_name: str) -> None:
-        """Syncs what the file holds."""
+        """Syncs the content of a file."""
 
     def rename(self, old_name: str, new_name: str) -> None:
-        """Renames a file, replacing any file of the new name."""
+        """Renames a file and replaces any file that has the new name."""
 
     def remove(self, file_name: str) -> None:
-        """Deletes a file, if it exists."""
+        """Deletes a file if it exists."""
 
     def sync_folder(self) -> None:
-        """After this, names made, changed and removed before last."""
+        """Syncs the folder: names that were created, renamed and removed before are durable after this."""
 
 
 class FolderFileSystem:
-    """The calls on a real folder."""
+    """A `FileSystem` on a real folder."""
 
     def __init__(self, folder_path: Path) -> None:
         self.folder_path = folder_path
@@ -128,28 +128,36 @@
 
 
 class FolderDisk:
-    """The real folder. Every call that syncs runs on one thread, off the event loop."""
+    """A `Disk` on a real folder, which it locks for the life of the process.
+
+    Every asynchronous call runs on one worker thread, so that a slow sync does not block the event loop. Raises
+    FolderBusyError if another process has locked the folder. Where the folder can't be locked at all, as on some file
+    systems, it is used without a lock.
+    """
 
     def __init__(self, folder_path: Path) -> None:
         folder_path.mkdir(parents=True, exist_ok=True)
-        self.lock_file = open(folder_path / LOCK_FILE, "a+b")  # noqa: SIM115 - held for life
+        self.lock_file = open(folder_path / LOCK_FILE, "a+b")  # noqa: SIM115 - open for the life of the process
         try:
             fcntl.flock(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as busy_error:
             raise FolderBusyError(f"data folder {folder_path} is held by another process") from busy_error
         except OSError as lock_error:
-            LOGGER.warning("disk: The folder can't be locked, going on without. fault=%r", lock_error)
+            LOGGER.warning("disk: The data folder can't be locked and is used without a lock. fault=%r", lock_error)
         self.worker = concurrent.futures.ThreadPoolExecutor(1, "disk")
         self._begin(FolderFileSystem(folder_path))
 
     def _begin(self, files: FileSystem) -> None:
         self.files = files
-        # Made by an append that failed before the folder was synced.
+        # Names of files created by an append after which the folder has not been synced yet, e.g. as it failed.
         self.unsynced_names: set[str] = set()
         self._sync_leftover_files()
 
     def _sync_leftover_files(self) -> None:
-        """Syncs what the life before left: it may have been killed before it did, and this one will act on it."""
+        """Syncs the files that the former process left and removes its unfinished replacements.
+
+        It may have been killed before it synced them, and this process is going to rely on their content.
+        """
         for file_name in self.files.names():
             if file_name.endswith(TEMPORARY_SUFFIX):
                 self.files.remove(file_name)
@@ -158,7 +166,7 @@
         self._sync_folder()
 
     def names(self) -> list[str]:
-        """The names of all files but unfinished replacements, sorted."""
+        """Returns the names of all files except unfinished replacements, sorted."""
         return [name for name in self.files.names() if not name.endswith(TEMPORARY_SUFFIX)]
 
     def read(self, file_name: str) -> bytes:
--- a/src/pearhead/runtime/draining_server.py
+++ b/src/pearhead/runtime/draining_server.py
@@ -1,4 +1,4 @@
-"""DrainingServer (§3.4): an HTTP server that ends without cutting a request that it has read."""
+"""DrainingServer (§3.4): an HTTP server that shuts down without breaking off requests that it has read."""
 
 from __future__ import annotations
 
@@ -23,58 +23,61 @@
 
 
 class _CountedRequest(HTTPMessageDelegate):
-    """Tells the server when a request's head has come, and when its answer is written or can't be any more."""
+    """Reports to the server when a request's head has been read, and when its connection closes before it is answered.
 
-    def __init__(self, server: DrainingServer, connection: HTTP1Connection, inner: HTTPMessageDelegate) -> None:
+    All calls are passed on to `delegate`.
+    """
+
+    def __init__(self, server: DrainingServer, connection: HTTP1Connection, delegate: HTTPMessageDelegate) -> None:
         self.server = server
         self.connection = connection
-        self.inner = inner
+        self.delegate = delegate
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> Awaitable[None] | None:
         self.server.begin_request(self.connection)
-        return self.inner.headers_received(start_line, headers)
+        return self.delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        return self.inner.data_received(chunk)
+        return self.delegate.data_received(chunk)
 
     def finish(self) -> None:
-        self.inner.finish()
+        self.delegate.finish()
 
     def on_connection_close(self) -> None:
         self.server.open_requests.discard(self.connection)
-        self.inner.on_connection_close()
+        self.delegate.on_connection_close()
 
 
 class DrainingServer(HTTPServer):
-    """Counts the requests whose head was read and whose answer is not written out yet."""
+    """Tracks the requests whose head was read and whose response is not fully written yet, in `open_requests`."""
 
     open_requests: set[HTTP1Connection]
     is_draining: bool
 
     def initialize(self, *args: Any, **settings: Any) -> None:
-        """Called by Tornado in place of a constructor."""
+        """Initializes the server; Tornado calls this in place of a constructor."""
         self.open_requests = set()
         self.is_draining = False
         super().initialize(*args, **settings)
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> HTTPMessageDelegate:
-        """Called for each request before it is read."""
-        inner = super().start_request(server_conn, request_conn)
+        """Returns the delegate that handles the next request; Tornado calls this before it reads the request."""
+        delegate = super().start_request(server_conn, request_conn)
         assert isinstance(request_conn, HTTP1Connection)
-        return _CountedRequest(self, request_conn, inner)
+        return _CountedRequest(self, request_conn, delegate)
 
     def begin_request(self, connection: HTTP1Connection) -> None:
-        """A head was read; while the server drains, the answer ends its connection."""
+        """Records a request whose head was read; while the server drains, its response closes the connection."""
         self.open_requests.add(connection)
-        # The library resolves this once the answer is written out or the connection has ended.
+        # Tornado resolves this once the response is written or the connection has closed.
         connection._finish_future.add_done_callback(lambda future: self.open_requests.discard(connection))
         if self.is_draining:
             connection._disconnect_on_finish = True
 
     def begin_drain(self) -> None:
-        """Closes the listening sockets and idle connections; each answer from now on ends its connection."""
+        """Closes the listening sockets and idle connections; each response from now on closes its connection."""
         self.is_draining = True
         self.stop()
         for request in self.open_requests:
@@ -86,7 +89,7 @@
                 connection.stream.close()
 
     async def finish_drain(self, clock: Clock, limit_micros: int) -> None:
-        """Returns when all that was read is answered, or at the limit."""
+        """Waits until all requests that were read are answered, but at most `limit_micros` microseconds."""
         end_micros = clock.now() + limit_micros
         while self.open_requests and clock.now() < end_micros:
             await sleep_for(clock, POLL_MICROS)
@@ -94,9 +97,10 @@
     async def drain_with_process(
         self, clock: Clock, limit_micros: int, drain_process: Callable[[], Awaitable[None]]
     ) -> None:
-        """Drains the process and the server; what was read before is answered, as work may be under way elsewhere.
+        """Drains the server and the process, in at most `limit_micros` microseconds for both together.
 
-        `limit_micros`: for both together.
+        Requests that were read before are answered, as work on them may be in progress in other processes. The limit
+        ends only the wait for open requests; `drain_process` has to keep to it by itself.
         """
         end_micros = clock.now() + limit_micros
         self.begin_drain()
@@ -105,7 +109,7 @@
 
 
 def _is_idle(stream: IOStream) -> bool:
-    """Whether nothing of the next request has arrived."""
+    """Whether nothing of a next request has arrived, neither in Tornado's buffer nor in the socket's."""
     if not stream.reading() or stream._read_buffer_size:
         return False
     try:
--- a/src/pearhead/runtime/fake_runtime.py
+++ b/src/pearhead/runtime/fake_runtime.py
@@ -1,4 +1,4 @@
-"""FakeRuntime (§2.1): a clock and a net for tests of single types: time is set by hand, casts are kept."""
+"""FakeRuntime (§2.1): a clock and network for unit tests; the test sets the time, and datagrams are recorded."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 
 
 class FakeRuntime:
-    """A clock that is set by hand, and a network that delivers nothing and keeps the notes that were cast."""
+    """A clock that the test sets through `now_micros`, and a network that delivers nothing.
+
+    Purge notes that were sent as datagrams are kept in `notes`.
+    """
 
     def __init__(self) -> None:
         self.now_micros = 100 * SECOND
         self.notes: list[PurgeNote] = []
 
     def now(self) -> int:
-        """The time that was set last, in microseconds."""
+        """Returns the time that was set last, in microseconds."""
         return self.now_micros
 
     def after(self, delay_micros: int, callback: object) -> FakeRuntime:
@@ -30,7 +33,7 @@
         return None
 
     def send_datagram(self, target_address: str, datagram_bytes: bytes) -> None:
-        """Keeps the purge note of a datagram in `notes`."""
+        """Appends the purge note of a datagram to `notes`; any other message appends an empty one."""
         self.notes.append(Envelope.FromString(datagram_bytes).purge_note)
 
     def listen(self, frame_receiver: object) -> None:
--- a/src/pearhead/runtime/invariants.py
+++ b/src/pearhead/runtime/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants (§3.4): what must always hold, checked in production and counted where it does not."""
+"""Invariants (§3.4): conditions that must always hold, checked in production; violations are counted and logged."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Invariant(Enum):
-    """What is checked. The value is the label of the metric and the field of the log line."""
+    """The invariants. The value is the label of the metric and the `invariant` field of the log line."""
 
     LEAVING_IS_FINAL = "leaving_is_final"
     ROSTER_TIME_ADVANCES = "roster_time_advances"
@@ -21,7 +21,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold, and the counters are strict."""
+    """An invariant does not hold; raised only by strict counters."""
 
     def __init__(self, invariant: Invariant, detail: object) -> None:
         super().__init__(f"{invariant.value}: {detail}")
@@ -30,7 +30,7 @@
 
 
 class InvariantCounters:
-    """Counts violations by invariant. Strict counters raise as well, as tests want it; others only log."""
+    """Counts and logs violations by invariant. With `strict`, as in tests, each violation also raises."""
 
     def __init__(self, clock: Clock, strict: bool = False) -> None:
         self.clock = clock
@@ -39,7 +39,10 @@
         self.logged_micros: dict[Invariant, int] = {}
 
     def check(self, name: Invariant, holds: bool, detail: object = "") -> None:
-        """Notes a violation unless it holds. The detail is turned into text only then."""
+        """Records a violation unless `holds`; only then is `detail` converted to text.
+
+        Strict counters raise InvariantViolationError.
+        """
         if holds:
             return
         self.violations[name] += 1
@@ -48,7 +51,7 @@
             raise InvariantViolationError(name, detail)
 
     def _log(self, name: Invariant, detail: object) -> None:
-        """Each kind at most once a second: a violation in a loop must not cost the processor."""
+        """Logs each invariant at most once a second, so that a violation in a loop does not use up the processor."""
         now_micros = self.clock.now()
         logged_micros = self.logged_micros.get(name)
         if logged_micros is not None and now_micros - logged_micros < LOG_INTERVAL_MICROS:
--- a/src/pearhead/runtime/metrics.py
+++ b/src/pearhead/runtime/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics (§3.4): what a process counts anyway, as text in the Prometheus exposition format.
+"""Metrics (§3.4): serves the counters that a process keeps anyway, in the Prometheus text exposition format.
 
-Nothing is gathered before somebody asks: collectors read the counters that the objects of the process keep.
+Nothing is computed before a scrape: collectors then read the counters of the process's objects.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 def gauge(name: str, documentation: str, value: float | None) -> Metric:
-    """A figure that rises and falls; without a sample while it is not known."""
+    """Returns a gauge; it has no sample if `value` is None, which means not known."""
     return GaugeMetricFamily(NAME_PREFIX + name, documentation, value=value)
 
 
 def labelled_gauge(name: str, documentation: str, label: str, values: Mapping[str, float]) -> Metric:
-    """A gauge with a sample for each value of its label."""
+    """Returns a gauge with one sample for each value of its label."""
     family = GaugeMetricFamily(NAME_PREFIX + name, documentation, labels=[label])
     for label_value, value in values.items():
         family.add_metric([label_value], value)
@@ -40,12 +40,12 @@
 
 
 def counter(name: str, documentation: str, value: float) -> Metric:
-    """A count since the start of the process; its samples get the suffix `_total`."""
+    """Returns a counter since the start of the process; the library appends `_total` to the name of its sample."""
     return CounterMetricFamily(NAME_PREFIX + name, documentation, value=value)
 
 
 def labelled_counter(name: str, documentation: str, label: str, values: Mapping[str, float]) -> Metric:
-    """A counter with a sample for each value of its label."""
+    """Returns a counter with one sample for each value of its label."""
     family = CounterMetricFamily(NAME_PREFIX + name, documentation, labels=[label])
     for label_value, value in values.items():
         family.add_metric([label_value], value)
@@ -53,7 +53,7 @@
 
 
 def build_registry(collectors: Iterable[Collector]) -> CollectorRegistry:
-    """A registry of these collectors only: the library's own figures of the process are left out."""
+    """Returns a registry of these collectors only, without the library's default process metrics."""
     registry = CollectorRegistry()
     for collector in collectors:
         registry.register(collector)
@@ -61,27 +61,30 @@
 
 
 class MetricsHandler(RequestHandler):
-    """Answers with the figures as they are now."""
+    """Answers GET with the current metrics."""
 
     def initialize(self, registry: CollectorRegistry) -> None:
-        """Tornado's constructor for each request."""
+        """Sets the registry; Tornado calls this for each request in place of a constructor."""
         self.registry = registry
 
     def get(self) -> None:
-        """Serves one fetch."""
+        """Serves one scrape."""
         self.set_header("Content-Type", CONTENT_TYPE_PLAIN_0_0_4)
         self.finish(generate_latest(self.registry))
 
 
 def metrics_routes(registry: CollectorRegistry) -> list[Any]:
-    """The routes of an application that serves these figures."""
+    """Returns the routes of a Tornado application that serves the metrics of a registry."""
     return [(METRICS_PATH, MetricsHandler, {"registry": registry})]
 
 
 def serve_metrics(address: str, registry: CollectorRegistry) -> HTTPServer | None:
-    """Serves the figures at IP:PORT. A process runs on without them where that can't be bound, or is not told."""
+    """Serves the metrics at IP:PORT.
+
+    Returns None if the address is empty or can't be bound; the process then runs without serving metrics.
+    """
     if not address:
-        LOGGER.warning("daemon: There is no port for the metrics.")
+        LOGGER.warning("daemon: No address for the metrics is set.")
         return None
     application = Application(metrics_routes(registry), log_function=lambda handler: None)
     server = HTTPServer(
@@ -93,7 +96,7 @@
     host_name, port_number = split_address(address)
     try:
         server.add_sockets(bind_sockets(port_number, host_name))
-    except (OSError, OverflowError) as fault:
-        LOGGER.warning("daemon: The metrics can't be served. address=%s fault=%r", address, fault)
+    except (OSError, OverflowError) as bind_error:
+        LOGGER.warning("daemon: The metrics can't be served. address=%s fault=%r", address, bind_error)
         return None
     return server
--- a/src/pearhead/runtime/net.py
+++ b/src/pearhead/runtime/net.py
@@ -1,4 +1,4 @@
-"""Net (§2.1): frames over a kept connection, and datagrams. Neither promises delivery."""
+"""Net (§2.1): frames over a persistent connection, and datagrams. Neither guarantees delivery."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Net(Protocol):
-    """The network of one process, which frames and datagrams leave and reach."""
+    """The network interface of one process, which sends and receives frames and datagrams."""
 
     def send(self, target_address: str, frame_bytes: bytes) -> None:
-        """Sends a frame in order on one connection; a broken connection loses what it held."""
+        """Sends a frame over the connection to the target, in order; frames are lost if the connection breaks."""
 
     def send_datagram(self, target_address: str, datagram_bytes: bytes) -> None:
-        """Sends one datagram, which may be lost, doubled or overtaken."""
+        """Sends one datagram, which may be lost, duplicated or reordered."""
 
     def listen(self, frame_receiver: Receiver) -> None:
-        """Names the one receiver of frames and datagrams."""
+        """Sets the only receiver of frames and datagrams."""
--- a/src/pearhead/runtime/socketnet.py
+++ b/src/pearhead/runtime/socketnet.py
@@ -1,4 +1,4 @@
-"""SocketNet (§3.1): the real Net, one task a connection out, TCP frames and UDP datagrams."""
+"""SocketNet (§3.1): the real Net, with frames over TCP, one task per outgoing connection, and datagrams over UDP."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 RETRY_MICROS = 100 * MILLI
 WRITE_STALL_MICROS = SECOND
 FRAME_HEADER = struct.Struct(">I")
-# A machine in the dark answers nothing: without these a connection to it stays open for minutes (§3.5).
+# A machine that has lost power or its network sends nothing, not even a reset: without these a connection to it stays
+# open for minutes (§3.5).
 SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -34,22 +35,26 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Splits HOST:PORT; an IPv6 host loses its brackets."""
+    """Splits HOST:PORT, without the brackets of an IPv6 host; raises ValueError if the port is not a number."""
     host_name, _, port_text = address.rpartition(":")
     return host_name.strip("[]"), int(port_text)
 
 
 def set_options(stream_writer: asyncio.StreamWriter) -> None:
-    """Sets `SOCKET_OPTIONS` on a connection, as far as the system knows them."""
-    own_socket = stream_writer.get_extra_info("socket")
+    """Sets `SOCKET_OPTIONS` on a connection; options that the system does not support are skipped."""
+    raw_socket = stream_writer.get_extra_info("socket")
     for level, name, value in SOCKET_OPTIONS:
         with contextlib.suppress(OSError):
-            own_socket.setsockopt(level, name, value)
+            raw_socket.setsockopt(level, name, value)
 
 
 @dataclass
 class NetLossCounts:
-    """What a net gave up, counted since the start of the process."""
+    """What a network dropped, counted since the start of the process.
+
+    `stale_frames` waited for too long, `overflow_frames` were over the queue's limits, `failed_writes` ended a
+    connection, and `refused_datagrams` are errors that the system reported for datagrams.
+    """
 
     stale_frames: int = 0
     overflow_frames: int = 0
@@ -58,18 +63,18 @@
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    def __init__(self, owner: SocketNet) -> None:
-        self.owner = owner
+    def __init__(self, net: SocketNet) -> None:
+        self.net = net
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        self.owner.deliver(data)
+        self.net.deliver(data)
 
     def error_received(self, exc: Exception) -> None:
-        self.owner.losses.refused_datagrams += 1
+        self.net.losses.refused_datagrams += 1
 
 
 class OutgoingConnection:
-    """One connection out: frames in order, and none that waited for longer than a second (§3.5)."""
+    """One outgoing connection: sends frames in order, and drops those that waited for longer than a second (§3.5)."""
 
     def __init__(self, target_address: str, clock: Clock, losses: NetLossCounts) -> None:
         self.host_name, self.port_number = split_address(target_address)
@@ -82,7 +87,7 @@
         self.stream_writer: asyncio.StreamWriter | None = None
 
     def push(self, frame: bytes) -> None:
-        """Queues a frame; the oldest frames are dropped while the queue is over its limits."""
+        """Queues a frame; while the queue is over one of its limits, its oldest frames are dropped."""
         self.queued_frames.append((self.clock.now(), frame))
         self.queued_byte_count += len(frame)
         while len(self.queued_frames) > QUEUE_LIMIT or (
@@ -93,7 +98,7 @@
         self.wake.set()
 
     async def run(self) -> None:
-        """Connects and sends what is queued, until it is cancelled."""
+        """Connects and sends the queued frames, until it is cancelled."""
         try:
             while True:
                 self._drop_stale()
@@ -118,14 +123,14 @@
             self.losses.stale_frames += 1
 
     def _pop_batch(self) -> bytes:
-        """What waits goes by one call of the system."""
-        parts: list[bytes] = []
+        """Removes up to about `BATCH_SIZE` bytes of frames from the queue, to be sent by one system call."""
+        chunks: list[bytes] = []
         size = 0
         while self.queued_frames and size < BATCH_SIZE:
             frame = self._pop_oldest_frame()
-            parts += (FRAME_HEADER.pack(len(frame)), frame)
+            chunks += (FRAME_HEADER.pack(len(frame)), frame)
             size += len(frame)
-        return b"".join(parts)
+        return b"".join(chunks)
 
     def _is_open(self) -> bool:
         if self.stream_reader is None or self.stream_writer is None:
@@ -140,7 +145,7 @@
         except (OSError, TimeoutError):
             return False
         set_options(self.stream_writer)
-        # Nothing waits in the process beside the queue, so what is stale can still be dropped.
+        # The transport buffers as little as possible, so that frames wait in the queue, where stale ones are dropped.
         self.stream_writer.transport.set_write_buffer_limits(high=0)
         self._drop_stale()
         return bool(self.queued_frames)
@@ -150,29 +155,29 @@
         transport = self.stream_writer.transport
         try:
             self.stream_writer.write(batch)
-            while left_size := transport.get_write_buffer_size():
+            while remaining_size := transport.get_write_buffer_size():
                 try:
                     async with asyncio.timeout(WRITE_STALL_MICROS / SECOND):
                         await self.stream_writer.drain()
                 except TimeoutError:
-                    if transport.get_write_buffer_size() >= left_size:
+                    if transport.get_write_buffer_size() >= remaining_size:
                         raise
         except (OSError, TimeoutError):
             self.losses.failed_writes += 1
             self._reset()
 
     def _reset(self) -> None:
-        """Lets go of what the kernel still holds too: delivered later, it would be stale."""
+        """Resets the connection. This also discards what the kernel has buffered, which would arrive stale."""
         if self.stream_writer is not None and not self.stream_writer.is_closing():
-            own_socket = self.stream_writer.get_extra_info("socket")
+            raw_socket = self.stream_writer.get_extra_info("socket")
             with contextlib.suppress(OSError):
-                own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.stream_writer.transport.abort()
         self.stream_reader = self.stream_writer = None
 
 
 class SocketNet:
-    """A `Net` over TCP connections for frames and UDP for datagrams, both on one port."""
+    """A `Net` that uses TCP connections for frames and UDP for datagrams, both on the same port."""
 
     def __init__(self, own_address: str, clock: Clock | None = None) -> None:
         self.own_address = own_address
@@ -194,7 +199,7 @@
         )
 
     def close(self) -> None:
-        """Closes the sockets and cancels all connections."""
+        """Closes the sockets and cancels the tasks of all connections."""
         if self.stream_server is not None:
             self.stream_server.close()
         if self.datagram_transport is not None:
@@ -211,7 +216,7 @@
         try:
             self.frame_receiver(frame_bytes)
         except Exception:
-            LOGGER.exception("net: A frame could not be handled.")
+            LOGGER.exception("net: Handling a received message failed.")
 
     def send_datagram(self, target_address: str, datagram_bytes: bytes) -> None:
         """See `Net.send_datagram`."""
@@ -219,10 +224,10 @@
             self.datagram_transport.sendto(datagram_bytes, split_address(target_address))
 
     def datagram_backlog_bytes(self) -> int:
-        """Bytes of datagrams that the system did not take yet."""
+        """Returns the bytes of datagrams that the system has not accepted yet."""
         if self.datagram_transport is None:
             return 0
-        # The type stubs do not name it, but the event loop's datagram transport has it.
+        # The event loop's datagram transport has this method, although the type stubs do not list it.
         return int(self.datagram_transport.get_write_buffer_size())  # type: ignore[attr-defined]
 
     def send(self, target_address: str, frame_bytes: bytes) -> None:
