--- a/tests/test_delta_packing.py
+++ b/tests/test_delta_packing.py
@@ -1,4 +1,4 @@
-"""DeltaCompressor: large deltas come out as they went in, and what can't be read is no delta."""
+"""DeltaCompressor: deltas survive compression unchanged, large ones shrink, and damaged ones are rejected."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class DeltaPackingTest(unittest.TestCase):
-    def put(self, packer: DeltaCompressor, delta: ViewDelta | None) -> TermResult:
+    def put(self, compressor: DeltaCompressor, delta: ViewDelta | None) -> TermResult:
         result = TermResult(last_visible_index=7)
-        packer.put(result, delta)
+        compressor.put(result, delta)
         return TermResult.FromString(result.SerializeToString())
 
     def test_small_and_large_ones_come_out_as_they_went_in(self) -> None:
-        packer = DeltaCompressor()
+        compressor = DeltaCompressor()
         for delta in (make_delta(1), make_delta(1_040), make_delta(1_040), make_delta(3, index=8)):
-            self.assertEqual(extract_delta(self.put(packer, delta)), delta)
-        self.assertIsNone(extract_delta(self.put(packer, None)))
+            self.assertEqual(extract_delta(self.put(compressor, delta)), delta)
+        self.assertIsNone(extract_delta(self.put(compressor, None)))
 
     def test_a_thousand_routes_need_a_fifth_of_their_size_at_most(self) -> None:
         delta = make_delta(1_040)
@@ -46,6 +46,6 @@
         self.assertLess(result.ByteSize(), delta.ByteSize() / 5)
 
     def test_what_cant_be_read_is_no_delta(self) -> None:
-        packed = self.put(DeltaCompressor(), make_delta(1_040)).packed_delta
-        for broken in (packed[:-9], b"x" + packed, packed[:200] + b"\0\0" + packed[202:], b"x"):
-            self.assertIsNone(extract_delta(TermResult(packed_delta=broken)))
+        compressed = self.put(DeltaCompressor(), make_delta(1_040)).packed_delta
+        for damaged in (compressed[:-9], b"x" + compressed, compressed[:200] + b"\0\0" + compressed[202:], b"x"):
+            self.assertIsNone(extract_delta(TermResult(packed_delta=damaged)))
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""The data folder: one holder, and writes that are synced off the event loop (§2.1)."""
+"""FolderDisk: only one process uses a data folder, and writes are synced off the event loop (§2.1)."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
             self.assertEqual(FolderDisk(folder_path).names(), [])
 
     def test_the_loop_runs_on_while_the_disk_stalls(self) -> None:
-        """Every call that writes or syncs waits off the loop (§2.1): whatever it is, others are served meanwhile."""
+        """Every call that writes or syncs waits off the event loop (§2.1), so that other work goes on meanwhile."""
         folder_path = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder_path)
         disk = FolderDisk(folder_path)
@@ -55,7 +55,7 @@
                     )
                 ]
                 done, _ = await asyncio.wait(calls, timeout=0.2)
-                self.assertFalse(done, "a sync that hangs was not waited for")
+                self.assertFalse(done, "a call returned before its sync")
                 released.set()
                 await asyncio.gather(*calls)
 
--- a/tests/test_draining_server.py
+++ b/tests/test_draining_server.py
@@ -1,4 +1,8 @@
-"""DrainingServer: real sockets on loopback, a clock that the test sets by hand."""
+"""DrainingServer on loopback sockets, with a clock that the test sets.
+
+Guards against requests that are broken off although the server has read them, and against a drain that waits for
+callers that are gone or for longer than its limit.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +22,11 @@
 
 
 class SlowHandler(RequestHandler):
-    def initialize(self, go_on: asyncio.Event) -> None:
-        self.go_on = go_on
+    def initialize(self, release: asyncio.Event) -> None:
+        self.release = release
 
     async def get(self) -> None:
-        await self.go_on.wait()
+        await self.release.wait()
         self.finish("ok")
 
     async def post(self) -> None:
@@ -32,10 +36,10 @@
 class DrainingServerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = HandClock()
-        self.go_on = asyncio.Event()
-        self.go_on.set()
+        self.release = asyncio.Event()
+        self.release.set()
         self.server = DrainingServer(
-            Application([("/x", SlowHandler, {"go_on": self.go_on})], log_function=lambda handler: None)
+            Application([("/x", SlowHandler, {"release": self.release})], log_function=lambda handler: None)
         )
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
@@ -52,64 +56,64 @@
         self.callers.append(Caller(*await asyncio.open_connection("127.0.0.1", self.port_number)))
         return self.callers[-1]
 
-    async def settle(self, micros: int = 100 * MILLI) -> None:
+    async def advance_and_run(self, micros: int = 100 * MILLI) -> None:
         for _ in range(ROUNDS):
             self.clock.advance(micros // ROUNDS)
             await asyncio.sleep(0)
 
-    async def all_of(self, caller: Caller) -> bytes:
+    async def read_to_end(self, caller: Caller) -> bytes:
         return await asyncio.wait_for(caller.reader.read(), PATIENCE_SECONDS)
 
     async def test_what_was_read_is_answered_and_idle_connections_are_closed(self) -> None:
-        busy, idle, half, body = [await self.connect() for _ in range(4)]
+        busy, idle, half_head, half_body = [await self.connect() for _ in range(4)]
         self.assertIn(OK_HEAD, await idle.ask())
-        self.go_on.clear()
+        self.release.clear()
         busy.writer.write(GET)
-        half.writer.write(GET[:9])
-        body.writer.write(post(b"b", length=2))
-        await self.settle()
+        half_head.writer.write(GET[:9])
+        half_body.writer.write(post(b"b", length=2))
+        await self.advance_and_run()
         self.server.begin_drain()
         self.assertTrue(await idle.has_ended())
         with self.assertRaises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", self.port_number)
-        half.writer.write(GET[9:])
-        body.writer.write(b"b")
-        await self.settle()
-        task = asyncio.create_task(self.server.finish_drain(self.clock, SECOND))
-        await self.settle()
-        self.assertFalse(task.done())
-        self.go_on.set()
-        await self.settle()
-        self.assertTrue(task.done(), "nothing is open")
-        for caller in (busy, half, body):
-            answer = await self.all_of(caller)
+        half_head.writer.write(GET[9:])
+        half_body.writer.write(b"b")
+        await self.advance_and_run()
+        drain_task = asyncio.create_task(self.server.finish_drain(self.clock, SECOND))
+        await self.advance_and_run()
+        self.assertFalse(drain_task.done())
+        self.release.set()
+        await self.advance_and_run()
+        self.assertTrue(drain_task.done(), "the drain goes on although no request is open")
+        for caller in (busy, half_head, half_body):
+            answer = await self.read_to_end(caller)
             self.assertIn(OK_HEAD, answer)
             self.assertIn(CLOSE_LINE, answer)
 
     async def test_it_waits_no_longer_than_its_limit(self) -> None:
-        self.go_on.clear()
+        self.release.clear()
         (await self.connect()).writer.write(GET)
-        await self.settle()
+        await self.advance_and_run()
         self.server.begin_drain()
-        task = asyncio.create_task(self.server.finish_drain(self.clock, SECOND))
-        await self.settle(900 * MILLI)
-        self.assertFalse(task.done())
-        await self.settle(200 * MILLI)
-        self.assertTrue(task.done())
-        self.go_on.set()
+        drain_task = asyncio.create_task(self.server.finish_drain(self.clock, SECOND))
+        await self.advance_and_run(900 * MILLI)
+        self.assertFalse(drain_task.done())
+        await self.advance_and_run(200 * MILLI)
+        self.assertTrue(drain_task.done())
+        self.release.set()
 
     async def test_a_caller_that_leaves_is_not_waited_for(self) -> None:
-        self.go_on.clear()
-        gone, half = await self.connect(), await self.connect()
+        self.release.clear()
+        gone, half_body = await self.connect(), await self.connect()
         gone.writer.write(GET)
-        half.writer.write(post(b"b", length=2))
-        await self.settle()
+        half_body.writer.write(post(b"b", length=2))
+        await self.advance_and_run()
         self.assertEqual(len(self.server.open_requests), 2)
         gone.writer.close()
-        half.writer.close()
-        await self.settle()
+        half_body.writer.close()
+        await self.advance_and_run()
         self.assertEqual(len(self.server.open_requests), 0)
-        self.go_on.set()
+        self.release.set()
 
 
 if __name__ == "__main__":
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -1,4 +1,8 @@
-"""All interleavings of a few tasks over the real code; each story also finds a seeded mutation."""
+"""Runs all interleavings of a few tasks over the real code, for each of several scenarios.
+
+Guards against races that depend on the order in which tasks run at their awaits. Each scenario must also detect a
+mutation that reintroduces such a race.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +58,7 @@
 
 
 class YieldingDisk:
-    """A disk whose every write gives way once before and once after it takes effect."""
+    """A disk in memory whose calls, except `truncate`, yield to other tasks once before they take effect."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -81,7 +85,9 @@
         self.files[file_name] = self.files[file_name][:kept_size]
 
 
-class QuietPen:
+class YieldingWriter:
+    """Records the lines of a job's output, and yields to other tasks once before each."""
+
     def __init__(self) -> None:
         self.lines: list[dict[str, Any]] = []
 
@@ -102,7 +108,7 @@
 
 
 async def digest_swap_against_reads() -> None:
-    """Two late answers of cores race; a reader holds what it read and sees the view only go up."""
+    """Two late replies of cores race: a reader sees only whole views, whose index never decreases."""
     views: dict[int, ViewDelta] = {}
     for index in (5, 7):
         sections = dict(View().sections)
@@ -110,10 +116,10 @@
         delta = ViewDelta(index=index, hash=hash_sections(sections))
         delta.section.append(Section(name="workers", index=index, body=sections["workers"][1]))
         views[index] = delta
-    clock, bench = TimerDrivenClock(), FakeRuntime()
-    rpc_endpoint = RpcEndpoint("me", "a:1", bench, clock)
+    clock, runtime = TimerDrivenClock(), FakeRuntime()
+    rpc_endpoint = RpcEndpoint("me", "a:1", runtime, clock)
     directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, clock, random.Random(1))
-    keeper = ViewReplica(rpc_endpoint, directory, clock, random.Random(1), BackgroundTaskGroup("t"), SECOND)
+    view_replica = ViewReplica(rpc_endpoint, directory, clock, random.Random(1), BackgroundTaskGroup("t"), SECOND)
 
     async def ask(target_address: str, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
         await asyncio.sleep(0)
@@ -124,22 +130,22 @@
 
     async def read() -> None:
         for _ in range(3):
-            held = keeper.view
-            seen.append(held.index)
+            view = view_replica.view
+            seen.append(view.index)
             await asyncio.sleep(0)
-            assert hash_sections(held.sections) == held.hash, "a torn view"
+            assert hash_sections(view.sections) == view.hash, "a view with sections of two versions"
 
-    await asyncio.gather(keeper._fetch_delta("5"), keeper._fetch_delta("7"), read())
-    assert seen == sorted(seen), f"the view went down: {seen}"
-    assert keeper.view.index == 7, f"ended at {keeper.view.index}"
+    await asyncio.gather(view_replica._fetch_delta("5"), view_replica._fetch_delta("7"), read())
+    assert seen == sorted(seen), f"the view's index decreased: {seen}"
+    assert view_replica.view.index == 7, f"ended at {view_replica.view.index}"
 
 
 async def cancel_against_carry() -> None:
-    """A caller goes away at any moment: every place and count is given back."""
+    """A caller disconnects at any moment: every queue slot and count is released."""
     carrier = ScriptedCarrier()
     carrier.line_count = 1
     node = make_node(carrier)
-    job_task = asyncio.ensure_future(node.run_job(KEY, NOTICE, QuietPen()))
+    job_task = asyncio.ensure_future(node.run_job(KEY, NOTICE, YieldingWriter()))
 
     async def cancel() -> None:
         await asyncio.sleep(0)
@@ -149,13 +155,13 @@
     with contextlib.suppress(asyncio.CancelledError):
         await job_task
     queue = node.admission.queues.get("notice")
-    assert node.open_jobs == 0 and not node.nominator.running_counts, "a count was kept"
-    assert queue is None or (queue.running_count, queue.waiting_count) == (0, 0), "a place was kept"
-    assert not carrier.started_count or carrier.closed.is_set(), "the upstream goes on"
+    assert node.open_jobs == 0 and not node.nominator.running_counts, "a count was not released"
+    assert queue is None or (queue.running_count, queue.waiting_count) == (0, 0), "a queue slot was not released"
+    assert not carrier.started_count or carrier.closed.is_set(), "the upstream request goes on"
 
 
 class SharedLog:
-    """What two leaders in turn commit to: one order, as the core's log gives it."""
+    """The log that two successive leaders commit to, in one order as the core's log has it."""
 
     def __init__(self) -> None:
         self.fleet = FleetState()
@@ -163,7 +169,9 @@
         self.leader = "old"
 
 
-class LogKeeper:
+class SharedLogStore:
+    """One leader's `RevisionStore` on the shared log."""
+
     def __init__(self, name: str, log: SharedLog) -> None:
         self.name = name
         self.log = log
@@ -180,7 +188,7 @@
         await asyncio.sleep(0)
         self.log.index += 1
         outcome = self.log.fleet.apply(self.log.index, command.SerializeToString())
-        # A leader that lost its place can't tell whether it was committed.
+        # A leader that lost leadership can't tell whether the command was committed.
         return (outcome["revision"], outcome["index"]) if self.is_leader() else None
 
     def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
@@ -191,21 +199,24 @@
 
 
 async def bump_against_retransmission_and_leader_change() -> None:
+    """A revision request is sent again and the leader changes: the part is bumped only once."""
     log, clock = SharedLog(), TimerDrivenClock()
-    benches = {name: FakeRuntime() for name in ("old", "new")}
+    runtimes = {name: FakeRuntime() for name in ("old", "new")}
     task_group = BackgroundTaskGroup("t")
-    serializers = {}
-    for name, bench in benches.items():
-        rpc_endpoint = RpcEndpoint(name, f"{name}:1", bench, clock)
+    sequencers = {}
+    for name, runtime in runtimes.items():
+        rpc_endpoint = RpcEndpoint(name, f"{name}:1", runtime, clock)
         directory = Directory(Record(identity=name), ["s:1"], rpc_endpoint, clock, random.Random(1))
-        serializers[name] = RevisionSequencer(LogKeeper(name, log), rpc_endpoint, directory, clock, task_group, SECOND)
-        serializers[name].channels.joined_bits.setall(1)
+        sequencers[name] = RevisionSequencer(
+            SharedLogStore(name, log), rpc_endpoint, directory, clock, task_group, SECOND
+        )
+        sequencers[name].channels.joined_bits.setall(1)
     request = PurgeNote(owner="o", line="l", part=7)
     request.revision_request.CopyFrom(RevisionRequest(transaction=b"one"))
 
     async def send() -> None:
         for name in ("old", "new", "old"):
-            serializers[name]._take_note("n", "n:1", request)
+            sequencers[name]._take_note("n", "n:1", request)
             await asyncio.sleep(0)
 
     async def change() -> None:
@@ -213,13 +224,13 @@
 
     await asyncio.gather(send(), change())
     await asyncio.gather(*task_group.owned_tasks)
-    repairs = [n.revision_repair.revision for b in benches.values() for n in b.notes if n.HasField("revision_repair")]
+    repairs = [n.revision_repair.revision for b in runtimes.values() for n in b.notes if n.HasField("revision_repair")]
     assert set(repairs) <= {2}, f"one transaction gave {repairs}"
     assert log.fleet.parts["o/l"][7] == 2, f"bumped to {log.fleet.parts['o/l'][7]}"
 
 
 class LogRaft:
-    """Commits in order after giving way, as a raft of one would."""
+    """Commits in order after yielding once, as a Raft group of one member would."""
 
     def __init__(self, fleet: FleetState, core: CoreProcess) -> None:
         self.core = core
@@ -248,7 +259,7 @@
 
 
 async def holder_takeover() -> None:
-    """One holder renews late, another asks from the moment that the term may be over."""
+    """One holder renews its hold late while another requests it from the time that its term may be over."""
     clock = TimerDrivenClock()
     core = make_core(clock)
     ends: dict[str, int] = {}
@@ -261,8 +272,8 @@
         if result.status != "done":
             return 0
         ends[holder] = asked_micros + STARTUP.holdMicros - 300 * MILLI
-        held_now = [h for h, end in ends.items() if end > clock.now()]
-        assert len(held_now) <= 1, f"held at once by {held_now}"
+        holders = [h for h, end in ends.items() if end > clock.now()]
+        assert len(holders) <= 1, f"held at once by {holders}"
         return result.index
 
     fence = await hold("first", 0)
@@ -284,28 +295,28 @@
 
 
 async def drain_against_accept() -> None:
-    """Once drain has returned nothing runs, and a job is either whole or refused."""
+    """Once the drain has returned, no job runs, and each job was either completed or refused."""
     carrier = ScriptedCarrier()
     carrier.line_count = 1
     node = make_node(carrier)
-    pen = QuietPen()
-    job_task = asyncio.ensure_future(node.run_job(KEY, NOTICE, pen))
+    writer = YieldingWriter()
+    job_task = asyncio.ensure_future(node.run_job(KEY, NOTICE, writer))
     await asyncio.sleep(0)
 
     async def drain() -> None:
         await node.drain()
-        assert not carrier.started_count or carrier.closed.is_set(), "drained while a job ran"
+        assert not carrier.started_count or carrier.closed.is_set(), "the drain ended while a job ran"
 
     await asyncio.gather(drain())
     outcome = await job_task
     if isinstance(outcome, Err):
-        assert not carrier.started_count, "refused, and it ran"
+        assert not carrier.started_count, "the job was refused although it ran"
     else:
-        assert pen.lines[-1].get("end"), "ended without its closing line"
+        assert writer.lines[-1].get("end"), "the job's output lacks its closing line"
 
 
 async def append_against_digest_cut() -> None:
-    """Entries are written while a digest cuts the log: after a restart none of them is missing."""
+    """Entries are written while a snapshot truncates the log: after a restart none of them is missing."""
     disk = YieldingDisk()
     wal = Wal(disk)
     await wal.append([LogRecord(entry=Entry(index=1, epoch=1))])
@@ -324,38 +335,40 @@
 
 
 class InterleavingsTest(unittest.TestCase):
-    def check(self, story: TaskScenario, mutate: Callable[[], Callable[[], None]], least_count: int) -> None:
-        exploration = self.explore(story)
+    def check(self, scenario: TaskScenario, mutate: Callable[[], Callable[[], None]], least_count: int) -> None:
+        exploration = self.explore(scenario)
         self.assertEqual(exploration.faults, [])
-        self.assertTrue(exploration.is_whole, "not every schedule was run")
+        self.assertTrue(exploration.is_whole, "not all schedules were run")
         self.assertGreaterEqual(exploration.schedule_count, least_count)
         restore = mutate()
         try:
-            broken = self.explore(story)
+            mutated = self.explore(scenario)
         finally:
             restore()
-        self.assertTrue(broken.faults, f"{story.__name__}: the mutation was not found")
+        self.assertTrue(mutated.faults, f"{scenario.__name__}: the mutation was not found")
         print(
-            f"{story.__name__}: {exploration.schedule_count} schedules; "
-            f"mutation found in {len(broken.faults)} of {broken.schedule_count}"
+            f"{scenario.__name__}: {exploration.schedule_count} schedules; "
+            f"mutation found in {len(mutated.faults)} of {mutated.schedule_count}"
         )
 
-    def explore(self, story: TaskScenario) -> ExplorationResult:
-        return InterleavingExplorer().explore(story)
+    def explore(self, scenario: TaskScenario) -> ExplorationResult:
+        return InterleavingExplorer().explore(scenario)
 
-    def swap(self, owner: Any, name: str, value: Any) -> Callable[[], Callable[[], None]]:
+    def replace_attribute(self, owner: Any, name: str, value: Any) -> Callable[[], Callable[[], None]]:
         def mutate() -> Callable[[], None]:
-            held = getattr(owner, name)
+            original = getattr(owner, name)
             setattr(owner, name, value)
-            return lambda: setattr(owner, name, held)
+            return lambda: setattr(owner, name, original)
 
         return mutate
 
     def test_digest_swap_against_reads(self) -> None:
-        def take(self: ViewReplica, result: TermResult) -> None:
+        def apply_unchecked(self: ViewReplica, result: TermResult) -> None:
             self.view = View(result.delta.index, {s.name: (s.index, s.body) for s in result.delta.section})
 
-        self.check(digest_swap_against_reads, self.swap(ViewReplica, "_apply_view_delta", take), 10)
+        self.check(
+            digest_swap_against_reads, self.replace_attribute(ViewReplica, "_apply_view_delta", apply_unchecked), 10
+        )
 
     def test_cancel_against_carry(self) -> None:
         async def admit(self: Any, job: Any) -> Any:
@@ -364,10 +377,12 @@
             await asyncio.sleep(0)
             return Ok(True)
 
-        from pearhead.router import admission as admit_module
+        from pearhead.router import admission as admission_module
 
-        admit_module.AdmissionController._queue_type = admit_module._EntryQueue  # type: ignore[attr-defined]
-        self.check(cancel_against_carry, self.swap(admit_module.AdmissionController, "admit", admit), 3)
+        admission_module.AdmissionController._queue_type = admission_module._EntryQueue  # type: ignore[attr-defined]
+        self.check(
+            cancel_against_carry, self.replace_attribute(admission_module.AdmissionController, "admit", admit), 3
+        )
 
     def test_bump_against_retransmission_and_leader_change(self) -> None:
         real_apply = FleetState.apply
@@ -376,23 +391,25 @@
             self.transactions.clear()
             return real_apply(self, index, command_bytes)
 
-        self.check(bump_against_retransmission_and_leader_change, self.swap(FleetState, "apply", apply), 20)
+        self.check(
+            bump_against_retransmission_and_leader_change, self.replace_attribute(FleetState, "apply", apply), 20
+        )
 
     def test_holder_takeover(self) -> None:
-        real_judge = CoreProcess._check_hold_expiry
+        real_check = CoreProcess._check_hold_expiry
 
-        def judge(self: CoreProcess, command: Command) -> None:
+        def check_and_forget(self: CoreProcess, command: Command) -> None:
             seen = dict(self.hold_last_seen)
-            real_judge(self, command)
+            real_check(self, command)
             self.hold_last_seen = seen
 
-        self.check(holder_takeover, self.swap(CoreProcess, "_check_hold_expiry", judge), 20)
+        self.check(holder_takeover, self.replace_attribute(CoreProcess, "_check_hold_expiry", check_and_forget), 20)
 
     def test_drain_against_accept(self) -> None:
         async def drain(self: NodeProcess) -> None:
             self.is_draining = True
 
-        self.check(drain_against_accept, self.swap(NodeProcess, "drain", drain), 3)
+        self.check(drain_against_accept, self.replace_attribute(NodeProcess, "drain", drain), 3)
 
     def test_append_against_digest_cut(self) -> None:
         class NoLock:
@@ -408,4 +425,4 @@
             real_init(self, disk)
             self.write_lock = NoLock()  # type: ignore[assignment]
 
-        self.check(append_against_digest_cut, self.swap(Wal, "__init__", init), 7)
+        self.check(append_against_digest_cut, self.replace_attribute(Wal, "__init__", init), 7)
--- a/tests/test_invalidation_listener.py
+++ b/tests/test_invalidation_listener.py
@@ -1,4 +1,7 @@
-"""RevisionListener: which revision of a part is known, and when it is unknown."""
+"""RevisionListener: which revision of a part is known, and when it is unknown.
+
+Guards against an outdated revision that is used as current after lost, duplicated or reordered messages.
+"""
 
 from __future__ import annotations
 
@@ -25,11 +28,11 @@
 
 class ListenerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = FakeRuntime()
-        rpc_endpoint = RpcEndpoint("me", "a:1", self.bench, self.bench)
-        self.directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, self.bench, random.Random(1))
+        self.runtime = FakeRuntime()
+        rpc_endpoint = RpcEndpoint("me", "a:1", self.runtime, self.runtime)
+        self.directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, self.runtime, random.Random(1))
         self.listener = RevisionListener(
-            rpc_endpoint, self.directory, self.bench, random.Random(1), BackgroundTaskGroup("test"), 30 * SECOND
+            rpc_endpoint, self.directory, self.runtime, random.Random(1), BackgroundTaskGroup("test"), 30 * SECOND
         )
         self.directory.records["core"] = (
             Record(identity="core", address="c:1", role="control_plane", channels=b"\xff" * 32),
@@ -39,12 +42,12 @@
     def revision(self, part: int) -> int | None:
         return self.listener.revision_of("o", "l", part)
 
-    def hear(self, **body: Any) -> None:
+    def receive(self, **body: Any) -> None:
         part = body.pop("part", 0)
         self.listener._take_note("core", "c:1", PurgeNote(owner="o", line="l", part=part, **body))
 
-    def table(self, epoch: int, index: int, lifetime_micros: int = 30 * SECOND, **pairs: int) -> None:
-        self.hear(
+    def receive_table(self, epoch: int, index: int, lifetime_micros: int = 30 * SECOND, **pairs: int) -> None:
+        self.receive(
             table=Table(
                 epoch=epoch,
                 index=index,
@@ -57,64 +60,66 @@
 
     def test_unknown_before_a_table_and_after_its_lifetime(self) -> None:
         self.assertIsNone(self.revision(7))
-        self.table(1, 10, p7=3)
-        self.assertEqual((self.revision(7), self.revision(8)), (3, 1), "one is the default")
-        self.bench.now_micros += 30 * SECOND
+        self.receive_table(1, 10, p7=3)
+        self.assertEqual((self.revision(7), self.revision(8)), (3, 1), "a part that the table lacks has revision 1")
+        self.runtime.now_micros += 30 * SECOND
         self.assertIsNone(self.revision(7))
 
     def test_a_request_marks_changing_and_its_repair_settles(self) -> None:
         self.revision(7)
-        self.table(1, 10)
-        self.hear(part=7, revision_request=RevisionRequest(transaction=b"t"))
+        self.receive_table(1, 10)
+        self.receive(part=7, revision_request=RevisionRequest(transaction=b"t"))
         self.assertIsNone(self.revision(7))
-        self.hear(part=7, revision_repair=RevisionRepair(transaction=b"u", revision=2, index=11, epoch=1))
-        self.assertIsNone(self.revision(7), "the repair of another transaction settles nothing")
-        self.hear(part=7, revision_repair=RevisionRepair(transaction=b"t", revision=3, index=12, epoch=1))
+        self.receive(part=7, revision_repair=RevisionRepair(transaction=b"u", revision=2, index=11, epoch=1))
+        self.assertIsNone(self.revision(7), "the repair of another transaction does not end the change")
+        self.receive(part=7, revision_repair=RevisionRepair(transaction=b"t", revision=3, index=12, epoch=1))
         self.assertEqual(self.revision(7), 3)
-        self.hear(part=7, revision_repair=RevisionRepair(transaction=b"u", revision=2, index=11, epoch=1))
-        self.assertEqual(self.revision(7), 3, "doubled and overtaken ones do nothing")
-        self.table(1, 11, p7=2)
-        self.assertEqual(self.revision(7), 3, "a table made before the bump doesn't undo it")
+        self.receive(part=7, revision_repair=RevisionRepair(transaction=b"u", revision=2, index=11, epoch=1))
+        self.assertEqual(self.revision(7), 3, "duplicated and reordered repairs have no effect")
+        self.receive_table(1, 11, p7=2)
+        self.assertEqual(self.revision(7), 3, "a table made before the bump does not undo it")
 
     def test_a_lost_repair_makes_the_volume_unknown_until_a_new_table(self) -> None:
         self.revision(7)
-        self.table(1, 10)
-        self.hear(part=7, revision_request=RevisionRequest(transaction=b"t"))
-        self.bench.now_micros += CHANGE_TIMEOUT_MICROS + 1
+        self.receive_table(1, 10)
+        self.receive(part=7, revision_request=RevisionRequest(transaction=b"t"))
+        self.runtime.now_micros += CHANGE_TIMEOUT_MICROS + 1
         self.listener._refresh()
         self.assertIsNone(self.revision(8))
-        self.table(1, 12, p7=2)
+        self.receive_table(1, 12, p7=2)
         self.assertEqual(self.revision(7), 2)
 
     def test_lower_epochs_are_rejected(self) -> None:
         self.revision(7)
-        self.table(2, 20, p7=5)
-        self.table(1, 30, p7=4)
-        self.hear(part=7, revision_repair=RevisionRepair(transaction=b"t", revision=4, index=31, epoch=1))
+        self.receive_table(2, 20, p7=5)
+        self.receive_table(1, 30, p7=4)
+        self.receive(part=7, revision_repair=RevisionRepair(transaction=b"t", revision=4, index=31, epoch=1))
         self.assertEqual(self.revision(7), 5)
 
     def test_a_relay_takes_its_holding_time_off(self) -> None:
         self.revision(7)
-        self.table(1, 10, p7=5)
-        self.bench.now_micros += 4 * SECOND
-        self.hear(table_request=TableRequest())
-        self.bench.now_micros += SECOND
-        self.bench.notes.clear()
+        self.receive_table(1, 10, p7=5)
+        self.runtime.now_micros += 4 * SECOND
+        self.receive(table_request=TableRequest())
+        self.runtime.now_micros += SECOND
+        self.runtime.notes.clear()
         self.listener._refresh()
-        (note,) = [n for n in self.bench.notes if n.HasField("table")]
+        (note,) = [n for n in self.runtime.notes if n.HasField("table")]
         self.assertEqual((note.table.lifetime_micros, note.table.epoch), (25 * SECOND, 1))
-        self.hear(table_request=TableRequest())
-        self.table(1, 11, p7=6)
-        self.bench.now_micros += SECOND
-        self.bench.notes.clear()
+        self.receive(table_request=TableRequest())
+        self.receive_table(1, 11, p7=6)
+        self.runtime.now_micros += SECOND
+        self.runtime.notes.clear()
         self.listener._refresh()
-        self.assertFalse([n for n in self.bench.notes if n.HasField("table")], "another came first")
+        self.assertFalse(
+            [n for n in self.runtime.notes if n.HasField("table")], "a newer table arrived first, so none is relayed"
+        )
 
     def test_pages_count_only_together(self) -> None:
         self.revision(7)
         for page, part in ((1, 8), (0, 7)):
             self.assertIsNone(self.revision(7))
-            self.hear(
+            self.receive(
                 table=Table(
                     epoch=1,
                     index=10,
@@ -128,5 +133,5 @@
         self.assertEqual((self.revision(7), self.revision(8)), (4, 4))
 
     def test_spurious_volumes_are_dropped(self) -> None:
-        self.table(1, 10, p7=3)
+        self.receive_table(1, 10, p7=3)
         self.assertEqual(self.listener.volumes, {})
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -1,4 +1,8 @@
-"""Purge on the ordinary path: placing and fetching ask it for each request, and without it STALE or WALL breaks."""
+"""Purge on the request path: worker selection and cache fetches use the salt of each request's owner and weights.
+
+Guards against cached prompt parts that are reused after a change of weights or part revision (the checker's rule
+STALE), or across the owners of isolated tenants (WALL). With one salt for all requests both rules must break.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +50,7 @@
 
 
 class FreshListener:
-    """All parts at the first revision, unless told otherwise; known to be current."""
+    """Knows all parts at revision 1, unless `revisions` says otherwise."""
 
     def __init__(self) -> None:
         self.revisions: dict[int, int | None] = {}
@@ -58,7 +62,7 @@
         return self.revisions.get(part) or 1
 
 
-class PurgeTakenOut(CacheSaltBuilder):
+class ConstantSaltBuilder(CacheSaltBuilder):
     def salt(
         self, view: View, tenant: Tenant | None, line: str, version: int, parts: Sequence[PromptPart]
     ) -> CacheSalt:
@@ -66,15 +70,15 @@
 
 
 class Site:
-    """A store and one worker at a time, and a node's placing; the memory is the emulated engine's."""
+    """A store, one worker at a time and a node's worker selection; the workers run the emulated engine."""
 
     def __init__(self, salt_type: type[CacheSaltBuilder]) -> None:
-        self.bench = FakeRuntime()
+        self.runtime = FakeRuntime()
         self.listener = FreshListener()
         self.records: list[Record] = []
         self.store: dict[tuple[str, str, str], KeptPart] = {}
         self.index = PrefixCacheIndex()
-        self.book = WorkerVersionTable(self.bench)
+        self.version_table = WorkerVersionTable(self.runtime)
         self.backends: dict[str, Backend] = {}
         self.view = View()
         self.view.__dict__["description"] = Description(
@@ -85,13 +89,13 @@
             tenants=list(TENANTS.values()),
             routes=[ROUTE],
         )
-        self.placer = WorkerSelector(
-            self.bench,
+        self.selector = WorkerSelector(
+            self.runtime,
             "z",
-            lambda: Roster(self.backends, self.bench.now()),
-            self.book,
+            lambda: Roster(self.backends, self.runtime.now()),
+            self.version_table,
             self.index,
-            WorkerLoadTracker(self.bench),
+            WorkerLoadTracker(self.runtime),
             salt_type(cast(RevisionListener, self.listener)),
             lambda view, line, version: True,
         )
@@ -101,15 +105,15 @@
 
     def start_worker(self, name: str, version: int) -> EngineModel:
         self.backends = {name: Backend(name, "10.0.0.1:1", "z", "s", 12, False, {"l": version})}
-        self.book.apply_note(ModelNote(worker=name, line="l", version=version))
+        self.version_table.apply_note(ModelNote(worker=name, line="l", version=version))
         return EngineModel(EngineSettings(), name, name, "s", "l", version, random.Random(1), self)
 
     def run(self, engine: EngineModel, request_id: str, tenant: str) -> WorkerChoice:
         request = OpaqueRequest(request_id, "POST", "/", "h", "/", HTTPHeaders(), b"", 0, line="l", parts=PARTS)
-        choice = self.placer.choose(self.view, ROUTE, request, TENANTS[tenant], frozenset()).unwrap()
+        choice = self.selector.choose(self.view, ROUTE, request, TENANTS[tenant], frozenset()).unwrap()
         prompt = request.prompt_tokens()
         engine.submit(
-            self.bench.now(),
+            self.runtime.now(),
             EngineRequest(
                 request_id,
                 tenant,
@@ -118,7 +122,7 @@
                 tuple(PartNeed(p.part, p.tokens) for p in PARTS),
                 prompt,
                 5,
-                self.bench.now() + 9 * SECOND,
+                self.runtime.now() + 9 * SECOND,
                 expected_version=choice.version or 0,
                 source=choice.fetch_from,
                 target=choice.save_to,
@@ -126,18 +130,18 @@
         )
         self._advance(engine)
         while (due := engine.next_at()) is not None:
-            self.bench.now_micros = max(self.bench.now_micros, due)
+            self.runtime.now_micros = max(self.runtime.now_micros, due)
             self._advance(engine)
         return choice
 
     def _advance(self, engine: EngineModel) -> None:
-        for output in engine.advance(self.bench.now()):
+        for output in engine.advance(self.runtime.now()):
             self._answer(engine, output)
 
     def _answer(self, engine: EngineModel, output: Any) -> None:
         if isinstance(output, FetchWanted):
             found = [self.store[key] for key in output.keys if key in self.store]
-            engine.take_fetch(self.bench.now(), output.ticket, found)
+            engine.take_fetch(self.runtime.now(), output.ticket, found)
         elif isinstance(output, SaveWanted):
             self.store.update({part.key: part for part in output.parts})
             note = KeptNote(
@@ -170,7 +174,7 @@
 
 
 class PurgeOnTheWayTest(unittest.TestCase):
-    def play(
+    def run_two_requests(
         self, salt_type: type[CacheSaltBuilder], first: str, second: str, version: int
     ) -> tuple[Site, WorkerChoice]:
         site = Site(salt_type)
@@ -179,17 +183,17 @@
         return site, choice
 
     def test_the_store_serves_the_same_owner_on_the_same_weights(self) -> None:
-        site, choice = self.play(CacheSaltBuilder, "one", "two", 1)
+        site, choice = self.run_two_requests(CacheSaltBuilder, "one", "two", 1)
         self.assertEqual((choice.fetch_from, site.breaches() & {"STALE", "WALL"}), ("10.0.0.9:1", set()))
 
     def test_other_weights_and_other_owners_find_nothing(self) -> None:
         for first, second, version in (("one", "two", 2), ("apart", "one", 1), ("one", "apart", 1)):
-            site, choice = self.play(CacheSaltBuilder, first, second, version)
+            site, choice = self.run_two_requests(CacheSaltBuilder, first, second, version)
             self.assertEqual((choice.fetch_from, site.breaches() & {"STALE", "WALL"}), ("", set()))
 
     def test_taken_out_it_breaks_the_rules(self) -> None:
-        self.assertIn("STALE", self.play(PurgeTakenOut, "one", "two", 2)[0].breaches())
-        self.assertIn("WALL", self.play(PurgeTakenOut, "apart", "one", 1)[0].breaches())
+        self.assertIn("STALE", self.run_two_requests(ConstantSaltBuilder, "one", "two", 2)[0].breaches())
+        self.assertIn("WALL", self.run_two_requests(ConstantSaltBuilder, "apart", "one", 1)[0].breaches())
 
     def test_a_changed_part_and_unknown_freshness_plan_no_fetch(self) -> None:
         for revision in (2, None):
--- a/tests/test_relayed_tables.py
+++ b/tests/test_relayed_tables.py
@@ -1,4 +1,7 @@
-"""Who passes a table of revisions on, and who knows that it is overtaken (§6.4)."""
+"""Relaying of revision tables (§6.4): a node that knows of a later change does not relay its table.
+
+Guards against a node that receives such a table, without the change, and goes on with the old revision of the part.
+"""
 
 from __future__ import annotations
 
@@ -20,32 +23,32 @@
 
 
 class TableHolder:
-    """One node's listener, with a clock set by hand; what it casts is handed on by the test."""
+    """One node's listener with a clock that the test sets; the test passes on the datagrams that it sends."""
 
     def __init__(self, name: str) -> None:
-        self.bench = FakeRuntime()
-        rpc_endpoint = RpcEndpoint(name, f"{name}:1", self.bench, self.bench)
-        directory = Directory(Record(identity=name), [CORE], rpc_endpoint, self.bench, random.Random(1))
+        self.runtime = FakeRuntime()
+        rpc_endpoint = RpcEndpoint(name, f"{name}:1", self.runtime, self.runtime)
+        directory = Directory(Record(identity=name), [CORE], rpc_endpoint, self.runtime, random.Random(1))
         directory.records["core"] = (
             Record(identity="core", address=CORE, role="control_plane", channels=b"\xff" * 32),
             2**60,
         )
         self.listener = RevisionListener(
-            rpc_endpoint, directory, self.bench, random.Random(1), BackgroundTaskGroup(name), LIFETIME_MICROS
+            rpc_endpoint, directory, self.runtime, random.Random(1), BackgroundTaskGroup(name), LIFETIME_MICROS
         )
         self.revision()
 
     def revision(self) -> int | None:
         return self.listener.revision_of(OWNER, LINE, PART)
 
-    def hear(self, note: PurgeNote) -> None:
+    def receive(self, note: PurgeNote) -> None:
         self.listener._take_note("another", "another:1", note)
 
-    def hear_body(self, **body: Any) -> None:
-        self.hear(PurgeNote(owner=OWNER, line=LINE, part=PART, **body))
+    def receive_body(self, **body: Any) -> None:
+        self.receive(PurgeNote(owner=OWNER, line=LINE, part=PART, **body))
 
-    def hear_table(self, index: int, *pairs: Pair) -> None:
-        self.hear_body(
+    def receive_table(self, index: int, *pairs: Pair) -> None:
+        self.receive_body(
             table=Table(
                 epoch=1,
                 index=index,
@@ -56,8 +59,8 @@
             )
         )
 
-    def hear_repair(self, transaction: bytes, revision: int, index: int) -> None:
-        self.hear_body(
+    def receive_repair(self, transaction: bytes, revision: int, index: int) -> None:
+        self.receive_body(
             revision_repair=RevisionRepair(
                 transaction=transaction,
                 revision=revision,
@@ -66,41 +69,41 @@
             )
         )
 
-    def relayed_after_a_request(self) -> list[PurgeNote]:
-        self.hear_body(table_request=TableRequest())
-        self.bench.now_micros += SECOND
-        self.bench.notes.clear()
+    def request_table(self) -> list[PurgeNote]:
+        self.receive_body(table_request=TableRequest())
+        self.runtime.now_micros += SECOND
+        self.runtime.notes.clear()
         self.listener._refresh()
-        return [n for n in self.bench.notes if n.HasField("table")]
+        return [n for n in self.runtime.notes if n.HasField("table")]
 
 
 class RelayedTableTest(unittest.TestCase):
     def setUp(self) -> None:
         self.holder, self.newcomer = TableHolder("holder"), TableHolder("newcomer")
-        self.holder.hear_table(10)
+        self.holder.receive_table(10)
 
-    def hand_on(self) -> None:
-        for note in self.holder.relayed_after_a_request():
-            self.newcomer.hear(note)
+    def relay_table(self) -> None:
+        for note in self.holder.request_table():
+            self.newcomer.receive(note)
 
     def test_a_table_without_a_bump_that_its_holder_heard_of_is_not_passed_on(self) -> None:
-        self.holder.hear_body(revision_request=RevisionRequest(transaction=b"t"))
-        self.holder.hear_repair(b"t", 2, 12)
+        self.holder.receive_body(revision_request=RevisionRequest(transaction=b"t"))
+        self.holder.receive_repair(b"t", 2, 12)
         self.assertEqual(self.holder.revision(), 2)
-        self.hand_on()
-        self.assertIsNone(self.newcomer.revision(), "it would go on with the first revision")
-        self.holder.hear_table(12, Pair(part=PART, revision=2))
-        self.hand_on()
-        self.assertEqual(self.newcomer.revision(), 2, "the next table holds it, and is passed on again")
+        self.relay_table()
+        self.assertIsNone(self.newcomer.revision(), "the table would make it use the first revision")
+        self.holder.receive_table(12, Pair(part=PART, revision=2))
+        self.relay_table()
+        self.assertEqual(self.newcomer.revision(), 2, "the next table has the change and is relayed")
 
     def test_nor_while_a_part_changes(self) -> None:
-        self.holder.hear_body(revision_request=RevisionRequest(transaction=b"t"))
-        self.hand_on()
+        self.holder.receive_body(revision_request=RevisionRequest(transaction=b"t"))
+        self.relay_table()
         self.assertIsNone(self.newcomer.revision())
 
     def test_a_bump_that_the_table_holds_already_keeps_nobody_from_passing_it_on(self) -> None:
-        self.holder.hear_body(revision_request=RevisionRequest(transaction=b"t"))
-        self.holder.hear_table(12, Pair(part=PART, revision=2))
-        self.holder.hear_repair(b"t", 2, 12)
-        self.hand_on()
+        self.holder.receive_body(revision_request=RevisionRequest(transaction=b"t"))
+        self.holder.receive_table(12, Pair(part=PART, revision=2))
+        self.holder.receive_repair(b"t", 2, 12)
+        self.relay_table()
         self.assertEqual(self.newcomer.revision(), 2)
--- a/tests/test_runtime_clock.py
+++ b/tests/test_runtime_clock.py
@@ -1,4 +1,4 @@
-"""choose_clock: the fallback where the boot clock is refused."""
+"""choose_clock: falls back to CLOCK_MONOTONIC where the kernel refuses CLOCK_BOOTTIME."""
 
 from __future__ import annotations
 
--- a/tests/test_runtime_socketnet.py
+++ b/tests/test_runtime_socketnet.py
@@ -1,4 +1,8 @@
-"""SocketNet: links over real loopback sockets."""
+"""SocketNet over loopback sockets.
+
+Guards against the late delivery of stale frames, a restarted peer that is not reached at once, a queue that grows while
+its peer does not read, and a connection that stays open although its peer's machine is gone.
+"""
 
 from __future__ import annotations
 
@@ -25,19 +29,19 @@
             self.address = f"127.0.0.1:{probe.getsockname()[1]}"
 
     async def open_net(self, address: str = "127.0.0.1:0") -> tuple[SocketNet, list[bytes]]:
-        taken: list[bytes] = []
+        received: list[bytes] = []
         net = SocketNet(address)
-        net.listen(taken.append)
+        net.listen(received.append)
         if not address.endswith(":0"):
             await net.open()
         self.addCleanup(net.close)
-        return net, taken
+        return net, received
 
-    async def until(self, is_reached: Callable[[], bool], limit_micros: int = 4 * SECOND) -> bool:
+    async def wait_until(self, condition: Callable[[], bool], limit_micros: int = 4 * SECOND) -> bool:
         end_micros = self.clock.now() + limit_micros
-        while not is_reached() and self.clock.now() < end_micros:
+        while not condition() and self.clock.now() < end_micros:
             await sleep_for(self.clock, 10 * MILLI)
-        return is_reached()
+        return condition()
 
     async def test_what_waited_for_a_second_is_dropped_and_the_rest_goes_in_order(self) -> None:
         sender, _ = await self.open_net()
@@ -45,20 +49,20 @@
         await sleep_for(self.clock, FRAME_EXPIRY_MICROS + 100 * MILLI)
         for number in range(5):
             sender.send(self.address, b"%d" % number)
-        _, taken = await self.open_net(self.address)
-        self.assertTrue(await self.until(lambda: len(taken) == 5))
-        self.assertEqual(taken, [b"0", b"1", b"2", b"3", b"4"])
+        _, received = await self.open_net(self.address)
+        self.assertTrue(await self.wait_until(lambda: len(received) == 5))
+        self.assertEqual(received, [b"0", b"1", b"2", b"3", b"4"])
 
     async def test_a_process_started_again_hears_the_next_frame_at_once(self) -> None:
         sender, _ = await self.open_net()
-        former, _ = await self.open_net(self.address)
+        first_peer, _ = await self.open_net(self.address)
         sender.send(self.address, b"a")
         await sleep_for(self.clock, 100 * MILLI)
-        former.close()
+        first_peer.close()
         await sleep_for(self.clock, 100 * MILLI)
-        _, taken = await self.open_net(self.address)
+        _, received = await self.open_net(self.address)
         sender.send(self.address, b"b")
-        self.assertTrue(await self.until(lambda: taken == [b"b"], 500 * MILLI), taken)
+        self.assertTrue(await self.wait_until(lambda: received == [b"b"], 500 * MILLI), received)
 
     async def test_a_peer_that_does_not_read_is_given_up_and_nothing_piles_up(self) -> None:
         connections: list[asyncio.StreamWriter] = []
@@ -76,18 +80,18 @@
             sender.send(self.address, bytes(1024 * 1024))
             return len(connections) > 1
 
-        self.assertTrue(await self.until(is_given_up))
+        self.assertTrue(await self.wait_until(is_given_up))
         self.assertLessEqual(sender.outgoing_connections[self.address].queued_byte_count, MAXIMUM_QUEUE_BYTES)
         for connection in connections:
             connection.transport.abort()
 
     async def test_links_end_by_themselves_when_the_peer_is_in_the_dark(self) -> None:
         sender, _ = await self.open_net()
-        _, taken = await self.open_net(self.address)
+        _, received = await self.open_net(self.address)
         sender.send(self.address, b"a")
-        self.assertTrue(await self.until(lambda: bool(taken)))
+        self.assertTrue(await self.wait_until(lambda: bool(received)))
         stream_writer = sender.outgoing_connections[self.address].stream_writer
         assert stream_writer is not None
-        own_socket = stream_writer.get_extra_info("socket")
+        raw_socket = stream_writer.get_extra_info("socket")
         for level, name, value in SOCKET_OPTIONS:
-            self.assertEqual(own_socket.getsockopt(level, name), value)
+            self.assertEqual(raw_socket.getsockopt(level, name), value)
