--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -176,7 +176,7 @@
                 del self.volumes[owner, line]
                 continue
             for part, (_, since_micros) in list(state.changing.items()):
-                # The reply was lost, so only a table made since then can tell the revision (§6.4).
+                # No reply arrived, so only a table made since then can tell the revision (§6.4).
                 if now_micros - since_micros > CHANGE_TIMEOUT_MICROS:
                     del state.changing[part]
                     state.expiry_micros = min(state.expiry_micros, now_micros)
