--- a/src/pearhead/config/__init__.py
+++ b/src/pearhead/config/__init__.py
@@ -1,1 +1,1 @@
-"""Startup files, descriptions of a deployment, and the view that routers hold of it."""
+"""Startup configuration, the description of a deployment, and the view of it that routers hold."""
--- a/src/pearhead/config/description.py
+++ b/src/pearhead/config/description.py
@@ -1,4 +1,4 @@
-"""Description (§5.1): what operators write in one file and apply as a whole."""
+"""Description (§5.1): the configuration of a deployment, which operators write in one file and apply as a whole."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class ModelLine:
-    """A model line, and the weights it is served with at first."""
+    """A model line and the weights that it is served with initially."""
 
     name: str
     weights: str
@@ -28,9 +28,10 @@
 
 @dataclass(frozen=True)
 class Service:
-    """Who runs requests or keeps parts (§5.4). Zero in a limit: not told.
+    """A group of workers that run requests, or a store that keeps prompt parts (§5.4).
 
-    `source` is the operators' own text of the item, given back as it came and read by nobody here.
+    0 in a limit means that it isn't specified. `source` is the operators' original text of the item: it is returned
+    unchanged and never interpreted.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Split:
-    """A service's share of the requests of a route."""
+    """A service's share of the requests of a route, relative to the sum of all shares of the route."""
 
     service: str
     share: int
@@ -57,11 +58,12 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Which requests go where, by host and the longest prefix of their path (§8.7). Times in whole microseconds.
+    """Selects the services for requests by their host and the longest matching path prefix (§8.7).
 
-    `repeatable`: may run more than once. `resumable`: a stream that another worker may take up after its last event.
-    Anything else runs at most once for each request. `tries`: the most workers that one request may be sent to.
-    `urgency`: 0 goes first. `pause_micros`: the longest pause between events with which an answer is in time.
+    Times are in whole microseconds. `repeatable`: a request may run more than once. `resumable`: another worker may
+    continue the stream after its last event. All other requests run at most once. `tries`: the maximum number of
+    workers that one request is sent to. `urgency`: 0 is the most urgent. `pause_micros`: the longest pause between two
+    events with which a response still counts as in time.
     """
 
     name: str
@@ -83,7 +85,7 @@
 
 @dataclass(frozen=True)
 class CapabilityEntry:
-    """Which tenants may run which kinds of jobs on a line, by which service, and with which limits."""
+    """Allows tenants to run some kinds of jobs on a model line: names the service that runs them, and their limits."""
 
     name: str
     line: str
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """A customer: the hashes of its keys, and the sharing group it belongs to, if any."""
+    """A customer: the SHA-256 hashes of its API keys in hexadecimal, and its sharing group, if any."""
 
     name: str
     keyHashes: list[str]
@@ -109,7 +111,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Limits that hold for all requests. Zero in a limit of bytes or time: not told."""
+    """Limits that hold for all requests. 0 in a limit of bytes or time means that it isn't specified."""
 
     retryShare: float = 0.1
     prefixParts: int = 256
@@ -122,7 +124,7 @@
 
 @dataclass(frozen=True)
 class Description:
-    """Everything that operators configure of a deployment."""
+    """A whole description: model lines, services, capability entries, tenants, limits and routes."""
 
     lines: list[ModelLine] = field(default_factory=list)
     services: list[Service] = field(default_factory=list)
@@ -139,18 +141,21 @@
 
 
 def normalize_host(host: str) -> str:
-    """A host as it is compared: in lower case and without its port."""
+    """Returns the host in lower case and without its port, as hosts are compared."""
     name, colon, port = host.strip().lower().rpartition(":")
     return name if colon and (port.isdigit() or not port) and not name.endswith(":") else host.strip().lower()
 
 
 def owner_of(tenant: Tenant) -> str:
-    """Who owns kept parts: a sharing group, or the tenant alone. The marks keep the two apart."""
+    """The owner of cached prompt parts: the tenant's sharing group or, without one, the tenant.
+
+    The prefixes keep a group and a tenant of the same name apart.
+    """
     return f"group:{tenant.group}" if tenant.group else f"tenant:{tenant.name}"
 
 
 def read_description(description_bytes: bytes) -> Result[Description, list[str]]:
-    """Reads and checks a whole file at once, as the operators' tool does."""
+    """Parses and checks a whole file in one go, as the command line does. The error is the list of all errors found."""
     parsed = _parse(description_bytes)
     if isinstance(parsed, Err):
         return parsed
@@ -161,7 +166,7 @@
 async def read_description_in_chunks(
     description_bytes: bytes, pause: Callable[[], Awaitable[None]]
 ) -> Result[Description, list[str]]:
-    """The same check in chunks, with a `pause` after each, so that a core goes on answering meanwhile."""
+    """Like `read_description`, but in chunks with a `pause` after each, so that a core keeps serving meanwhile."""
     parsed = _parse(description_bytes)
     if isinstance(parsed, Err):
         return parsed
@@ -169,28 +174,28 @@
     if not isinstance(data, dict) or not isinstance(data.get("entries", []), list):
         return _with_consistency_errors(parse_dataclass(Description, data))
     all_entries = data.get("entries", [])
-    faults: list[str] = []
+    errors: list[str] = []
     for start in range(0, len(all_entries), CHUNK_SIZE):
         chunk = parse_dataclass(_EntryChunk, {"entries": all_entries[start : start + CHUNK_SIZE]})
         if isinstance(chunk, Err):
-            faults.extend(_shift_entry_index(fault, start) for fault in chunk.err_value)
+            errors.extend(_shift_entry_index(error, start) for error in chunk.err_value)
         await pause()
-    rest = parse_dataclass(Description, {**data, "entries": []})
-    faults.extend(rest.err_value if isinstance(rest, Err) else [])
-    return Err(faults) if faults else _with_consistency_errors(Ok(description_from_checked_data(data)))
+    remaining = parse_dataclass(Description, {**data, "entries": []})
+    errors.extend(remaining.err_value if isinstance(remaining, Err) else [])
+    return Err(errors) if errors else _with_consistency_errors(Ok(description_from_checked_data(data)))
 
 
-def _shift_entry_index(fault: str, start: int) -> str:
-    head, bracket, tail = fault.removeprefix("entries[").partition("]")
-    is_item = bracket and head.isdigit()
-    return f"entries[{int(head) + start}]{tail}" if is_item else fault
+def _shift_entry_index(error: str, start: int) -> str:
+    position_text, bracket, field_path = error.removeprefix("entries[").partition("]")
+    is_entry_error = bracket and position_text.isdigit()
+    return f"entries[{int(position_text) + start}]{field_path}" if is_entry_error else error
 
 
 def _with_consistency_errors(checked: Result[Description, list[str]]) -> Result[Description, list[str]]:
     if isinstance(checked, Err):
         return checked
-    faults = find_description_errors(checked.ok_value)
-    return Err(faults) if faults else checked
+    errors = find_description_errors(checked.ok_value)
+    return Err(errors) if errors else checked
 
 
 def _parse(description_bytes: bytes) -> Result[Any, list[str]]:
@@ -198,15 +203,18 @@
         return Err([f"file: over {MAX_DESCRIPTION_BYTES} bytes"])
     try:
         data: Any = json.loads(description_bytes)
-    except ValueError as fault:
-        return Err([f"file: not JSON: {fault}"])
+    except ValueError as error:
+        return Err([f"file: not JSON: {error}"])
     except RecursionError:
         return Err(["file: nested too deep"])
     return Ok(data)
 
 
 def description_from_checked_data(data: dict[str, Any]) -> Description:
-    """From data that was checked before it went into the log; thousands of entries cost little."""
+    """Builds a description without any checks, from data that was checked before it went into the log.
+
+    Skipping the checks keeps this cheap with thousands of entries.
+    """
     return Description(
         [ModelLine(**item) for item in data.get("lines", [])],
         [Service(**item) for item in data.get("services", [])],
@@ -219,7 +227,10 @@
 
 
 class RouteValidator:
-    """What is wrong with routes, one after another (§5.4): each is looked at beside those before it."""
+    """Checks routes one after another, each also for conflicts with the routes before it (§5.4).
+
+    `roles` holds the role of each service by its name.
+    """
 
     def __init__(self, roles: Mapping[str, str]) -> None:
         self.roles = roles
@@ -227,100 +238,103 @@
         self.prefixes: dict[tuple[str, str], str] = {}
 
     def check_route(self, path: str, route: Route) -> list[str]:
-        """The faults of one route, which `path` names in each message."""
-        faults = []
+        """Returns the errors of one route; each message begins with `path`."""
+        errors = []
         if not route.name:
-            faults.append(f"{path}.name: must not be empty")
+            errors.append(f"{path}.name: must not be empty")
         if route.name in self.names:
-            faults.append(f"{path}.name: {route.name!r} is named twice")
+            errors.append(f"{path}.name: {route.name!r} is named twice")
         self.names.add(route.name)
         if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
-            faults.append(f"{path}.prefix: must begin and end with '/', not {route.prefix!r}")
-        other = self.prefixes.setdefault((normalize_host(route.host), route.prefix), route.name)
-        if other != route.name:
-            faults.append(f"{path}.prefix: {route.host}{route.prefix} is matched by {other!r} too")
+            errors.append(f"{path}.prefix: must begin and end with '/', not {route.prefix!r}")
+        other_route_name = self.prefixes.setdefault((normalize_host(route.host), route.prefix), route.name)
+        if other_route_name != route.name:
+            errors.append(f"{path}.prefix: {route.host}{route.prefix} is matched by {other_route_name!r} too")
         if route.deadline_micros <= 0:
-            faults.append(f"{path}.deadline_micros: must be above zero")
+            errors.append(f"{path}.deadline_micros: must be above zero")
         for position, split in enumerate(route.splits):
             if split.service not in self.roles:
-                faults.append(f"{path}.splits[{position}].service: no service {split.service!r}")
+                errors.append(f"{path}.splits[{position}].service: no service {split.service!r}")
             elif self.roles[split.service] == "store":
-                faults.append(f"{path}.splits[{position}].service: {split.service!r} is a store and runs no requests")
+                errors.append(f"{path}.splits[{position}].service: {split.service!r} is a store and runs no requests")
             if split.share < 0:
-                faults.append(f"{path}.splits[{position}].share: must not be below zero")
+                errors.append(f"{path}.splits[{position}].share: must not be below zero")
         if sum(split.share for split in route.splits) <= 0:
-            faults.append(f"{path}.splits: their shares add up to 0")
-        return faults
+            errors.append(f"{path}.splits: their shares add up to 0")
+        return errors
 
 
 def find_description_errors(description: Description, allow_any_name: bool = False) -> list[str]:
-    """Every fault between items. `allow_any_name`: operators of another manner name items as they like (§5.4)."""
-    faults: list[str] = []
-    line_names = _check_names("lines", (x.name for x in description.lines), faults, allow_any_name)
-    service_names = _check_names("services", (x.name for x in description.services), faults, allow_any_name)
-    tenant_names = _check_names("tenants", (x.name for x in description.tenants), faults, allow_any_name)
-    _check_names("entries", (x.name for x in description.entries), faults, allow_any_name)
+    """Returns the errors that a check of types can't find: bad values, unknown references and conflicts between items.
+
+    `allow_any_name` accepts every name but an empty one, for items that are named by another system (§5.4).
+    """
+    errors: list[str] = []
+    line_names = _check_names("lines", (x.name for x in description.lines), errors, allow_any_name)
+    service_names = _check_names("services", (x.name for x in description.services), errors, allow_any_name)
+    tenant_names = _check_names("tenants", (x.name for x in description.tenants), errors, allow_any_name)
+    _check_names("entries", (x.name for x in description.entries), errors, allow_any_name)
     route_validator = RouteValidator({s.name: s.role for s in description.services})
     for position, route in enumerate(description.routes):
-        faults.extend(route_validator.check_route(f"routes[{position}]", route))
+        errors.extend(route_validator.check_route(f"routes[{position}]", route))
     for position, line in enumerate(description.lines):
         if not line.weights:
-            faults.append(f"lines[{position}].weights: must not be empty")
+            errors.append(f"lines[{position}].weights: must not be empty")
     for position, service in enumerate(description.services):
         if service.role not in ("model", "application", "store"):
-            faults.append(f"services[{position}].role: must be model, application or store")
-    held_hashes: dict[str, str] = {}
+            errors.append(f"services[{position}].role: must be model, application or store")
+    tenant_by_key_hash: dict[str, str] = {}
     for position, tenant in enumerate(description.tenants):
         for key_hash in tenant.keyHashes:
             if len(key_hash) != 64 or set(key_hash) - set("0123456789abcdef"):
-                faults.append(f"tenants[{position}].keyHashes: must be SHA-256 in hexadecimal")
-            elif held_hashes.setdefault(key_hash, tenant.name) != tenant.name:
-                faults.append(f"tenants[{position}].keyHashes: a key of {held_hashes[key_hash]} too")
+                errors.append(f"tenants[{position}].keyHashes: must be SHA-256 in hexadecimal")
+            elif tenant_by_key_hash.setdefault(key_hash, tenant.name) != tenant.name:
+                errors.append(f"tenants[{position}].keyHashes: a key of {tenant_by_key_hash[key_hash]} too")
     roles = {s.name: s.role for s in description.services}
     line_of_service: dict[str, str] = {}
-    matched_by: dict[tuple[str, str, str], str] = {}
+    entry_by_match: dict[tuple[str, str, str], str] = {}
     for position, entry in enumerate(description.entries):
         path = f"entries[{position}]"
         if entry.line not in line_names:
-            faults.append(f"{path}.line: no line {entry.line!r}")
+            errors.append(f"{path}.line: no line {entry.line!r}")
         if entry.service not in service_names:
-            faults.append(f"{path}.service: no service {entry.service!r}")
+            errors.append(f"{path}.service: no service {entry.service!r}")
         if roles.get(entry.service) == "store":
-            faults.append(f"{path}.service: {entry.service!r} is a store and runs no jobs")
+            errors.append(f"{path}.service: {entry.service!r} is a store and runs no jobs")
         if roles.get(entry.service) == "model":
             other_line = line_of_service.setdefault(entry.service, entry.line)
             if other_line != entry.line:
-                faults.append(f"{path}.line: workers of {entry.service!r} serve {other_line!r} already")
+                errors.append(f"{path}.line: workers of {entry.service!r} serve {other_line!r} already")
         if not entry.tenants:
-            faults.append(f"{path}.tenants: must not be empty")
+            errors.append(f"{path}.tenants: must not be empty")
         if not entry.kinds:
-            faults.append(f"{path}.kinds: must not be empty")
+            errors.append(f"{path}.kinds: must not be empty")
         for tenant_name in entry.tenants:
             if tenant_name != ANY_TENANT and tenant_name not in tenant_names:
-                faults.append(f"{path}.tenants: no tenant {tenant_name!r}")
-        for number_name in ("deadlineMicros", "concurrency", "queueLimit"):
-            if getattr(entry, number_name) <= 0:
-                faults.append(f"{path}.{number_name}: must be above zero")
+                errors.append(f"{path}.tenants: no tenant {tenant_name!r}")
+        for field_name in ("deadlineMicros", "concurrency", "queueLimit"):
+            if getattr(entry, field_name) <= 0:
+                errors.append(f"{path}.{field_name}: must be above zero")
         for tenant_name in entry.tenants:
             for kind in entry.kinds:
-                other_name = matched_by.setdefault((entry.line, tenant_name, kind), entry.name)
-                if other_name != entry.name:
-                    faults.append(f"{path}: {tenant_name} {entry.line} {kind} is matched by {other_name} too")
+                other_entry_name = entry_by_match.setdefault((entry.line, tenant_name, kind), entry.name)
+                if other_entry_name != entry.name:
+                    errors.append(f"{path}: {tenant_name} {entry.line} {kind} is matched by {other_entry_name} too")
     if not 0 <= description.limits.retryShare <= 0.1:
-        faults.append("limits.retryShare: must lie between 0 and 0.1")
+        errors.append("limits.retryShare: must lie between 0 and 0.1")
     if description.limits.prefixParts <= 0:
-        faults.append("limits.prefixParts: must be above zero")
-    return faults
+        errors.append("limits.prefixParts: must be above zero")
+    return errors
 
 
-def _check_names(path: str, names: Iterable[str], faults: list[str], allow_any_name: bool) -> set[str]:
+def _check_names(path: str, names: Iterable[str], errors: list[str], allow_any_name: bool) -> set[str]:
     seen_names: set[str] = set()
     for position, name in enumerate(names):
         if allow_any_name and name:
             pass
         elif not name or len(name) > 200 or name == ANY_TENANT or "/" in name:
-            faults.append(f"{path}[{position}].name: must be 1 to 200 signs, no '/', and not '*'")
+            errors.append(f"{path}[{position}].name: must be 1 to 200 signs, no '/', and not '*'")
         if name in seen_names:
-            faults.append(f"{path}[{position}].name: {name!r} is named twice")
+            errors.append(f"{path}[{position}].name: {name!r} is named twice")
         seen_names.add(name)
     return seen_names
--- a/src/pearhead/config/view.py
+++ b/src/pearhead/config/view.py
@@ -1,4 +1,4 @@
-"""View (§5.2): what a node knows of the fleet, an immutable table that is swapped whole."""
+"""View (§5.2): a node's immutable copy of the fleet's state, replaced as a whole by each update."""
 
 from __future__ import annotations
 
@@ -29,23 +29,24 @@
 
 
 def bucket_index(entry_name: str) -> int:
-    """Entries and routes lie in buckets by their names, so that a small change sends a small part (§5.2)."""
+    """The bucket of an entry or a route, by its name; thanks to buckets, a small change sends little data (§5.2)."""
     return hashlib.blake2b(entry_name.encode(), digest_size=2).digest()[0] % BUCKET_COUNT
 
 
+# For each section name: the body that was hashed, and its digest.
 SectionDigests = dict[str, tuple[bytes, bytes]]
 
 
 def hash_sections(sections: Mapping[str, tuple[int, bytes]], held: SectionDigests | None = None) -> str:
-    """One hash over all sections.
+    """Returns one hash in hexadecimal over all sections.
 
-    `held` remembers each section's body and its digest, so that only what changed is read again.
+    `held` is a cache, which is updated: only sections whose body is another object than there are hashed again.
     """
     digests: SectionDigests = {} if held is None else held
     view_hash = hashlib.blake2b(digest_size=16)
     for name, (index, body) in sorted(sections.items()):
-        held_body, digest = digests.get(name, (None, b""))
-        if held_body is not body:
+        cached_body, digest = digests.get(name, (None, b""))
+        if cached_body is not body:
             digest = hashlib.blake2b(body, digest_size=16).digest()
             digests[name] = (body, digest)
         view_hash.update(f"{name}:{index}:".encode())
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True)
 class WorkerRecord:
-    """A worker as the platform lists it. `leaving`: it gets no new requests."""
+    """A worker as the platform lists it; a `leaving` worker gets no new requests."""
 
     name: str
     address: str
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True)
 class LoadRecord:
-    """Which weights a worker has loaded, as its holder confirmed under `fence`."""
+    """The weights that a worker has loaded, as confirmed by the holder of its lease with the fencing token `fence`."""
 
     line: str
     life: str
@@ -76,15 +77,15 @@
     weights: str = ""
 
     @classmethod
-    def read(cls, fact: dict[str, Any]) -> LoadRecord:
-        """From the replicated state, whose keys are older than these names."""
-        known = dict(fact)
-        return cls(weights_revision=known.pop("weightsRevision"), **known)
+    def read(cls, item: dict[str, Any]) -> LoadRecord:
+        """Converts an item of the replicated state, which keeps the older key `weightsRevision`."""
+        values = dict(item)
+        return cls(weights_revision=values.pop("weightsRevision"), **values)
 
 
 @dataclass(frozen=True)
 class WeightsRecord:
-    """The weights named for a line, and the revision of that naming."""
+    """The weights that are set for a model line, and the revision at which they were set."""
 
     weights: str
     revision: int
@@ -92,7 +93,10 @@
 
 @dataclass(frozen=True)
 class View:
-    """The replicated state as of log position `index`, in sections that are parsed when they are first read."""
+    """The replicated state as of log index `index`, in sections that are parsed when they are first read.
+
+    `sections` holds, by section name, the log index of the last change and the encoded JSON body.
+    """
 
     index: int = 0
     sections: Mapping[str, tuple[int, bytes]] = field(
@@ -105,7 +109,7 @@
 
     @cached_property
     def hash(self) -> str:
-        """The hash that a delta to this view carries."""
+        """The hash over all sections, which a delta that results in this view carries."""
         return hash_sections(self.sections, self._digests)
 
     def _section(self, name: str) -> Any:
@@ -113,12 +117,12 @@
 
     @cached_property
     def description_revision(self) -> int:
-        """The revision of the description; 0 before the first one."""
+        """The revision of the description; 0 if none was applied yet."""
         return int(self._section("description").get("revision", 0))
 
     @cached_property
     def description(self) -> Description:
-        """The description, put together from its sections."""
+        """The description, assembled from its sections."""
         head = self._section("description").get("description", {})
         entries = [
             item for name in ENTRY_SECTIONS if self.sections[name][1] != EMPTY_BODY for item in self._section(name)
@@ -126,25 +130,25 @@
         return replace(description_from_checked_data({**head, "entries": entries}), routes=self._routes)
 
     @cached_property
-    def _read_routes(self) -> dict[str, tuple[bytes, list[Route]]]:
-        """Of each section its body and what was read of it; the next view reads anew only what changed."""
+    def _parsed_routes(self) -> dict[str, tuple[bytes, list[Route]]]:
+        """The parsed routes by section, each with the body they came from; the next view parses only what changed."""
         return {}
 
     @cached_property
     def _routes(self) -> list[Route]:
-        found: list[Route] = []
+        all_routes: list[Route] = []
         for name in ROUTE_SECTIONS:
             _, body = self.sections.get(name, (0, EMPTY_BODY))
-            held_body, routes = self._read_routes.get(name, (EMPTY_BODY, []))
-            if held_body is not body and body != EMPTY_BODY:
+            cached_body, routes = self._parsed_routes.get(name, (EMPTY_BODY, []))
+            if cached_body is not body and body != EMPTY_BODY:
                 routes = description_from_checked_data({"routes": json.loads(body)}).routes
-                self._read_routes[name] = (body, routes)
-            found.extend(routes if body != EMPTY_BODY else [])
-        return found
+                self._parsed_routes[name] = (body, routes)
+            all_routes.extend(routes if body != EMPTY_BODY else [])
+        return all_routes
 
     @cached_property
     def number(self) -> int:
-        """The operators' own number of the description (§5.4); 0 when none was given."""
+        """The number that operators gave the description (§5.4); 0 if they gave none."""
         return int(self._section("description").get("number", 0))
 
     @cached_property
@@ -154,15 +158,16 @@
 
     @cached_property
     def _routes_by_host(self) -> dict[str, dict[str, Route]]:
-        found: dict[str, dict[str, Route]] = {}
+        routes_by_host: dict[str, dict[str, Route]] = {}
         for route in self.description.routes:
-            found.setdefault(normalize_host(route.host), {})[route.prefix] = route
-        return found
+            routes_by_host.setdefault(normalize_host(route.host), {})[route.prefix] = route
+        return routes_by_host
 
     def route_of(self, host: str, path: str) -> Route | None:
-        """The route of this host with the longest prefix that begins the path; None where there is none.
+        """Returns the route of this host with the longest prefix of `path`, or None.
 
-        The host's case and port don't count. The cost grows with the slashes of the path, not with the routes (§5.4).
+        Case and port of the host are ignored. The cost grows with the number of slashes in the path, not with the
+        number of routes (§5.4).
         """
         by_prefix = self._routes_by_host.get(normalize_host(host))
         if by_prefix is None:
@@ -182,22 +187,22 @@
 
     @cached_property
     def loads(self) -> dict[str, LoadRecord]:
-        """The confirmed loads by worker."""
-        return {n: LoadRecord.read(fact) for n, fact in self._section("loads").items()}
+        """The confirmed loads by worker name."""
+        return {n: LoadRecord.read(item) for n, item in self._section("loads").items()}
 
     @cached_property
     def weights(self) -> dict[str, WeightsRecord]:
-        """The named weights by line."""
+        """The weights that are set, by model line."""
         return {n: WeightsRecord(**w) for n, w in self._section("weights").items()}
 
     @cached_property
     def tenant_by_hash(self) -> dict[str, Tenant]:
-        """The tenants by the hashes of their keys."""
+        """The tenants by the hashes of their API keys."""
         return {h: t for t in self.description.tenants for h in t.keyHashes}
 
     @cached_property
     def entry_by_match(self) -> dict[tuple[str, str, str], CapabilityEntry]:
-        """The entries by line, tenant (or `ANY_TENANT`) and kind."""
+        """The capability entries by model line, tenant (or `ANY_TENANT`) and kind of job."""
         return {(e.line, t, k): e for e in self.description.entries for t in e.tenants for k in e.kinds}
 
     @cached_property
@@ -207,17 +212,17 @@
 
     @cached_property
     def line_names(self) -> frozenset[str]:
-        """The names of all lines."""
+        """The names of all model lines."""
         return frozenset(x.name for x in self.description.lines)
 
     def match(self, line_name: str, tenant_name: str, kind: str) -> CapabilityEntry | None:
-        """An entry that names the tenant goes before one for every tenant."""
+        """Returns the entry for a job, or None; one that names the tenant takes precedence over one for all tenants."""
         return self.entry_by_match.get((line_name, tenant_name, kind)) or self.entry_by_match.get(
             (line_name, ANY_TENANT, kind)
         )
 
     def with_delta(self, delta: ViewDelta) -> View | None:
-        """The next view, or None if the delta has another base or its hash does not come out."""
+        """Returns the view after `delta`; None if the delta is older, has another base, or results in another hash."""
         if delta.index < self.index:
             return None
         if delta.base_index != 0 and delta.base_index != self.index:
@@ -228,13 +233,13 @@
         digests = dict(self._digests) if delta.base_index else {}
         if hash_sections(changed, digests) != delta.hash:
             return None
-        following = View(delta.index, changed)
-        following.__dict__["_digests"] = digests
-        following.__dict__["_read_routes"] = dict(self._read_routes)
-        return following
+        next_view = View(delta.index, changed)
+        next_view.__dict__["_digests"] = digests
+        next_view.__dict__["_parsed_routes"] = dict(self._parsed_routes)
+        return next_view
 
     def delta_since(self, have_index: int) -> ViewDelta | None:
-        """The whole view as a delta without a base; None if `have_index` is no older."""
+        """Returns the whole view as a delta without a base; None if `have_index` is not older than this view."""
         if have_index >= self.index:
             return None
         delta = ViewDelta(base_index=0, index=self.index, hash=self.hash)
--- a/src/pearhead/pearheadctl/__init__.py
+++ b/src/pearhead/pearheadctl/__init__.py
@@ -0,0 +1,1 @@
+"""The `pearheadctl` command line of the operators."""
--- a/src/pearhead/pearheadctl/main.py
+++ b/src/pearhead/pearheadctl/main.py
@@ -1,4 +1,4 @@
-"""The `pearheadctl` command (§10.1): operators' commands, and under `query` the questions on a fleet's state."""
+"""The `pearheadctl` command (§10.1): commands for operators and, under `query`, queries of the fleet's state."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class PearheadCtl(OperatorCommand):
-    """Applies descriptions and names weights; `query` reads the state of cores and nodes."""
+    """Applies descriptions and sets weights; `query` reads the state of cores and nodes."""
 
     query = QueryCommand
 
 
 def main() -> None:
-    """Runs the command line; a fault is one line on standard error and status 1."""
+    """Runs the command line; an `OperatorError` is printed to standard error, and the exit status is 1."""
     try:
         run_command(PearheadCtl, "pearheadctl")
-    except OperatorError as fault:
-        print(f"pearheadctl: {fault}", file=sys.stderr)
+    except OperatorError as error:
+        print(f"pearheadctl: {error}", file=sys.stderr)
         raise SystemExit(1) from None
 
 
--- a/src/pearhead/pearheadctl/operator_command.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -1,4 +1,4 @@
-"""The `pearheadctl` command (§10.1): what operators do, over a core's HTTP edge."""
+"""The `pearheadctl` command (§10.1): the commands for operators, which use the HTTP API of the cores."""
 
 from __future__ import annotations
 
@@ -21,18 +21,22 @@
 
 
 class OperatorError(Exception):
-    """Told as one line; the process ends with a non-zero status."""
+    """A failed command. The message is printed without a traceback; the process exits with a non-zero status."""
 
 
 def read_file(file_path: str) -> dict[str, Any]:
+    """Reads a JSON object, with plain tenant keys replaced by their hashes.
+
+    Raises OperatorError if the file can't be read or holds no JSON object.
+    """
     try:
         data = json.loads(Path(file_path).read_text(encoding="utf-8"))
-    except (OSError, ValueError) as fault:
-        raise OperatorError(f"{file_path}: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise OperatorError(f"{file_path}: {error}") from error
     if not isinstance(data, dict):
         raise OperatorError(f"{file_path}: must hold one JSON object")
     for tenant in data.get("tenants", []):
-        # Plain keys never leave the operator's machine: only their hashes do.
+        # Plain keys never leave the operator's machine; only their hashes are sent.
         if isinstance(tenant, dict) and "keys" in tenant:
             hashes = [hashlib.sha256(str(k).encode()).hexdigest() for k in tenant.pop("keys")]
             tenant["keyHashes"] = sorted(set(tenant.get("keyHashes", []) + hashes))
@@ -40,20 +44,23 @@
 
 
 def merge_partial(present: dict[str, Any], partial: dict[str, Any]) -> dict[str, Any]:
-    """Named items go over those of the same name; all else stays."""
+    """Returns `present` updated by `partial`.
+
+    In lists of named items, items replace those of the same name, and all others stay.
+    """
     merged = json.loads(json.dumps(present))
     for name, value in partial.items():
         if name in MERGED_LIST_NAMES and isinstance(value, list):
-            by_name = {item.get("name"): item for item in merged.get(name, [])}
-            by_name.update({item.get("name"): item for item in value})
-            merged[name] = list(by_name.values())
+            item_by_name = {item.get("name"): item for item in merged.get(name, [])}
+            item_by_name.update({item.get("name"): item for item in value})
+            merged[name] = list(item_by_name.values())
         else:
             merged[name] = value
     return dict(merged)
 
 
 class OperatorCommand:
-    """The operators' tool. --core is one or more core HTTP addresses, or PEARHEAD_CORE."""
+    """Commands for operators. --core takes one or more HTTP addresses of cores; the default is PEARHEAD_CORE."""
 
     def __init__(self, core: str = "", key: str = "") -> None:
         core_text = core or os.environ.get("PEARHEAD_CORE", "")
@@ -61,32 +68,32 @@
         self._key = key or os.environ.get("PEARHEAD_OPERATOR_KEY", "")
 
     def check(self, file: str) -> None:
-        """Checks a description file and lists every fault, without a fleet."""
+        """Checks a description file and lists every error, without contacting a fleet."""
         checked = read_description(json.dumps(read_file(file)).encode())
         if isinstance(checked, Err):
             raise OperatorError("\n".join(checked.err_value))
         print("the description is sound")
 
     def apply(self, file: str, base: int = -1, partial: bool = False, apply_id: str = "", by: str = "") -> None:
-        """Applies a whole file, or by --partial its named items. --base refuses if another came first."""
-        given = read_file(file)
+        """Applies a whole file, or with --partial its items. Fails if --base is given and not the present revision."""
+        file_data = read_file(file)
         for _ in range(PARTIAL_APPLY_ATTEMPTS):
             present = self._fetch_fleet()
             effective_base = base if base >= 0 else present["descriptionRevision"]
-            description = merge_partial(present["description"], given) if partial else given
+            description = merge_partial(present["description"], file_data) if partial else file_data
             body = {
                 "applyId": apply_id or secrets.token_hex(12),
                 "base": effective_base,
                 "description": description,
                 "by": by or os.environ.get("USER", ""),
             }
-            status, given_result = self._call("/apply", body)
-            if not (partial and base < 0 and given_result.get("status") == "conflict"):
+            status, result = self._call("/apply", body)
+            if not (partial and base < 0 and result.get("status") == "conflict"):
                 break
-        self._report_result(status, given_result, f"apply id {body['applyId']}")
+        self._report_result(status, result, f"apply id {body['applyId']}")
 
     def diff(self, file: str) -> None:
-        """Shows what applying a whole file would change."""
+        """Prints what applying a whole file would change, as a unified diff."""
         present_text = json.dumps(self._fetch_fleet()["description"], indent=2, sort_keys=True).splitlines()
         given_text = json.dumps(read_file(file), indent=2, sort_keys=True).splitlines()
         print("\n".join(difflib.unified_diff(present_text, given_text, "in force", file, lineterm="")))
@@ -97,17 +104,17 @@
         print(json.dumps({k: state[k] for k in ("descriptionRevision", "description")}, indent=2))
 
     def history(self) -> None:
-        """Prints the applied revisions, the latest last."""
+        """Prints the applied revisions, the latest one last."""
         for item in self._fetch_fleet()["history"]:
             print(f"{item['revision']:>8} {item['hash']} {item['by']}")
 
     def outcome(self, apply_id: str) -> None:
-        """Asks what became of an apply whose acknowledgement was lost."""
-        status, given_result = self._call(f"/outcome/{apply_id}", None)
-        self._report_result(status, given_result, "")
+        """Prints the outcome of an apply whose acknowledgement was lost."""
+        status, result = self._call(f"/outcome/{apply_id}", None)
+        self._report_result(status, result, "")
 
     def weights(self, line: str, name: str, base: int = -1, apply_id: str = "") -> None:
-        """Names new weights for a model line; refused if other ones were named since --base, or since now."""
+        """Sets the weights of a model line. Fails if others were set since revision --base (default: the present)."""
         present = self._fetch_fleet()["weights"].get(line, {}).get("revision", 0)
         body = {
             "line": line,
@@ -115,15 +122,15 @@
             "base": base if base >= 0 else present,
             "applyId": apply_id or secrets.token_hex(12),
         }
-        status, given_result = self._call("/weights", body)
-        self._report_result(status, given_result, f"apply id {body['applyId']}")
+        status, result = self._call("/weights", body)
+        self._report_result(status, result, f"apply id {body['applyId']}")
 
     def workers(
         self, file: str = "", leaving: str = "", staying: str = "", removed: str = "", base: int = 0, apply_id: str = ""
     ) -> None:
-        """Shows the worker list, sets it whole from a file, or marks one leaving, staying or removed.
+        """Prints the worker list, replaces it by a file, or marks one worker as leaving, staying or removed.
 
-        A file keeps the marks of the machines that it lists; --base refuses if the list changed since.
+        Workers that the file lists keep their marks. With --base, fails if the list changed since that revision.
         """
         if not (file or leaving or staying or removed):
             print(json.dumps(self._fetch_fleet()["workers"], indent=2, sort_keys=True))
@@ -135,41 +142,45 @@
             body["partial"] = True
         for field, name in (("leaving", leaving), ("staying", staying), ("removed", removed)):
             body[field] = [name] if name else []
-        status, given_result = self._call("/workers", body)
-        self._report_result(status, given_result, f"apply id {body['applyId']}")
+        status, result = self._call("/workers", body)
+        self._report_result(status, result, f"apply id {body['applyId']}")
 
     def cores(self) -> None:
-        """Shows what each core says of itself; one that does not answer is said so."""
+        """Prints the state that each core reports, or why it did not answer."""
         for address in self._cores:
             try:
-                _, given_result = self._call_one(address, "/soundness", None)
-                voter_count = sum(m["voter"] for m in given_result["members"])
+                _, result = self._call_one(address, "/soundness", None)
+                voter_count = sum(m["voter"] for m in result["members"])
                 print(
-                    f"{address} {given_result['role']} epoch {given_result['epoch']} "
-                    f"commit {given_result['commitIndex']} voters {voter_count}"
+                    f"{address} {result['role']} epoch {result['epoch']} "
+                    f"commit {result['commitIndex']} voters {voter_count}"
                 )
-            except OSError as fault:
-                print(f"{address} did not answer: {fault}")
+            except OSError as error:
+                print(f"{address} did not answer: {error}")
 
     def _fetch_fleet(self) -> dict[str, Any]:
-        status, given_result = self._call("/fleet", None)
+        status, result = self._call("/fleet", None)
         if status != 200:
             raise OperatorError("no core leads now; try again")
-        return given_result
+        return result
 
     def _call(self, path: str, body: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
-        """Goes on to the next core only where the last one surely did nothing."""
+        """Sends a request to the first core that can serve it; returns its HTTP status and JSON body.
+
+        Continues with the next core only if the last one certainly changed nothing. Raises OperatorError if no core
+        serves the request, or if it isn't known whether a core applied the change.
+        """
         last_error = "no core address was given: use --core or PEARHEAD_CORE"
         for address in [a for a in self._cores if a]:
             try:
-                status, given_result = self._call_one(address, path, body)
-            except OSError as fault:
-                last_error = f"{address}: {fault}"
-                if body is not None and not isinstance(getattr(fault, "reason", fault), ConnectionRefusedError):
-                    raise OperatorError(f"{last_error}; the outcome is not known") from fault
+                status, result = self._call_one(address, path, body)
+            except OSError as error:
+                last_error = f"{address}: {error}"
+                if body is not None and not isinstance(getattr(error, "reason", error), ConnectionRefusedError):
+                    raise OperatorError(f"{last_error}; the outcome is not known") from error
                 continue
-            if given_result.get("status") != "unavailable":
-                return status, given_result
+            if result.get("status") != "unavailable":
+                return status, result
             last_error = f"{address}: unavailable"
         raise OperatorError(last_error)
 
@@ -182,15 +193,15 @@
         try:
             with urllib.request.urlopen(request, timeout=10) as response:
                 return response.status, json.load(response)
-        except urllib.error.HTTPError as fault:
-            with fault:
-                return fault.code, json.loads(fault.read() or b"{}")
+        except urllib.error.HTTPError as error:
+            with error:
+                return error.code, json.loads(error.read() or b"{}")
 
-    def _report_result(self, status: int, given_result: dict[str, Any], note: str) -> None:
-        if given_result.get("status") == "done":
-            print(f"done, revision {given_result['revision']}" + (f", {note}" if note else ""))
+    def _report_result(self, status: int, result: dict[str, Any], note: str) -> None:
+        if result.get("status") == "done":
+            print(f"done, revision {result['revision']}" + (f", {note}" if note else ""))
             return
-        faults = "; ".join(given_result.get("faults", [])) or given_result.get("why", "")
-        if given_result.get("status") == "conflict":
-            faults = f"the present revision is {given_result['revision']}"
-        raise OperatorError(f"{given_result.get('status')}: {faults}" + (f" ({note})" if note else ""))
+        reason = "; ".join(result.get("faults", [])) or result.get("why", "")
+        if result.get("status") == "conflict":
+            reason = f"the present revision is {result['revision']}"
+        raise OperatorError(f"{result.get('status')}: {reason}" + (f" ({note})" if note else ""))
--- a/src/pearhead/pearheadctl/query_command.py
+++ b/src/pearhead/pearheadctl/query_command.py
@@ -1,4 +1,4 @@
-"""The `pearheadctl query` command (§10.2): a shell, and one-shot queries, on the fleet's state."""
+"""The `pearheadctl query` command (§10.2): queries of the fleet's state, one at a time or in a shell."""
 
 from __future__ import annotations
 
@@ -17,40 +17,43 @@
 
 
 class FleetQueryClient:
-    """Finds every process through any core's or node's directory, and asks all at once."""
+    """Finds every process through the directory of any core or node, and queries all of them concurrently."""
 
     def __init__(self, start_addresses: list[str], key: str) -> None:
         self.start_addresses = start_addresses
         self.key = key
 
     def read(self, path: str) -> tuple[dict[str, Row], dict[str, str]]:
-        """Answers by address, and why others did not answer."""
-        given_results, silent = self._fetch_all(self.start_addresses, "/inspect")
-        found: dict[str, str] = {}
-        for given_result in given_results.values():
-            for record in given_result.get("directory", []):
-                found[record["httpAddress"]] = record["role"]
-        more = [a for a in found if a not in given_results and a not in silent]
-        more_results, more_silent = self._fetch_all(more, "/inspect")
-        given_results.update(more_results)
-        silent.update(more_silent)
+        """Returns the responses, and the reasons why other processes gave none, each by HTTP address.
+
+        `/inspect` is sent to all processes, any other path only to the cores.
+        """
+        responses, failures = self._fetch_all(self.start_addresses, "/inspect")
+        role_by_address: dict[str, str] = {}
+        for response in responses.values():
+            for record in response.get("directory", []):
+                role_by_address[record["httpAddress"]] = record["role"]
+        more_addresses = [a for a in role_by_address if a not in responses and a not in failures]
+        more_responses, more_failures = self._fetch_all(more_addresses, "/inspect")
+        responses.update(more_responses)
+        failures.update(more_failures)
         if path == "/inspect":
-            return given_results, silent
-        cores = [a for a, given_result in given_results.items() if given_result.get("kind") == "core"]
-        return self._fetch_all(cores, path)
+            return responses, failures
+        core_addresses = [a for a, response in responses.items() if response.get("kind") == "core"]
+        return self._fetch_all(core_addresses, path)
 
     def _fetch_all(self, addresses: list[str], path: str) -> tuple[dict[str, Row], dict[str, str]]:
-        given_results: dict[str, Row] = {}
-        silent: dict[str, str] = {}
+        responses: dict[str, Row] = {}
+        failures: dict[str, str] = {}
         with concurrent.futures.ThreadPoolExecutor(16) as pool:
             for address, outcome in zip(
                 addresses, pool.map(lambda a: self._fetch_one(a, path), addresses), strict=True
             ):
                 if isinstance(outcome, str):
-                    silent[address] = outcome
+                    failures[address] = outcome
                 else:
-                    given_results[address] = outcome
-        return given_results, silent
+                    responses[address] = outcome
+        return responses, failures
 
     def _fetch_one(self, address: str, path: str) -> Row | str:
         headers = {"Authorization": f"Bearer {self.key}"} if self.key else {}
@@ -58,40 +61,40 @@
         try:
             with urllib.request.urlopen(request, timeout=QUERY_TIMEOUT_SECONDS) as response:
                 return dict(json.load(response))
-        except urllib.error.HTTPError as fault:
-            return f"status {fault.code}"
-        except (OSError, ValueError) as fault:
-            return str(fault)
+        except urllib.error.HTTPError as error:
+            return f"status {error.code}"
+        except (OSError, ValueError) as error:
+            return str(error)
 
 
 class QueryCommand:
-    """Questions to the fleet. --at is one or more HTTP addresses of any processes, or PEARHEAD_CORE."""
+    """Queries of the fleet. --at takes HTTP addresses of any processes of it; the default is PEARHEAD_CORE."""
 
     def __init__(self, at: str = "", key: str = "", json: bool = False) -> None:
         addresses_text = at or os.environ.get("PEARHEAD_CORE", "")
         addresses = addresses_text.split(",") if isinstance(addresses_text, str) else list(addresses_text)
-        self._reader = FleetQueryClient([a for a in addresses if a], key or os.environ.get("PEARHEAD_OPERATOR_KEY", ""))
+        self._client = FleetQueryClient([a for a in addresses if a], key or os.environ.get("PEARHEAD_OPERATOR_KEY", ""))
         self._is_json = json
 
     def members(self) -> None:
-        """Every process: role, area, addresses, and whether it answers."""
-        given_results, silent = self._read()
+        """Prints every process with its kind, area and addresses, and those that did not answer."""
+        responses, failures = self._read()
         rows = []
-        for address, given_result in sorted(given_results.items()):
+        for address, response in sorted(responses.items()):
             rows.append(
                 {
                     "http": address,
-                    "kind": given_result["kind"],
-                    "area": given_result["area"],
-                    "address": given_result["address"],
-                    "identity": given_result["identity"][:8],
+                    "kind": response["kind"],
+                    "area": response["area"],
+                    "address": response["address"],
+                    "identity": response["identity"][:8],
                 }
             )
-        self._print_rows(rows, silent)
+        self._print_rows(rows, failures)
 
     def cores(self) -> None:
-        """Epoch, role, commit index, voters and disk of each core."""
-        given_results, silent = self._read("core")
+        """Prints role, epoch, log indexes and number of voters of each core, and whether its disk is full."""
+        responses, failures = self._read("core")
         self._print_rows(
             [
                 {
@@ -104,14 +107,14 @@
                     "voters": sum(m["voter"] for m in x["members"]),
                     "diskFull": x["diskFull"],
                 }
-                for a, x in sorted(given_results.items())
+                for a, x in sorted(responses.items())
             ],
-            silent,
+            failures,
         )
 
     def revisions(self) -> None:
-        """The revisions in force by node, and whether each node may serve by them."""
-        given_results, silent = self._read("node")
+        """Prints the revisions in force at each node, and whether it is current and may serve requests by them."""
+        responses, failures = self._read("node")
         self._print_rows(
             [
                 {
@@ -123,58 +126,58 @@
                     "weights": x["weights"],
                     "draining": x["draining"],
                 }
-                for a, x in sorted(given_results.items())
+                for a, x in sorted(responses.items())
             ],
-            silent,
+            failures,
         )
 
     def placements(self, node: str = "", last: int = 20) -> None:
-        """The last jobs of each node: where they were placed, and why."""
-        given_results, silent = self._read("node")
+        """Prints the last jobs of each node: the workers they were placed on, and why."""
+        responses, failures = self._read("node")
         self._print_rows(
             [
                 {"http": a, **placement}
-                for a, x in sorted(given_results.items())
+                for a, x in sorted(responses.items())
                 if not node or a == node
                 for placement in x["placements"][-last:]
             ],
-            silent,
+            failures,
         )
 
     def volumes(self) -> None:
-        """Freshness by node and volume: epoch, index, time left of the table, parts changing."""
-        given_results, silent = self._read("node")
+        """Prints epoch, index, remaining lifetime of the table and number of changing parts by node and volume."""
+        responses, failures = self._read("node")
         self._print_rows(
-            [{"http": a, **volume} for a, x in sorted(given_results.items()) for volume in x["volumes"]], silent
+            [{"http": a, **volume} for a, x in sorted(responses.items()) for volume in x["volumes"]], failures
         )
 
     def index(self) -> None:
-        """How many kept prefixes each node knows of each worker, and whether they are tied."""
-        given_results, silent = self._read("node")
+        """Prints how many cached prefixes each node knows of each worker, and whether they are tied to its load."""
+        responses, failures = self._read("node")
         self._print_rows(
-            [{"http": a, **copies} for a, x in sorted(given_results.items()) for copies in x["copies"]], silent
+            [{"http": a, **copies} for a, x in sorted(responses.items()) for copies in x["copies"]], failures
         )
 
     def holds(self) -> None:
-        """Who holds each worker, by the core's leader, and what each node says it holds."""
-        given_results, silent = self._read()
+        """Prints the holder of each worker's lease, as the leader knows it and as the nodes report it themselves."""
+        responses, failures = self._read()
         rows = [
             {"worker": w, "holder": h["holder"][:8], "fence": h["fence"], "said by": a}
-            for a, x in sorted(given_results.items())
+            for a, x in sorted(responses.items())
             if x["kind"] == "core" and x["role"] == "leader"
             for w, h in sorted(x["holds"].items())
         ]
         rows += [
             {"worker": w, "holder": x["identity"][:8], "fence": fence, "said by": a}
-            for a, x in sorted(given_results.items())
+            for a, x in sorted(responses.items())
             if x["kind"] == "node"
             for w, fence in sorted(x["holds"].items())
         ]
-        self._print_rows(rows, silent)
+        self._print_rows(rows, failures)
 
     def soundness(self) -> None:
-        """Jobs, outcomes, retries and reuse by node; unsound workers as each node sees them."""
-        given_results, silent = self._read("node")
+        """Prints jobs, outcomes, retries and share of reused prefix tokens by node, and its unsound workers."""
+        responses, failures = self._read("node")
         self._print_rows(
             [
                 {
@@ -186,25 +189,25 @@
                     "outcomes": x["outcomes"],
                     "unsound": x["unsound"],
                 }
-                for a, x in sorted(given_results.items())
+                for a, x in sorted(responses.items())
             ],
-            silent,
+            failures,
         )
 
     def shell(self) -> None:
-        """Asks for one query after another."""
+        """Starts an interactive shell for queries."""
         QueryShell(self).cmdloop()
 
     def _read(self, kind: str = "") -> tuple[dict[str, Row], dict[str, str]]:
-        if not self._reader.start_addresses:
+        if not self._client.start_addresses:
             print("pearheadctl query: no address was given: use --at or PEARHEAD_CORE", file=sys.stderr)
             raise SystemExit(2)
-        given_results, silent = self._reader.read("/inspect")
-        return {a: x for a, x in given_results.items() if not kind or x["kind"] == kind}, silent
+        responses, failures = self._client.read("/inspect")
+        return {a: x for a, x in responses.items() if not kind or x["kind"] == kind}, failures
 
-    def _print_rows(self, rows: list[Row], silent: dict[str, str]) -> None:
+    def _print_rows(self, rows: list[Row], failures: dict[str, str]) -> None:
         if self._is_json:
-            print(json.dumps({"rows": rows, "silent": silent}, indent=2))
+            print(json.dumps({"rows": rows, "silent": failures}, indent=2))
             return
         if rows:
             names = list(rows[0])
@@ -212,8 +215,8 @@
             widths = [max(len(n), *(len(c[i]) for c in cells)) for i, n in enumerate(names)]
             for line in [names, *cells]:
                 print("  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip())
-        for address, why in sorted(silent.items()):
-            print(f"{address} did not answer: {why}")
+        for address, reason in sorted(failures.items()):
+            print(f"{address} did not answer: {reason}")
 
 
 def _cell(value: Any) -> str:
@@ -221,6 +224,8 @@
 
 
 class QueryShell(cmd.Cmd):
+    """An interactive shell whose commands are the methods of a QueryCommand."""
+
     intro = "Questions: members cores revisions placements volumes index holds soundness; quit ends."
     prompt = "pearheadctl> "
 
@@ -229,6 +234,7 @@
         self.command = command
 
     def onecmd(self, line: str) -> bool:
+        """Runs the query named by the first word, with the other words as arguments; returns whether to exit."""
         words = shlex.split(line)
         if not words:
             return False
@@ -240,6 +246,6 @@
             return False
         try:
             query(*words[1:])
-        except (TypeError, KeyError) as fault:
-            print(f"pearheadctl query: {fault}")
+        except (TypeError, KeyError) as error:
+            print(f"pearheadctl query: {error}")
         return False
--- a/tests/test_config_checked.py
+++ b/tests/test_config_checked.py
@@ -1,4 +1,4 @@
-"""parse_dataclass: every fault of an operator's file is listed with its path."""
+"""parse_dataclass: all errors in an operator's file are reported in one go, each with its path."""
 
 from __future__ import annotations
 
--- a/tests/test_config_description.py
+++ b/tests/test_config_description.py
@@ -1,4 +1,4 @@
-"""read_description: every fault of a description is listed, also when it is read in slices."""
+"""read_description: all errors of a description are reported in one go, also when it is read in chunks."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
                 {"name": "f", "line": "a", "tenants": ["u"], "kinds": [], "service": "z", "concurrency": 0},
             ],
         }
-        faults = read_description(json.dumps(data).encode()).unwrap_err()
+        errors = read_description(json.dumps(data).encode()).unwrap_err()
         self.assertEqual(
-            sorted(f.split(":")[0] for f in faults),
+            sorted(f.split(":")[0] for f in errors),
             sorted(
                 [
                     "lines[1].name",
@@ -42,8 +42,10 @@
             ),
         )
         in_chunks = asyncio.run(read_description_in_chunks(json.dumps(data).encode(), _do_nothing))
-        self.assertEqual(in_chunks.unwrap_err(), faults)
-        many = {**data, "entries": [{}] * 450 + [{"name": 5}]}
-        shifted = asyncio.run(read_description_in_chunks(json.dumps(many).encode(), _do_nothing)).unwrap_err()
-        self.assertIn("entries[450].name: must be str, not int", shifted)
+        self.assertEqual(in_chunks.unwrap_err(), errors)
+        many_entries = {**data, "entries": [{}] * 450 + [{"name": 5}]}
+        many_errors = asyncio.run(
+            read_description_in_chunks(json.dumps(many_entries).encode(), _do_nothing)
+        ).unwrap_err()
+        self.assertIn("entries[450].name: must be str, not int", many_errors)
         self.assertIn("over", read_description(b" " * (MAX_DESCRIPTION_BYTES + 1)).unwrap_err()[0])
--- a/tests/test_config_startup.py
+++ b/tests/test_config_startup.py
@@ -1,4 +1,4 @@
-"""read_startup: every fault is listed, and flags override the file."""
+"""read_startup: all errors are reported in one go, and flags override the file."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
             "seeds": "x",
             "termMicros": 0,
         }
-        faults = read_startup("", flags, True).unwrap_err()
-        self.assertEqual([f.split(":")[0] for f in faults], ["address", "seeds[0]", "area", "dataFolder", "termMicros"])
+        errors = read_startup("", flags, True).unwrap_err()
+        self.assertEqual([f.split(":")[0] for f in errors], ["address", "seeds[0]", "area", "dataFolder", "termMicros"])
         flags.update(address="127.0.0.1:2", area="a", seeds="127.0.0.1:2,127.0.0.1:3", termMicros=5)
         startup = read_startup("", flags, False).unwrap()
         self.assertEqual((startup.seeds, startup.termMicros), (["127.0.0.1:2", "127.0.0.1:3"], 5))
--- a/tests/test_config_view.py
+++ b/tests/test_config_view.py
@@ -1,4 +1,4 @@
-"""View: a delta with a wrong base or hash is rejected."""
+"""View: a delta that is older, or has a wrong base or hash, must not change a node's view."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         change = ViewDelta(base_index=5, index=7, hash=hash_sections(sections))
         change.section.append(Section(name="weights", index=7, body=b"{}"))
         self.assertIsNotNone(view.with_delta(change))
-        self.assertIsNone(View().with_delta(change), "another base")
+        self.assertIsNone(View().with_delta(change), "a delta with another base")
         change.hash = "00"
-        self.assertIsNone(view.with_delta(change), "another hash")
-        self.assertIsNone(view.with_delta(ViewDelta(index=4, hash=view.hash)), "never downward")
+        self.assertIsNone(view.with_delta(change), "a delta with another hash")
+        self.assertIsNone(view.with_delta(ViewDelta(index=4, hash=view.hash)), "a delta to an older index")
