--- a/src/pearhead/pearheadctl/operator_command.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -17,6 +17,7 @@
 from pearhead.config.description import read_description
 
 MERGED_LIST_NAMES = ("lines", "services", "entries", "tenants")
+# A partial apply without --base is merged and sent again if another change was applied in between.
 PARTIAL_APPLY_ATTEMPTS = 5
 
 
@@ -78,9 +79,9 @@
         """Applies a whole file, or with --partial its items. Fails if --base is given and not the present revision."""
         file_data = read_file(file)
         for _ in range(PARTIAL_APPLY_ATTEMPTS):
-            present = self._fetch_fleet()
-            effective_base = base if base >= 0 else present["descriptionRevision"]
-            description = merge_partial(present["description"], file_data) if partial else file_data
+            fleet = self._fetch_fleet()
+            effective_base = base if base >= 0 else fleet["descriptionRevision"]
+            description = merge_partial(fleet["description"], file_data) if partial else file_data
             body = {
                 "applyId": apply_id or secrets.token_hex(12),
                 "base": effective_base,
@@ -115,11 +116,11 @@
 
     def weights(self, line: str, name: str, base: int = -1, apply_id: str = "") -> None:
         """Sets the weights of a model line. Fails if others were set since revision --base (default: the present)."""
-        present = self._fetch_fleet()["weights"].get(line, {}).get("revision", 0)
+        present_revision = self._fetch_fleet()["weights"].get(line, {}).get("revision", 0)
         body = {
             "line": line,
             "weights": name,
-            "base": base if base >= 0 else present,
+            "base": base if base >= 0 else present_revision,
             "applyId": apply_id or secrets.token_hex(12),
         }
         status, result = self._call("/weights", body)
--- a/src/pearhead/pearheadctl/query_command.py
+++ b/src/pearhead/pearheadctl/query_command.py
@@ -211,7 +211,7 @@
             return
         if rows:
             names = list(rows[0])
-            cells = [[_cell(row.get(name)) for name in names] for row in rows]
+            cells = [[_format_cell(row.get(name)) for name in names] for row in rows]
             widths = [max(len(n), *(len(c[i]) for c in cells)) for i, n in enumerate(names)]
             for line in [names, *cells]:
                 print("  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip())
@@ -219,7 +219,7 @@
             print(f"{address} did not answer: {reason}")
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     return json.dumps(value) if isinstance(value, (dict, list)) else str(value)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -219,7 +219,7 @@
             for name in names:
                 launcher.send_signal(name, signal.SIGKILL)
             for name in names:
-                launcher.wait_until(lambda name=name: not launcher.is_alive(name), f"the end of {name}")  # type: ignore[misc]
+                launcher.wait_until(lambda name=name: not launcher.is_alive(name), f"{name} has exited")  # type: ignore[misc]
                 launcher.start(name)
 
         reports.append(self.call_during(120, 22_000, kill_all))
