--- a/src/pearhead/pearheadctl/operator_command.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -73,7 +73,7 @@
         checked = read_description(json.dumps(read_file(file)).encode())
         if isinstance(checked, Err):
             raise OperatorError("\n".join(checked.err_value))
-        print("the description is sound")
+        print("the description is valid")
 
     def apply(self, file: str, base: int = -1, partial: bool = False, apply_id: str = "", by: str = "") -> None:
         """Applies a whole file, or with --partial its items. Fails if --base is given and not the present revision."""
@@ -162,7 +162,7 @@
     def _fetch_fleet(self) -> dict[str, Any]:
         status, result = self._call("/fleet", None)
         if status != 200:
-            raise OperatorError("no core leads now; try again")
+            raise OperatorError("no core is the leader now; try again")
         return result
 
     def _call(self, path: str, body: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
@@ -178,7 +178,7 @@
             except OSError as error:
                 last_error = f"{address}: {error}"
                 if body is not None and not isinstance(getattr(error, "reason", error), ConnectionRefusedError):
-                    raise OperatorError(f"{last_error}; the outcome is not known") from error
+                    raise OperatorError(f"{last_error}; the outcome is unknown") from error
                 continue
             if result.get("status") != "unavailable":
                 return status, result
--- a/src/pearhead/pearheadctl/query_command.py
+++ b/src/pearhead/pearheadctl/query_command.py
@@ -226,7 +226,7 @@
 class QueryShell(cmd.Cmd):
     """An interactive shell whose commands are the methods of a QueryCommand."""
 
-    intro = "Questions: members cores revisions placements volumes index holds soundness; quit ends."
+    intro = "Queries: members cores revisions placements volumes index holds soundness; quit exits."
     prompt = "pearheadctl> "
 
     def __init__(self, command: QueryCommand) -> None:
