--- a/src/pearhead/consensus/__init__.py
+++ b/src/pearhead/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Raft: the replicated log of the control plane."""
+"""Raft consensus: the replicated log of the control plane."""
--- a/src/pearhead/consensus/append_receiver.py
+++ b/src/pearhead/consensus/append_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: takes entries from the leader into its log."""
+"""The follower's side of replication: appends the leader's entries to the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AppendReceiver:
-    """Appends what fits the log, and answers once it is synced."""
+    """Appends entries that match the log, and acknowledges them once they are synced."""
 
     def __init__(self, state: RaftState, writer: LogWriter, roles: RoleChanges, applier: Applier, send: Send) -> None:
         self.state = state
@@ -20,14 +20,14 @@
         self.send = send
 
     def take_append_ask(self, identity: str, address: str, ask: AppendAsk) -> None:
-        """Takes a batch of entries or a heartbeat."""
+        """Handles a batch of entries or a heartbeat."""
         if ask.epoch < self.state.term:
             self._answer(address, ask)
             return
         self.roles.follow(ask.epoch, identity)
         log = self.state.log
         if self.state.is_installing_snapshot:
-            # On a slow disk a snapshot takes long to be written, and that is no silence.
+            # Writing a snapshot to a slow disk takes long; the response shows the leader that this member is alive.
             self._answer(address, ask, is_waiting=True)
         elif ask.previous_index < log.base_index:
             self._answer(address, ask, is_success=True, match_index=min(log.base_index, log.durable_index))
@@ -49,7 +49,7 @@
         self.send(address, "append_result", result)
 
     def _find_conflict_hint(self, ask: AppendAsk) -> int:
-        """The last index that may match: skips back over the whole conflicting term."""
+        """The last index that may match the leader's log: skips back over the whole conflicting term."""
         log = self.state.log
         hint_index = min(log.last_index(), ask.previous_index - 1)
         conflict_term = log.term_at(hint_index)
@@ -71,22 +71,22 @@
         if records or self.writer.is_busy():
             self.writer.persist(records, acknowledge)
             if self.writer.is_slow():
-                # A disk that stalls is no silence: reads are confirmed and nobody steps down for it.
+                # The disk stalls. This response confirms reads and keeps the leader from stepping down.
                 self._answer(address, ask, is_waiting=True)
         else:
             acknowledge()
         self.applier.commit_to(min(ask.commit_index, match_index))
 
     def _append_missing_entries(self, ask: AppendAsk) -> list[LogRecord]:
-        """Appends the entries that the log lacks in place of those that conflict; returns what is to be written."""
+        """Appends the entries that the log lacks and truncates conflicting ones; returns the records to write."""
         log = self.state.log
         records: list[LogRecord] = []
         for entry in ask.entry:
-            held_term = log.term_at(entry.index) if entry.index <= log.last_index() else 0
-            if held_term == entry.epoch:
+            existing_term = log.term_at(entry.index) if entry.index <= log.last_index() else 0
+            if existing_term == entry.epoch:
                 continue
             if entry.index <= log.last_index():
-                assert entry.index > self.state.commit_index, "a committed entry would be cut"
+                assert entry.index > self.state.commit_index, "a committed entry would be truncated"
                 log.truncate_from(entry.index)
                 records.append(LogRecord(cut_from=entry.index))
             log.append(entry)
--- a/src/pearhead/consensus/applier.py
+++ b/src/pearhead/consensus/applier.py
@@ -13,7 +13,7 @@
 
 
 class Applier:
-    """Applies each committed entry once, in the order of the log."""
+    """Applies each committed entry once, in log order, and notifies listeners."""
 
     def __init__(
         self, state: RaftState, machine: StateMachine, proposals: PendingProposals, snapshots: SnapshotStore
@@ -26,7 +26,7 @@
         self.commit_listeners: list[Callable[[], None]] = []
 
     def commit_to(self, index: int) -> None:
-        """Commits and applies all entries up to this index, as far as the log holds them."""
+        """Commits and applies all entries up to this index, as far as the log reaches."""
         log = self.state.log
         self.state.commit_index = max(self.state.commit_index, min(index, log.last_index()))
         while self.state.applied_index < self.state.commit_index:
--- a/src/pearhead/consensus/election_timer.py
+++ b/src/pearhead/consensus/election_timer.py
@@ -1,4 +1,4 @@
-"""When a follower that hears no leader stands for election."""
+"""The election timeout: when a member without a leader starts an election."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 HEARTBEAT_INTERVAL_MICROS = 100 * MILLI
 ELECTION_TIMEOUT_MICROS = 500 * MILLI
 ELECTION_SPREAD_MICROS = 400 * MILLI
-# Heartbeats reach one follower later than another: that must not cost a round of votes.
+# While a leader was heard within this time, requests for votes are refused, except in a leadership transfer. It is
+# shorter than the election timeout, because heartbeats reach some followers later than others, and that must not cost
+# a round of votes.
 LEADER_PRESENT_MICROS = ELECTION_TIMEOUT_MICROS - HEARTBEAT_INTERVAL_MICROS
-# A vote needs two syncs, a pre-vote none.
+# A vote takes two disk syncs, the candidate's and the voter's; a pre-vote takes none.
 PRE_VOTE_RETRY_MICROS, VOTE_RETRY_MICROS = 200 * MILLI, 350 * MILLI
 RETRY_SPREAD_MICROS = 250 * MILLI
 
 
 class ElectionTimer:
-    """The randomized election deadline, and when the leader was heard last."""
+    """The randomized election deadline, and the time of the last contact with the leader; times in microseconds."""
 
     def __init__(self, clock: Clock, random_source: random.Random) -> None:
         self.clock = clock
@@ -26,21 +28,24 @@
         self.heard_leader_micros = -ELECTION_TIMEOUT_MICROS
 
     def reset(self) -> None:
-        """Puts the deadline off by a whole randomized timeout."""
+        """Sets the deadline to a full randomized election timeout from now."""
         wait_micros = ELECTION_TIMEOUT_MICROS + self.random_source.randrange(ELECTION_SPREAD_MICROS)
         self.deadline_micros = self.clock.now() + wait_micros
 
     def expire(self) -> None:
-        """Lets the deadline be now."""
+        """Sets the deadline to now."""
         self.deadline_micros = self.clock.now()
 
     def retry_soon(self, is_pre_vote: bool) -> None:
-        """A pre-vote disturbs nobody, so one that came too early or was lost costs only this much."""
+        """Sets the deadline to a short randomized delay from now, for the next attempt.
+
+        A pre-vote disturbs no other member, so one that came too early or was lost costs only this delay.
+        """
         wait_micros = PRE_VOTE_RETRY_MICROS if is_pre_vote else VOTE_RETRY_MICROS
         self.deadline_micros = self.clock.now() + wait_micros + self.random_source.randrange(RETRY_SPREAD_MICROS)
 
     def record_leader_contact(self) -> None:
-        """The leader was heard."""
+        """Records a message from the leader and resets the deadline."""
         self.heard_leader_micros = self.clock.now()
         self.reset()
 
@@ -49,5 +54,5 @@
         return self.clock.now() >= self.deadline_micros
 
     def is_leader_present(self) -> bool:
-        """Whether a leader was heard so recently that nobody else should be elected."""
+        """Whether a leader was heard so recently that no other member should be elected."""
         return self.clock.now() - self.heard_leader_micros < LEADER_PRESENT_MICROS
--- a/src/pearhead/consensus/elections.py
+++ b/src/pearhead/consensus/elections.py
@@ -1,4 +1,7 @@
-"""Elections with pre-votes: asks for votes, grants them, counts them."""
+"""Elections with pre-votes: requests, grants and counts votes.
+
+In messages, a pre-vote is called a trial, a term an epoch and a leadership transfer a handover.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class Elections:
-    """A member's part in elections, as candidate and as voter."""
+    """A member's role in elections, as candidate and as voter."""
 
     def __init__(
         self, state: RaftState, writer: LogWriter, timer: ElectionTimer, roles: RoleChanges, send: Send
@@ -27,7 +30,11 @@
     # ---- voter -----------------------------------------------------------------------------------
 
     def take_vote_ask(self, identity: str, address: str, ask: VoteAsk) -> None:
-        """Term and log decide, not who is known as a voter here: this log may lack the candidate's promotion (§4.1)."""
+        """Handles a request for a vote or a pre-vote.
+
+        Only term and log decide, not whether this member knows the candidate as a voter: the entry that promoted the
+        candidate may be missing from this member's log (§4.1).
+        """
         if (self.timer.is_leader_present() or self.state.is_leader()) and not ask.handover:
             self.answer(address, ask, is_granted=False)
             return
@@ -37,8 +44,8 @@
         if ask.trial:
             self.answer(address, ask, is_granted=is_up_to_date and ask.epoch > self.state.term)
             return
-        is_free = self.state.voted_for in ("", identity)
-        if not (is_up_to_date and ask.epoch == self.state.term and is_free):
+        is_vote_available = self.state.voted_for in ("", identity)
+        if not (is_up_to_date and ask.epoch == self.state.term and is_vote_available):
             self.answer(address, ask, is_granted=False)
             return
         self._vote_for(identity, address, ask)
@@ -54,37 +61,44 @@
         self.writer.persist_vote(lambda: self.answer(address, ask, is_granted=self.state.term == vote_term))
 
     def answer(self, address: str, ask: VoteAsk, is_granted: bool) -> None:
-        """Always tells this member's own term: one that was only asked for is nobody's yet, and none may adopt it."""
+        """Sends the response to a vote request, always with this member's own term.
+
+        No member is in the term that a pre-vote asks about yet, so no member may adopt it from a response.
+        """
         result = VoteResult(epoch=self.state.term, granted=is_granted, trial=ask.trial, asked=ask.epoch)
         self.send(address, "vote_result", result)
 
     # ---- candidate -------------------------------------------------------------------------------
 
     def handle_election_timeout(self) -> None:
-        """The election deadline has passed."""
+        """Starts a pre-vote if this member may campaign and its disk is not stalled; otherwise resets the timer."""
         if self.can_campaign() and not self.writer.is_stalled():
             self.start(is_pre_vote=True, is_transfer=False)
         else:
             self.timer.reset()
 
     def can_campaign(self) -> bool:
-        """A voter that an uncommitted change leaves out may hold the longest log: it stands until that is committed."""
+        """Whether this member may start an election.
+
+        A voter that an uncommitted membership change removes may hold the longest log, and then no other member can
+        win. So it may campaign until the change is committed.
+        """
         if self.state.is_installing_snapshot:
             return False
         identity, log = self.state.identity, self.state.log
-        present = log.membership()
-        if present.index <= self.state.commit_index:
-            return identity in present.voters
-        return identity in present.voters or identity in log.membership_at(present.index - 1).voters
+        latest = log.membership()
+        if latest.index <= self.state.commit_index:
+            return identity in latest.voters
+        return identity in latest.voters or identity in log.membership_at(latest.index - 1).voters
 
     def take_elect_now(self, ask: ElectNow) -> None:
-        """The leader of this term transfers its leadership to this member."""
+        """Starts an election at once, without a pre-vote, because the leader of this term transfers its leadership."""
         is_voter = self.state.identity in self.state.log.membership().voters
         if ask.epoch == self.state.term and is_voter and not self.state.is_installing_snapshot:
             self.start(is_pre_vote=False, is_transfer=True)
 
     def start(self, is_pre_vote: bool, is_transfer: bool) -> None:
-        """Becomes a candidate; a vote goes out once the own one is synced, a pre-vote at once."""
+        """Becomes a candidate and requests pre-votes at once, or votes once the vote for itself is synced."""
         self.timer.retry_soon(is_pre_vote)
         self.state.role = Role.CANDIDATE
         self.state.leader_identity = ""
@@ -122,10 +136,10 @@
         self.count_votes()
 
     def take_vote_result(self, identity: str, result: VoteResult) -> None:
-        """Counts a vote that was granted in the election under way."""
+        """Handles the response to a vote request; counts a vote granted in the current election."""
         if result.epoch > self.state.term:
             self.roles.become_follower(result.epoch)
-            # Refused for its term alone, this member may well be the one to win: it asks again soon.
+            # A request refused only for its old term may win in a newer one, so this member retries soon.
             self.timer.retry_soon(is_pre_vote=True)
             return
         if self.state.role != Role.CANDIDATE or not result.granted or result.trial != self.is_pre_vote:
@@ -136,7 +150,7 @@
         self.count_votes()
 
     def count_votes(self) -> None:
-        """A majority of pre-votes leads to a vote, and one of votes to leadership."""
+        """Starts the real vote after a majority of pre-votes, and becomes leader after a majority of votes."""
         if not self.state.log.membership().has_quorum(self.granted_by):
             return
         if self.is_pre_vote:
--- a/src/pearhead/consensus/leadership_transfer.py
+++ b/src/pearhead/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Moves leadership to another voter, so that nobody waits for an election timeout."""
+"""Transfers leadership to another voter without waiting for an election timeout."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeadershipTransfer:
-    """A transfer under way, during which nothing is proposed."""
+    """The leadership transfer of this member as leader; while one is in progress, proposals are refused."""
 
     def __init__(self, state: RaftState, clock: Clock, send: Send) -> None:
         self.state = state
@@ -20,11 +20,14 @@
         self.target = ""
 
     def is_in_progress(self) -> bool:
-        """Whether a target was chosen and neither leads yet nor took too long."""
+        """Whether a transfer has been started and has neither ended nor timed out."""
         return self.deadline_micros is not None
 
     def start(self) -> bool:
-        """Chooses the voter that holds the most of the log; False if there is none."""
+        """Starts a transfer to the voter that holds the most of the log.
+
+        Returns False if this member does not lead or there is no other voter.
+        """
         if not self.state.is_leader():
             return False
         candidates = [i for i in self._voters() if i != self.state.identity and i in self.state.followers]
@@ -36,7 +39,7 @@
         return True
 
     def try_to_finish(self) -> None:
-        """Lets the target stand for election as soon as it holds the whole log."""
+        """Tells the target to start an election if it holds the whole log."""
         if not self.is_in_progress() or not self.state.is_leader():
             return
         follower = self.state.followers.get(self.target)
@@ -44,17 +47,20 @@
             self._send_elect_now(self.target)
 
     def transfer_at_once(self) -> None:
-        """A leader that must step down lets the best follower stand, whatever it lacks."""
+        """Tells the most up-to-date voter to start an election, even if it lacks entries.
+
+        For a leader that must step down and can't wait.
+        """
         candidates = [i for i in self._voters() if i in self.state.followers]
         if candidates:
             self._send_elect_now(self.state.best_follower(candidates))
 
     def cancel(self) -> None:
-        """Ends the transfer, if one is under way."""
+        """Ends the transfer, if one is in progress."""
         self.deadline_micros = None
 
     def cancel_if_late(self) -> None:
-        """Ends a transfer whose target did not take over in time."""
+        """Cancels a transfer whose target did not take over within TRANSFER_TIMEOUT_MICROS."""
         if self.deadline_micros is not None and self.clock.now() > self.deadline_micros:
             self.cancel()
 
--- a/src/pearhead/consensus/membership.py
+++ b/src/pearhead/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Membership (§4.1): who votes, and when enough of them agree, also while a joint change is under way."""
+"""Memberships (§4.1): the voters and learners, and what a quorum is, also during joint consensus."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """The members by one entry of the log. Immutable; the entry of a joint change needs two majorities."""
+    """The members defined by one log entry; immutable. During joint consensus, two majorities are needed."""
 
     index: int
     members: Members
 
     @cached_property
     def voter_sets(self) -> tuple[frozenset[str], ...]:
-        """The sets of which each must agree by its own majority: one, or two during a joint change."""
+        """The sets of voters of which each needs its own majority: one, or two during a joint change."""
         incoming = frozenset(m.identity for m in self.members.member if m.voter)
         if not self.members.joint:
             return (incoming,)
@@ -26,27 +26,27 @@
 
     @cached_property
     def voters(self) -> dict[str, str]:
-        """Addresses by identity of all who vote, in either set."""
-        every = frozenset().union(*self.voter_sets)
-        return {m.identity: m.address for m in self.members.member if m.identity in every}
+        """Addresses of all voters by identity, in either set."""
+        all_voters = frozenset().union(*self.voter_sets)
+        return {m.identity: m.address for m in self.members.member if m.identity in all_voters}
 
     @cached_property
     def addresses(self) -> dict[str, str]:
-        """Addresses by identity, learners among them."""
+        """Addresses of all members by identity, learners included."""
         return {m.identity: m.address for m in self.members.member}
 
     @property
     def is_joint(self) -> bool:
-        """Whether a change is under way that a second entry must end."""
+        """Whether a joint change is in progress, which a second entry must end."""
         return self.members.joint
 
     def has_quorum(self, agreeing: Collection[str]) -> bool:
-        """Whether these identities hold a majority of each set of voters; never true where nobody votes."""
-        held = set(agreeing)
-        return all(len(held & voters) > len(voters) // 2 for voters in self.voter_sets)
+        """Whether these identities include a majority of each set of voters; always False without voters."""
+        agreeing_set = set(agreeing)
+        return all(len(agreeing_set & voters) > len(voters) // 2 for voters in self.voter_sets)
 
     def quorum_value(self, value_of: Callable[[str], int]) -> int:
-        """The highest value that a majority of each set has reached."""
+        """The highest value that a majority of each set of voters has reached; 0 without voters."""
         return min(_majority_value(sorted(map(value_of, voters), reverse=True)) for voters in self.voter_sets)
 
 
@@ -55,26 +55,26 @@
 
 
 def make_joint(present: Members, changed: Members) -> Members:
-    """The first of the two entries that lead from the present voters to others (Raft's joint consensus)."""
+    """The members of the first of the two entries of Raft's joint consensus: both the present and the new voters."""
     joint = Members(wanted=changed.wanted, joint=True)
     outgoing = {m.identity: m for m in present.member if m.voter}
     for member in changed.member:
-        added = Member()
-        added.CopyFrom(member)
-        added.outgoing = member.identity in outgoing
-        joint.member.append(added)
-    listed = {m.identity for m in changed.member}
+        joint_member = Member()
+        joint_member.CopyFrom(member)
+        joint_member.outgoing = member.identity in outgoing
+        joint.member.append(joint_member)
+    changed_identities = {m.identity for m in changed.member}
     for identity, member in outgoing.items():
-        if identity not in listed:
-            gone = Member()
-            gone.CopyFrom(member)
-            gone.voter, gone.outgoing = False, True
-            joint.member.append(gone)
+        if identity not in changed_identities:
+            removed_voter = Member()
+            removed_voter.CopyFrom(member)
+            removed_voter.voter, removed_voter.outgoing = False, True
+            joint.member.append(removed_voter)
     return joint
 
 
 def end_joint(joint: Members) -> Members:
-    """The second entry: the incoming voters alone; who voted before and does no more stays as a learner."""
+    """The members of the second entry: only the new voters vote; voters that were removed stay as learners."""
     ended = Members(wanted=joint.wanted)
     for member in joint.member:
         kept = Member()
@@ -85,6 +85,6 @@
 
 
 def list_memberships(base: Membership, entries: Collection[Entry], kind: int) -> list[Membership]:
-    """The base and all later ones in a log, oldest first; entries of members are those of this kind."""
-    later = [Membership(e.index, Members.FromString(e.payload)) for e in entries if e.kind == kind]
-    return [base, *later]
+    """The base membership and all later ones among the entries, oldest first; `kind` is that of membership entries."""
+    later_memberships = [Membership(e.index, Members.FromString(e.payload)) for e in entries if e.kind == kind]
+    return [base, *later_memberships]
--- a/src/pearhead/consensus/membership_change.py
+++ b/src/pearhead/consensus/membership_change.py
@@ -1,4 +1,4 @@
-"""Changes of members: of one voter by one entry, of several by joint consensus (§4.1)."""
+"""Membership changes: of one voter by a single entry, of several by joint consensus (§4.1)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MembershipChanges:
-    """The changes that this member makes as leader, one at a time."""
+    """Makes membership changes on the leader, one at a time."""
 
     def __init__(self, state: RaftState, roles: RoleChanges, transfer: LeadershipTransfer, propose: Propose) -> None:
         self.state = state
@@ -32,28 +32,32 @@
         self.watchers: list[MembersWatcher] = []
 
     async def change(self, changed: Members) -> ProposalResult:
-        """Changes the members to these; returns when the change is whole."""
+        """Changes the members to these; returns once the whole change is applied.
+
+        The result is an error if this member does not lead, if another change is in progress, or if leadership is lost
+        meanwhile.
+        """
         if not self.state.is_settled():
             return Err(NOT_LEADER)
-        present = self.state.log.membership()
-        if present.index > self.state.commit_index or present.is_joint:
+        latest = self.state.log.membership()
+        if latest.index > self.state.commit_index or latest.is_joint:
             return Err(CHANGE_IN_PROGRESS)
         changed_voters = {m.identity for m in changed.member if m.voter}
-        if len(present.voters.keys() ^ changed_voters) <= 1:
+        if len(latest.voters.keys() ^ changed_voters) <= 1:
             return await self._propose_members(changed)
-        begun = await self._propose_members(make_joint(present.members, changed))
-        if isinstance(begun, Err) or self.joint_end_proposal is None:
-            return begun
+        joint_result = await self._propose_members(make_joint(latest.members, changed))
+        if isinstance(joint_result, Err) or self.joint_end_proposal is None:
+            return joint_result
         return await self.joint_end_proposal
 
     def end_joint_change(self) -> None:
-        """Ends a joint change as soon as its first entry is committed, whoever began it."""
-        present = self.state.log.membership()
-        if present.is_joint and present.index <= self.state.commit_index and self.state.is_settled():
-            self.joint_end_proposal = self._propose_members(end_joint(present.members))
+        """Proposes the end of a joint change once its first entry is committed, even if another leader began it."""
+        latest = self.state.log.membership()
+        if latest.is_joint and latest.index <= self.state.commit_index and self.state.is_settled():
+            self.joint_end_proposal = self._propose_members(end_joint(latest.members))
 
     def handle_committed_members(self, entry: Entry) -> None:
-        """Members were committed: a leader tells them, and steps down if it is no voter any more."""
+        """Handles a committed membership: the leader notifies watchers, and steps down if it is no longer a voter."""
         if not self.state.is_leader():
             return
         for watcher in self.watchers:
--- a/src/pearhead/consensus/persistence.py
+++ b/src/pearhead/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Writes term, vote and entries of one member to its log on disk, in order, and tells when they are synced."""
+"""Writes a member's term, vote and entries to its write-ahead log in order, and calls back when they are synced."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 from pearhead.runtime.clock import MILLI, Clock, sleep_for
 
 LOGGER = logging.getLogger("pearhead")
+# With a sync longer than this, a member must not lead.
 STALLED_FLUSH_MICROS = 1_500 * MILLI
+# With a sync longer than this, a follower answers at once that it waits for its disk.
 SLOW_FLUSH_MICROS = 50 * MILLI
+# The delay before a batch is written again to a disk that was full.
 FULL_RETRY_MICROS = 500 * MILLI
 
 SyncedCallback = Callable[[], None]
 
 
 def do_nothing() -> None:
-    """The callback of a record whose sync nobody waits for."""
+    """A callback for records whose sync nothing waits for."""
 
 
 class LogWriter:
-    """Group commit: all records that gather while one batch is synced go as the next batch."""
+    """Writes records with group commit: those queued while one batch is being synced form the next batch."""
 
     def __init__(self, state: RaftState, wal: Wal, clock: Clock, fail: Callable[[str], None]) -> None:
         self.state = state
@@ -39,39 +42,39 @@
         self.disk_full = False
 
     def persist(self, records: list[LogRecord], callback: SyncedCallback) -> None:
-        """Queues records; the callback runs when these and all earlier ones are synced."""
+        """Queues records; the callback runs once these and all earlier ones are synced."""
         self.pending_records.extend(records)
         self.pending_callbacks.append(callback)
         self.wake.set()
 
     def persist_vote(self, callback: SyncedCallback) -> None:
-        """Queues the present term and vote."""
+        """Queues the current term and vote; the callback runs once they are synced."""
         mark = Mark(epoch=self.state.term, voted_for=self.state.voted_for)
         self.persist([LogRecord(mark=mark)], callback)
 
     async def drain(self) -> None:
-        """Returns when all records queued so far are synced."""
+        """Waits until all records queued so far are synced."""
         drained: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.persist([], lambda: drained.set_result(None))
         await drained
 
     def is_busy(self) -> bool:
-        """Whether records wait or are being synced."""
+        """Whether any records are queued or being synced."""
         return bool(self.pending_records) or self.flush_started is not None
 
     def is_slow(self) -> bool:
-        """Whether the present sync takes longer than a leader should wait without any answer."""
+        """Whether the sync in progress takes longer than a leader should wait for a response."""
         return self._flush_micros() > SLOW_FLUSH_MICROS
 
     def is_stalled(self) -> bool:
-        """Whether the disk is full or a sync takes so long that this member must not lead."""
+        """Whether the disk is full or the sync in progress takes so long that this member must not lead."""
         return self.disk_full or self._flush_micros() > STALLED_FLUSH_MICROS
 
     def _flush_micros(self) -> int:
         return self.clock.now() - self.flush_started if self.flush_started is not None else 0
 
     async def run(self) -> None:
-        """Writes what is queued, for ever."""
+        """Writes queued records; runs until it is cancelled."""
         while True:
             await self.wake.wait()
             self.wake.clear()
@@ -95,9 +98,10 @@
                 await sleep_for(self.clock, FULL_RETRY_MICROS)
 
     def handle_snapshot_error(self, disk_error: OSError) -> None:
-        """A snapshot could not be written."""
+        """Handles a failed write of a snapshot: a full disk is retried, any other error ends the process."""
         self._record_disk_error(disk_error)
-        # Written until the disk takes it: without it nobody would see that there is room again.
+        # The writer retries this record until it succeeds. Without it, a member that has nothing else to write
+        # would never notice that the disk has room again.
         self.persist_vote(do_nothing)
 
     def _record_disk_error(self, disk_error: OSError) -> None:
@@ -106,5 +110,5 @@
                 LOGGER.error("consensus: The disk is full.")
             self.disk_full = True
             return
-        # After a failed sync nothing is known of the file: going on could lose an acknowledgement.
+        # After a failed sync the content of the file is unknown; continuing could lose acknowledged records.
         self.fail(f"the disk failed: {disk_error}")
--- a/src/pearhead/consensus/raft.py
+++ b/src/pearhead/consensus/raft.py
@@ -1,6 +1,7 @@
-"""RaftMember (§4.1): agreement among the control-plane processes, put together from its parts.
+"""Raft consensus among the control-plane processes (§4.1): RaftMember assembles its components.
 
-The member is driven by messages, by a tick and by its disk. Its parts share one RaftState; each has one job.
+A member is driven by messages, by a periodic tick and by completed disk writes. Its components share one RaftState,
+and each has one task.
 """
 
 from __future__ import annotations
@@ -51,7 +52,10 @@
 
 
 class RaftMember:
-    """One member, with what others ask of it; each message goes to the part whose job it is."""
+    """One Raft member: its public interface, which passes each call and message to the component for it.
+
+    `fail` is called with the reason when the member can't continue, after a disk error.
+    """
 
     def __init__(
         self,
@@ -69,7 +73,7 @@
         self.wal = wal
         self.clock = clock
         self.task_group = task_group
-        # When timers ran last: a process that stood still shows it here.
+        # The time of the last tick. If it is long ago, the process was suspended.
         self.ticked_micros = clock.now()
         self.state = RaftState(identity)
         self.writer = LogWriter(self.state, wal, clock, fail)
@@ -106,7 +110,7 @@
     # ---- start -----------------------------------------------------------------------------------
 
     async def recover(self) -> None:
-        """Reads term, vote, snapshot and log from disk."""
+        """Restores term, vote, snapshot and log from disk; raises WalCorruptError if the data is damaged."""
         recovered = await self.wal.recover()
         self.state.term, self.state.voted_for = recovered.mark.epoch, recovered.mark.voted_for
         if recovered.digest is not None:
@@ -114,7 +118,7 @@
         self.log.replace_entries(recovered.entries)
 
     async def bootstrap(self, own_address: str, wanted: int = 1, zone: str = "") -> None:
-        """The first founder begins alone; the others join as any new member does (§4.4)."""
+        """Founds a cluster with this member as its only voter; the other founders join like any new member (§4.4)."""
         founder = Member(identity=self.identity, address=own_address, voter=True, zone=zone)
         members = Members(member=[founder], wanted=wanted)
         entry = Entry(index=1, epoch=FIRST_TERM, kind=KIND_MEMBERS, payload=members.SerializeToString())
@@ -125,17 +129,17 @@
         self.timer.expire()
 
     def start(self) -> None:
-        """Begins to write and to tick."""
+        """Starts the log writer and the periodic tick."""
         self.timer.reset()
         self.task_group.start(self.writer.run())
         self.task_group.start(self._tick_forever())
 
     def watch_members(self, watcher: MembersWatcher) -> None:
-        """The watcher is told the index and the members of each membership that is committed while this one leads."""
+        """Calls the watcher with the index and members of each membership committed while this member leads."""
         self.membership_changes.watchers.append(watcher)
 
     def watch_leadership(self, watcher: Callable[[bool], None]) -> None:
-        """The watcher is told when this member begins to lead and when it leads no more."""
+        """Calls the watcher with True when this member becomes leader, and with False when it loses leadership."""
         self.roles.leadership_listeners.append(lambda: watcher(True))
         self.roles.step_down_listeners.append(lambda: watcher(False))
 
@@ -143,17 +147,17 @@
 
     @property
     def log(self) -> RaftLog:
-        """The log in memory."""
+        """The in-memory log."""
         return self.state.log
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self.state.term
 
     @property
     def role(self) -> Role:
-        """The present role."""
+        """The current role."""
         return self.state.role
 
     @property
@@ -173,22 +177,22 @@
 
     @property
     def followers(self) -> dict[str, Follower]:
-        """What this member, as leader, knows of each other one, by identity."""
+        """The leader's view of each other member, by identity; up to date only on the leader."""
         return self.state.followers
 
     @property
     def disk_full(self) -> bool:
-        """Whether the last write found no room."""
+        """Whether the last disk write failed because the disk is full."""
         return self.writer.disk_full
 
     @property
     def heard_leader_micros(self) -> int:
-        """When the leader was heard last."""
+        """The time of the last message from a leader, in microseconds of the member's clock."""
         return self.timer.heard_leader_micros
 
     @property
     def is_installing_snapshot(self) -> bool:
-        """Whether a snapshot from the leader is being written."""
+        """Whether a snapshot from the leader is being installed."""
         return self.state.is_installing_snapshot
 
     def is_empty(self) -> bool:
@@ -204,19 +208,19 @@
         return self.log.entry_at(index)
 
     def membership(self) -> Membership:
-        """The latest membership in the log, which is in force whether it is committed or not."""
+        """The latest membership in the log; as Raft requires, it is in force before it is committed."""
         return self.log.membership()
 
     def members(self) -> Members:
-        """The latest members in the log, learners among them."""
+        """The members of the latest membership in the log, learners included."""
         return self.membership().members
 
     def voters(self) -> dict[str, str]:
-        """Addresses by identity of all who vote; during a joint change those of both sets."""
+        """Addresses of all voters by identity; during a joint change, those of both sets."""
         return self.membership().voters
 
     def is_leader(self) -> bool:
-        """Whether this member leads, as far as it knows."""
+        """Whether this member considers itself the leader; it may have been replaced without knowing it yet."""
         return self.state.is_leader()
 
     def leader_address(self) -> str:
@@ -224,13 +228,20 @@
         return self.membership().addresses.get(self.state.leader_identity, "")
 
     def settled(self) -> bool:
-        """A leader reads and changes members only after an entry of its own term committed."""
+        """Whether this member leads and has committed an entry of its own term.
+
+        Only then may it confirm reads and change the membership.
+        """
         return self.state.is_settled()
 
     # ---- requests to the leader ------------------------------------------------------------------
 
     def propose(self, payload: bytes, kind: int = KIND_COMMAND) -> Proposal:
-        """Appends an entry; the result comes when it is applied, or when this member leads no more."""
+        """Appends an entry; the result arrives when it is applied or when this member loses leadership.
+
+        Fails with NOT_LEADER, without appending, if this member does not lead, transfers its leadership or its disk is
+        full.
+        """
         if not self.is_leader() or self.transfer.is_in_progress() or self.disk_full:
             return refuse_proposal()
         proposal = self.proposals.add(self.last_index() + 1, self.term)
@@ -238,11 +249,14 @@
         return proposal
 
     async def change_members(self, changed: Members) -> ProposalResult:
-        """Changes the members to these; returns when the change is whole."""
+        """Changes the members to these; returns once the whole change is applied, see MembershipChanges.change."""
         return await self.membership_changes.change(changed)
 
     async def confirm(self) -> bool:
-        """True once a majority, asked after this call, still follows this leader (§4.1)."""
+        """Confirms that this member still leads: True once a majority answered messages sent after this call (§4.1).
+
+        False if this member does not lead, has not committed an entry of its own term yet, or loses leadership.
+        """
         if not self.settled():
             return False
         confirmation = self.reads.begin()
@@ -251,37 +265,37 @@
         return await confirmation
 
     def transfer_leadership(self) -> bool:
-        """Starts moving leadership to the voter that holds the most of the log."""
+        """Starts transferring leadership to the voter that holds the most of the log; False if there is none."""
         return self.transfer.start()
 
     # ---- messages --------------------------------------------------------------------------------
 
     def take_vote_ask(self, identity: str, address: str, ask: VoteAsk) -> None:
-        """A candidate asks for a vote or a pre-vote."""
+        """Handles a candidate's request for a vote or a pre-vote."""
         self.elections.take_vote_ask(identity, address, ask)
 
     def take_vote_result(self, identity: str, address: str, result: VoteResult) -> None:
-        """A voter answers a candidate."""
+        """Handles a voter's response to a vote request."""
         self.elections.take_vote_result(identity, result)
 
     def take_append_ask(self, identity: str, address: str, ask: AppendAsk) -> None:
-        """The leader sends entries or a heartbeat."""
+        """Handles entries or a heartbeat from the leader."""
         self.append_receiver.take_append_ask(identity, address, ask)
 
     def take_append_result(self, identity: str, address: str, result: AppendResult) -> None:
-        """A follower answers entries or a heartbeat."""
+        """Handles a follower's response to entries or a heartbeat."""
         self.replication.take_append_result(identity, result)
 
     def take_digest_ask(self, identity: str, address: str, ask: DigestAsk) -> None:
-        """The leader sends a piece of a snapshot."""
+        """Handles a chunk of a snapshot from the leader."""
         self.snapshot_receiver.take_digest_ask(identity, address, ask)
 
     def take_digest_result(self, identity: str, address: str, result: DigestResult) -> None:
-        """A follower answers a piece of a snapshot."""
+        """Handles a follower's response to a chunk of a snapshot."""
         self.replication.take_digest_result(identity, result)
 
     def take_elect_now(self, identity: str, address: str, ask: ElectNow) -> None:
-        """The leader transfers its leadership to this member."""
+        """Handles the leader's request to take over leadership."""
         self.elections.take_elect_now(ask)
 
     # ---- time ------------------------------------------------------------------------------------
@@ -293,7 +307,7 @@
             self.ticked_micros = self.clock.now()
 
     def tick(self) -> None:
-        """Does what is due by time alone."""
+        """Runs what is due by time: the duties of a leader, or an election after a timeout."""
         if self.is_leader():
             self._tick_as_leader()
         elif self.timer.is_expired():
--- a/src/pearhead/consensus/replication.py
+++ b/src/pearhead/consensus/replication.py
@@ -1,4 +1,4 @@
-"""A leader's side of replication: sends entries and heartbeats, and commits what a majority holds."""
+"""The leader's side of replication: sends entries and heartbeats, and commits what a majority holds."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 from pearhead.rpc.wire_pb2 import AppendAsk, AppendResult, DigestResult, Entry, LogRecord
 from pearhead.runtime.clock import SECOND, Clock
 
+# A voter that has not answered for this long counts as unreachable.
 CONTACT_TIMEOUT_MICROS = SECOND
-# A smaller batch may go twice: that costs less than to know whether it is lost.
+# Only a batch of at least this size gets a round of its own, which shows whether it was lost. A smaller batch may be
+# sent twice, which costs less than that.
 LARGE_BATCH_BYTES = 64 * 1024
+# The limits of one message.
 BATCH_ENTRIES = 256
 BATCH_BYTES = 4 * 1024 * 1024
 
 
 class LeaderReplication:
-    """Brings every follower's log to the state of the leader's."""
+    """Replicates the leader's log to every follower, and advances the commit index."""
 
     def __init__(
         self,
@@ -50,13 +53,13 @@
     # ---- the leader's log ------------------------------------------------------------------------
 
     def begin_term(self) -> None:
-        """Forgets what an earlier term knew of the followers, and appends the first entry of this one."""
+        """Discards the records of followers from an earlier term, and appends the no-op entry that begins this term."""
         self.state.followers = {}
         self._sync_followers_to_membership()
         self.append(KIND_NOOP, b"")
 
     def append(self, kind: int, payload: bytes) -> Entry:
-        """Appends an entry of the present term and sends it to all."""
+        """Appends an entry of the current term, queues it for the disk, and sends it to all followers."""
         entry = Entry(index=self.state.log.last_index() + 1, epoch=self.state.term, kind=kind, payload=payload)
         self.state.log.append(entry)
         if kind == KIND_MEMBERS:
@@ -72,7 +75,7 @@
         return entry
 
     def _sync_followers_to_membership(self) -> None:
-        """Keeps one Follower for each other member of the latest membership."""
+        """Adds and removes Follower records, so that there is one for each other member of the latest membership."""
         followers = self.state.followers
         identities = {m.identity for m in self.state.log.membership().members.member} - {self.state.identity}
         for added_identity in sorted(identities - set(followers)):
@@ -81,7 +84,7 @@
             del followers[removed_identity]
 
     def advance_commit(self) -> None:
-        """Commits what a majority holds, if the last of it is of the present term."""
+        """Commits up to the last entry that a majority holds, if that entry is of the current term."""
         if not self.state.is_leader():
             return
         quorum_index = self.state.log.membership().quorum_value(self._durable_index)
@@ -97,21 +100,22 @@
     # ---- sending ---------------------------------------------------------------------------------
 
     def broadcast(self) -> None:
-        """Sends to all followers what they lack."""
+        """Sends each follower the entries that it lacks."""
         for follower_identity in list(self.state.followers):
             self.send_append(follower_identity)
 
     def send_heartbeats(self) -> None:
-        """Sends something to each follower that got nothing for an interval."""
+        """Sends to each follower that was sent nothing for HEARTBEAT_INTERVAL_MICROS."""
         now_micros = self.clock.now()
         for follower_identity, follower in self.state.followers.items():
             if now_micros - follower.sent_micros >= HEARTBEAT_INTERVAL_MICROS:
-                # A large batch is long on its way; meanwhile an empty one goes, and tells that this one leads.
+                # A large batch takes long to arrive. Until its response is due, an empty message is the heartbeat;
+                # after that, the batch counts as lost and is sent again.
                 follower.in_flight = follower.in_flight and now_micros < follower.response_deadline_micros
                 self.send_append(follower_identity, is_heartbeat=True)
 
     def send_append(self, follower_identity: str, is_heartbeat: bool = False) -> None:
-        """Sends what one follower lacks, unless something is on its way and nothing else is due."""
+        """Sends one follower what it lacks; while a message is in flight, only if a heartbeat or a new round is due."""
         follower = self.state.followers[follower_identity]
         address = self.state.log.membership().addresses.get(follower_identity, "")
         is_round_due = follower.acknowledged_round < self.state.round_number
@@ -129,7 +133,8 @@
         if entries:
             batch_bytes = sum(len(entry.payload) for entry in entries)
             if batch_bytes >= LARGE_BATCH_BYTES:
-                # Only heartbeats sent after it have this round: if one is answered first, the batch is lost.
+                # Besides the batch, only heartbeats sent after it carry this round or a later one. If one of these is
+                # answered first, the batch was lost.
                 self.state.round_number += 1
             follower.record_send(follower.sent_micros, batch_bytes, entries[-1].index, self.state.round_number)
         elif not follower.in_flight:
@@ -138,7 +143,7 @@
         self._send_append_ask(address, previous_index, entries)
 
     def _send_snapshot(self, follower: Follower, address: str) -> None:
-        """A piece at a time; while one is on its way, no more than a heartbeat goes."""
+        """Sends the next chunk of a snapshot, or only a heartbeat while a chunk is in flight."""
         if follower.in_flight and self.clock.now() < follower.response_deadline_micros:
             self._send_append_ask(address, self.state.log.base_index, [])
         else:
@@ -156,7 +161,10 @@
         self.send(address, "append_ask", ask)
 
     def batch_after(self, index: int) -> list[Entry]:
-        """The entries that go in one message. A frame has a limit, so a batch has one too; one entry always goes."""
+        """The entries after this index that go in one message.
+
+        Frames have a size limit, so a batch is limited too; its first entry is always included.
+        """
         position = index - self.state.log.base_index
         batch = self.state.log.entries[position : position + BATCH_ENTRIES]
         batch_bytes = 0
@@ -169,7 +177,7 @@
     # ---- answers ---------------------------------------------------------------------------------
 
     def take_append_result(self, identity: str, result: AppendResult) -> None:
-        """A follower took entries, refused them, or tells that it waits for its disk."""
+        """Handles a follower's response: it appended the entries, refused them, or still waits for its disk."""
         follower = self._record_contact(identity, result.epoch, result.round)
         if follower is None:
             return
@@ -188,7 +196,7 @@
         self.transfer.try_to_finish()
 
     def _record_append_result(self, follower: Follower, result: AppendResult) -> None:
-        """Notes how much of the log a follower holds; one that gets a snapshot tells nothing of that."""
+        """Updates how much of the log a follower holds; not while it is being sent a snapshot."""
         if result.waiting or follower.snapshot is not None:
             return
         if result.success and result.match_index >= follower.batch_last_index:
@@ -203,7 +211,7 @@
             follower.next_index = max(follower.match_index + 1, hint_index)
 
     def take_digest_result(self, identity: str, result: DigestResult) -> None:
-        """A follower took a piece of a snapshot, or has installed the whole."""
+        """Handles a follower's response to a chunk of a snapshot, or to the last one once it is installed."""
         follower = self._record_contact(identity, result.epoch, result.round)
         if follower is None:
             return
@@ -213,7 +221,7 @@
             self.send_append(identity)
 
     def _record_contact(self, identity: str, result_term: int, round_number: int) -> Follower | None:
-        """The follower whose answer to this leader came; None if the answer is of another term."""
+        """Records a response and returns its follower; None if the response is of another term or not from a member."""
         if result_term > self.state.term:
             self.roles.become_follower(result_term)
             return None
@@ -224,7 +232,7 @@
         return follower
 
     def has_quorum(self) -> bool:
-        """Whether a majority answered within the last second."""
+        """Whether a majority of the voters answered within CONTACT_TIMEOUT_MICROS."""
         return self.state.log.membership().has_quorum([i for i in self._voters() if self._is_reachable(i)])
 
     def _voters(self) -> dict[str, str]:
--- a/src/pearhead/consensus/roles.py
+++ b/src/pearhead/consensus/roles.py
@@ -1,4 +1,4 @@
-"""Changes of role: a member becomes leader or follower, and who needs to know is told."""
+"""Transitions of a member between leader and follower, and the listeners that are notified of them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RoleChanges:
-    """Makes each change of role; listeners run in the order of their registration."""
+    """Performs role transitions; listeners run in the order of their registration."""
 
     def __init__(self, state: RaftState, writer: LogWriter, timer: ElectionTimer) -> None:
         self.state = state
@@ -23,7 +23,7 @@
         self.step_down_listeners: list[Callable[[], None]] = []
 
     def become_leader(self) -> None:
-        """Begins to lead in the present term, whose votes have been counted."""
+        """Becomes the leader of the current term; the caller has counted a majority of its votes."""
         LOGGER.info("consensus: Leads. epoch=%d", self.state.term)
         self.state.role = Role.LEADER
         self.state.leader_identity = self.state.identity
@@ -31,7 +31,10 @@
             listener()
 
     def become_follower(self, term: int, leader_identity: str = "") -> None:
-        """Follows, in this term if it is newer; the leader may not be known yet."""
+        """Becomes a follower, adopting the term if it is newer.
+
+        `leader_identity` is empty while the leader of the term is unknown.
+        """
         was_leader = self.state.is_leader()
         if term > self.state.term:
             self.state.term = term
@@ -46,11 +49,11 @@
                 listener()
 
     def step_down(self) -> None:
-        """Gives up leadership within the present term."""
+        """Gives up leadership without changing the term."""
         self.become_follower(self.state.term)
 
     def follow(self, term: int, leader_identity: str) -> None:
-        """A message from the leader of a term that is not older than the present one came."""
+        """Follows the leader that a message came from; its term must not be older than the current one."""
         is_known = self.state.leader_identity == leader_identity
         if term > self.state.term or self.state.role != Role.FOLLOWER or not is_known:
             self.become_follower(term, leader_identity)
--- a/src/pearhead/consensus/snapshot_receiver.py
+++ b/src/pearhead/consensus/snapshot_receiver.py
@@ -1,4 +1,7 @@
-"""A follower's side of a snapshot transfer: joins the pieces that the leader sends and installs the whole."""
+"""The follower's side of a snapshot transfer: assembles the chunks that the leader sends and installs the snapshot.
+
+In messages, a snapshot is called a digest.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True)
 class SnapshotSource:
-    """Tells one snapshot from every other: who sends it in which term, and what it is."""
+    """Identifies a snapshot in transfer: its sender and the term, its last entry, size in bytes and checksum."""
 
     leader: str
     term: int
@@ -28,13 +31,13 @@
 
 @dataclass
 class IncomingSnapshot:
-    """Joins the pieces of one snapshot; a piece of another one begins anew."""
+    """Assembles the chunks of one snapshot; a chunk of another snapshot discards what was received before."""
 
     source: SnapshotSource | None = None
     state: bytearray = field(default_factory=bytearray)
 
     def add_chunk(self, leader: str, ask: DigestAsk) -> int:
-        """Takes a piece that continues what is here; returns the offset of the piece that is wanted next."""
+        """Adds a chunk if it is the next one; returns the offset of the next chunk that is needed."""
         source = SnapshotSource(leader, ask.epoch, ask.index, ask.last_epoch, ask.total, ask.checksum)
         if source != self.source:
             self.source, self.state = source, bytearray()
@@ -43,16 +46,16 @@
         return len(self.state)
 
     def has_valid_checksum(self) -> bool:
-        """Whether the joined pieces have the checksum of the whole."""
+        """Whether the received bytes match the checksum of the whole snapshot."""
         return self.source is not None and zlib.crc32(self.state) == self.source.checksum
 
     def drop(self) -> None:
-        """Forgets all pieces."""
+        """Discards all received chunks."""
         self.source, self.state = None, bytearray()
 
 
 class SnapshotReceiver:
-    """Receives snapshots from the leader."""
+    """Receives snapshots from the leader and has them installed."""
 
     def __init__(self, state: RaftState, store: SnapshotStore, roles: RoleChanges, send: Send) -> None:
         self.state = state
@@ -62,7 +65,10 @@
         self.incoming = IncomingSnapshot()
 
     def take_digest_ask(self, identity: str, address: str, ask: DigestAsk) -> None:
-        """Takes one piece; the last one is answered only when the whole snapshot is installed."""
+        """Handles one chunk; the last one is answered only after the whole snapshot is installed.
+
+        A snapshot that fails its checksum is requested again from the start.
+        """
         result = DigestResult(epoch=self.state.term, index=ask.index, round=ask.round)
         if ask.epoch < self.state.term:
             self._answer(address, result)
--- a/src/pearhead/consensus/snapshot_sender.py
+++ b/src/pearhead/consensus/snapshot_sender.py
@@ -1,4 +1,7 @@
-"""A leader's side of a snapshot transfer: sends it to one follower piece by piece."""
+"""The leader's side of a snapshot transfer: sends the snapshot to a follower in chunks.
+
+In messages, a snapshot is called a digest.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class SnapshotSender:
-    """Sends snapshots to followers that lack entries which the log no longer holds."""
+    """Sends snapshots to followers that lack entries already compacted from the leader's log."""
 
     def __init__(self, state: RaftState, store: SnapshotStore, clock: Clock, send: Send) -> None:
         self.state = state
@@ -23,7 +26,7 @@
         self.send = send
 
     def send_chunk(self, follower: Follower, address: str) -> None:
-        """Sends the next piece; the first one fixes the snapshot that the others are of."""
+        """Sends the next chunk; with the first one, the snapshot is built that all later chunks are taken from."""
         snapshot = follower.snapshot if follower.snapshot is not None else self._begin(follower)
         offset = follower.snapshot_offset or 0
         self.state.round_number += 1
@@ -51,7 +54,7 @@
         return snapshot
 
     def handle_chunk_result(self, follower: Follower, result: DigestResult) -> bool:
-        """Notes how far the follower is; False if it only asks again for the piece that is on its way."""
+        """Updates the offset of the next chunk; False if the follower only requests the chunk in flight again."""
         is_repeat = result.next_offset == follower.snapshot_offset
         if is_repeat and follower.in_flight and follower.snapshot_offset:
             return False
--- a/src/pearhead/consensus/snapshot_store.py
+++ b/src/pearhead/consensus/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Takes snapshots of the state machine, keeps them on disk and compacts the log behind them (§4.3)."""
+"""Takes snapshots of the state machine, writes them to disk and compacts the log up to them (§4.3)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class SnapshotLimits:
-    """When a snapshot is due, by entries or by bytes, and how many entries stay in the log behind it."""
+    """When a snapshot is due, by applied entries or their bytes, and how many entries before it stay in the log."""
 
     entries_per_snapshot: int = 4_096
     kept_entries: int = 1_024
@@ -25,7 +25,7 @@
 
 
 class SnapshotStore:
-    """The snapshots of one member; one at a time is written."""
+    """The snapshots of one member; only one at a time is written."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         self.limits = limits
         self.snapshot_index = 0
         self.applied_bytes = 0
-        # A snapshot is being written, the own one or one from the leader.
+        # Whether a snapshot is being written, this member's own or one from the leader.
         self.is_busy = False
 
     def count_applied_entry(self, entry: Entry) -> None:
-        """An entry was applied, which counts towards the next snapshot."""
+        """Counts an applied entry towards the next snapshot."""
         self.applied_bytes += len(entry.payload)
 
     def snapshot_if_due(self) -> None:
-        """Begins to write a snapshot if enough was applied since the last one."""
+        """Starts writing a snapshot if enough entries or bytes were applied since the last one."""
         applied_entries = self.state.applied_index - self.snapshot_index
         is_due = (
             applied_entries >= self.limits.entries_per_snapshot or self.applied_bytes >= self.limits.bytes_per_snapshot
@@ -63,7 +63,7 @@
             self.task_group.start(self.write_snapshot(self.build()))
 
     def build(self) -> DigestFile:
-        """A snapshot of all that is applied now."""
+        """Builds a snapshot of everything applied so far."""
         applied_index = self.state.applied_index
         snapshot = DigestFile(
             index=applied_index,
@@ -74,7 +74,7 @@
         return snapshot
 
     async def write_snapshot(self, snapshot: DigestFile) -> None:
-        """Writes a snapshot, then compacts the log."""
+        """Writes a snapshot, then compacts the log; disk errors are passed to the LogWriter."""
         try:
             await self.wal.save_snapshot(snapshot)
             self.snapshot_index = snapshot.index
@@ -92,7 +92,7 @@
             log.compact_to(new_base_index)
 
     def _base_index_by_bytes(self, index: int) -> int:
-        """Behind a snapshot no more bytes of entries are kept than lead to the next one (§4.3)."""
+        """The base index that keeps at most `bytes_per_snapshot` bytes of entries before a snapshot (§4.3)."""
         kept_bytes = 0
         while index > self.state.log.base_index:
             entry = self.state.log.entry_at(index)
@@ -104,13 +104,13 @@
         return index
 
     def start_install(self, snapshot: DigestFile, on_installed: Callable[[], None]) -> None:
-        """Begins to replace the log by a snapshot from the leader; the callback runs when that is on disk."""
+        """Starts replacing the log with a snapshot from the leader; the callback runs once that is on disk."""
         self.is_busy = self.state.is_installing_snapshot = True
         self.task_group.start(self._install(snapshot, on_installed))
 
     async def _install(self, snapshot: DigestFile, on_installed: Callable[[], None]) -> None:
         try:
-            # What waits to be written goes first; nothing new is taken meanwhile.
+            # Queued records are written first; no new entries are accepted while the snapshot is installed.
             await self.writer.drain()
             kept_entries = self._entries_after(snapshot)
             await self.wal.reset_to_snapshot(snapshot, kept_entries)
@@ -124,14 +124,14 @@
             self.is_busy = self.state.is_installing_snapshot = False
 
     def _entries_after(self, snapshot: DigestFile) -> list[Entry]:
-        """The entries that follow the snapshot, if this log holds its last entry."""
+        """The entries after the snapshot; none if this log does not hold the snapshot's last entry."""
         log = self.state.log
         if snapshot.index > log.last_index() or log.term_at(snapshot.index) != snapshot.epoch:
             return []
         return log.entries[snapshot.index - log.base_index :]
 
     def load(self, snapshot: DigestFile) -> None:
-        """Replaces the state machine and the log by a snapshot that is on disk."""
+        """Replaces the state machine and the log with a snapshot that is already on disk."""
         self.machine.load_digest(snapshot.state)
         self.state.log.restore(snapshot)
         self.state.commit_index = self.state.applied_index = snapshot.index
--- a/src/pearhead/consensus/state.py
+++ b/src/pearhead/consensus/state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of one Raft member share."""
+"""The state shared by all components of one Raft member."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from pearhead.consensus.follower import Follower
 from pearhead.consensus.log import RaftLog
 
-# Sends a message: the address, the name of the message's type, and the message.
+# Sends a message; takes the target address, the message's field name in the envelope ("vote_ask"), and the message.
 Send = Callable[[str, str, Message], None]
 
 
 class StateMachine(Protocol):
-    """What the committed commands are applied to."""
+    """The application state that committed commands are applied to, in the same order on every member."""
 
     def apply(self, index: int, command_bytes: bytes) -> Any:
         """Applies a committed command and returns its outcome."""
 
     def take_digest(self) -> bytes:
-        """The whole state, for a snapshot."""
+        """Serializes the whole state for a snapshot."""
 
     def load_digest(self, digest_bytes: bytes) -> None:
-        """Replaces the whole state by that of a snapshot."""
+        """Replaces the whole state with that of a snapshot."""
 
 
 class Role(StrEnum):
-    """The three roles of Raft; a learner is a follower whom no membership names as a voter."""
+    """The three roles of Raft; a learner is a follower that the membership does not list as a voter."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -39,7 +39,7 @@
 
 @dataclass
 class RaftState:
-    """Term, vote, role, log and indexes of a member; on the leader also what it knows of each follower."""
+    """Term, vote, role, log and indexes of a member; on the leader also its view of each follower."""
 
     identity: str
     log: RaftLog = field(default_factory=RaftLog)
@@ -49,14 +49,14 @@
     leader_identity: str = ""
     commit_index: int = 0
     applied_index: int = 0
-    # While a snapshot from the leader is written, the log is of no use.
+    # While a snapshot from the leader is being written to disk, the log is about to be replaced and must not be used.
     is_installing_snapshot: bool = False
     followers: dict[str, Follower] = field(default_factory=dict)
-    # Numbers the rounds of messages to followers; an answer tells the round of what it answers.
+    # The current round of messages to followers. A response carries the round of the message that it answers.
     round_number: int = 0
 
     def is_leader(self) -> bool:
-        """Whether this member leads, as far as it knows."""
+        """Whether this member considers itself the leader; it may have been replaced without knowing it yet."""
         return self.role == Role.LEADER
 
     def is_settled(self) -> bool:
@@ -64,5 +64,5 @@
         return self.is_leader() and self.log.term_at(self.commit_index) == self.term
 
     def best_follower(self, candidates: list[str]) -> str:
-        """The identity among these followers that holds the most of the log."""
+        """The identity of the follower that holds the most of the log; the greater identity wins a tie."""
         return max(candidates, key=lambda identity: (self.followers[identity].match_index, identity))
--- a/src/pearhead/consensus/wal.py
+++ b/src/pearhead/consensus/wal.py
@@ -1,8 +1,10 @@
-"""Wal (§4.3): Raft's log on disk, in segments of checked records, with digests beside it.
+"""The write-ahead log (§4.3): Raft's log on disk in segments of checksummed records, with snapshot files beside it.
 
-A record is `magic, length, checksum, batch, records left in the batch` and a LogRecord. One batch is
-synced before the next is written, so a bad record followed by a good one of a later batch can't be a
-torn tail.
+A record is a header `magic, length, checksum, batch number, number of records left in the batch`, followed by a
+serialized LogRecord. Each batch is synced before the next one is written. A bad record that is followed by a good one
+of a later batch is therefore damage to synced data and can't be a torn tail.
+
+Stored data and messages have older names: a snapshot is a digest, a term is an epoch.
 """
 
 from __future__ import annotations
@@ -27,12 +29,12 @@
 
 
 class WalCorruptError(Exception):
-    """The log is damaged before its tail: the process must not serve from it."""
+    """Synced data of the log is damaged or missing; the process must not serve from it."""
 
 
 @dataclass
 class RecoveredLog:
-    """What the files held: the last term and vote, the latest snapshot, and the entries after it."""
+    """What recovery found on disk: the last term and vote, the latest snapshot, and the entries after it."""
 
     mark: Mark = field(default_factory=Mark)
     digest: DigestFile | None = None
@@ -41,7 +43,7 @@
 
 @dataclass
 class ParsedRecord:
-    """A record read from a segment, with its place in its batch and where it ends."""
+    """A record read from a segment, with its batch, how many records of it follow, and the offset of its end."""
 
     record: LogRecord
     batch_number: int
@@ -50,21 +52,21 @@
 
 
 def encode_record(record: LogRecord, batch_number: int, remaining_count: int = 0) -> bytes:
-    """The bytes of one record, after which so many others of its batch follow."""
+    """Encodes one record; `remaining_count` is the number of records that follow it in its batch."""
     payload_bytes = record.SerializeToString()
     check_sum = zlib.crc32(struct.pack(">QI", batch_number, remaining_count) + payload_bytes)
     return HEADER.pack(MAGIC, len(payload_bytes), check_sum, batch_number, remaining_count) + payload_bytes
 
 
 def encode_batch(records: list[LogRecord], batch_number: int) -> bytes:
-    """The bytes of all records of one batch."""
+    """Encodes all records of one batch."""
     return b"".join(
         encode_record(record, batch_number, len(records) - position - 1) for position, record in enumerate(records)
     )
 
 
 def read_record(segment_bytes: bytes, offset: int) -> ParsedRecord | None:
-    """The record at an offset; None if it isn't whole and sound."""
+    """Decodes the record at an offset; None if it is incomplete or damaged."""
     if offset + HEADER.size > len(segment_bytes):
         return None
     magic, payload_size, check_sum, batch_number, remaining_count = HEADER.unpack_from(segment_bytes, offset)
@@ -88,7 +90,7 @@
 
 
 class Wal:
-    """The write-ahead log of one member: it is recovered once, then written batch by batch."""
+    """The write-ahead log of one member: recovered once at startup, then written batch by batch."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
@@ -100,12 +102,16 @@
         self.has_dirty_tail = False
         self.mark = Mark()
         self.first_indexes: dict[int, int] = {}
-        # What the next batch must begin with: the end of a takeover that was interrupted.
+        # Records that the next batch must begin with: they complete a `reset_to_snapshot` that was interrupted.
         self.deferred_records: list[LogRecord] = []
         self.write_lock = asyncio.Lock()
 
     async def recover(self) -> RecoveredLog:
-        """Reads all files, cuts a torn tail off, and raises WalCorruptError at damage before it."""
+        """Reads all files and truncates a torn tail.
+
+        Raises WalCorruptError if the latest snapshot or a record before the tail is damaged, or if a segment or an
+        entry is missing.
+        """
         recovered = RecoveredLog()
         file_names = self.disk.names()
         snapshot_file_names = [n for n in file_names if SNAPSHOT_PATTERN.fullmatch(n)]
@@ -122,29 +128,35 @@
         return recovered
 
     def _retain_entries_after_snapshot(self, recovered: RecoveredLog) -> None:
-        """Leaves the entries after the digest, if they are of its history, and checks that none is missing."""
-        digest = recovered.digest or DigestFile()
-        held = next((e for e in recovered.entries if e.index == digest.index), None)
-        recovered.entries = [e for e in recovered.entries if e.index > digest.index]
-        is_diverged = held is not None and held.epoch != digest.epoch
-        if recovered.entries and (is_diverged or recovered.entries[0].epoch < digest.epoch):
-            # The digest was taken over from a leader, and power was lost before these entries were cut.
+        """Keeps only the entries after the snapshot, none if they belong to another history.
+
+        Raises WalCorruptError if an entry is missing.
+        """
+        snapshot = recovered.digest or DigestFile()
+        entry_at_snapshot = next((e for e in recovered.entries if e.index == snapshot.index), None)
+        recovered.entries = [e for e in recovered.entries if e.index > snapshot.index]
+        is_diverged = entry_at_snapshot is not None and entry_at_snapshot.epoch != snapshot.epoch
+        if recovered.entries and (is_diverged or recovered.entries[0].epoch < snapshot.epoch):
+            # The snapshot came from a leader, and power was lost before the conflicting entries were truncated.
             recovered.entries = []
             self.deferred_records = [LogRecord(cut_from=1)]
         for position, entry in enumerate(recovered.entries):
-            if entry.index != digest.index + 1 + position:
-                raise WalCorruptError(f"the log has a gap before entry {entry.index} after digest {digest.index}")
-        self.next_index = digest.index + 1 + len(recovered.entries)
+            if entry.index != snapshot.index + 1 + position:
+                raise WalCorruptError(f"the log has a gap before entry {entry.index} after digest {snapshot.index}")
+        self.next_index = snapshot.index + 1 + len(recovered.entries)
 
     async def append(self, records: list[LogRecord]) -> None:
-        """Writes one batch and syncs it. Only one batch is under way at a time."""
+        """Writes one batch of records and syncs it; concurrent calls run one after another.
+
+        Raises OSError if the disk fails. After that, the next write first truncates what was written of the batch.
+        """
         async with self.write_lock:
             await self._cut_dirty_tail()
             if self.segment_number == 0 or self.segment_size > MAXIMUM_SEGMENT_BYTES:
                 await self._open_segment([])
             written_records = self.deferred_records + records
             batch_bytes = encode_batch(written_records, self.batch_number + 1)
-            # What a full disk took of a batch is cut off before the next try.
+            # A full disk may accept part of a batch; that part is truncated before the next write.
             self.has_dirty_tail = True
             await self.disk.append(segment_name(self.segment_number), batch_bytes)
             self.has_dirty_tail = False
@@ -155,28 +167,32 @@
                 self._track_record(record)
 
     async def save_snapshot(self, digest: DigestFile) -> None:
-        """Writes a digest, then lets go of the segments that it covers."""
+        """Writes a snapshot, then removes the segments that it covers and all but the latest KEPT_SNAPSHOTS snapshots.
+
+        Raises OSError if the disk fails.
+        """
         async with self.write_lock:
-            # A torn tail is allowed in the last segment only.
+            # A torn tail is allowed in the last segment only, and a new segment is opened below.
             await self._cut_dirty_tail()
             await self._write_snapshot_file(digest)
             await self._open_segment([])
             for segment_number in sorted(self.first_indexes):
                 next_first = self.first_indexes.get(segment_number + 1)
-                # A segment goes only when all it holds lies at or below the digest.
+                # A segment is removed only if all its entries are covered by the snapshot.
                 if next_first is None or next_first > digest.index + 1:
                     break
                 await self._remove_segment(segment_number)
             await self._remove_old_snapshots()
 
     async def reset_to_snapshot(self, digest: DigestFile, kept_entries: list[Entry]) -> None:
-        """Takes over a digest received from a leader: what the log held before no longer counts.
+        """Replaces the log with a snapshot received from a leader and the entries that are kept after it.
 
-        The cut and the entries that are kept come with one segment, whole or not at all, and only then older segments
-        go. If it ends after the digest, `recover` sees by the entry at the digest's index which history the log is of.
+        The truncation and the kept entries are written as one new segment, atomically; older segments are removed only
+        after that. If power is lost after the snapshot was written but before the segment, `recover` compares the entry
+        at the snapshot's index to see whether the log belongs to the same history. Raises OSError if the disk fails.
         """
         async with self.write_lock:
-            # A torn tail is allowed in the last segment only.
+            # A torn tail is allowed in the last segment only, and a new segment is opened below.
             await self._cut_dirty_tail()
             await self._write_snapshot_file(digest)
             await self._open_segment([LogRecord(cut_from=1), *(LogRecord(entry=entry) for entry in kept_entries)])
@@ -190,10 +206,10 @@
             await self.disk.truncate(segment_name(self.segment_number), self.segment_size)
             self.has_dirty_tail = False
 
-    async def _write_snapshot_file(self, digest: DigestFile) -> None:
-        digest_bytes = digest.SerializeToString()
-        checksummed_bytes = struct.pack(">I", zlib.crc32(digest_bytes)) + digest_bytes
-        await self.disk.replace(snapshot_file_name(digest.index), checksummed_bytes)
+    async def _write_snapshot_file(self, snapshot: DigestFile) -> None:
+        snapshot_bytes = snapshot.SerializeToString()
+        checksummed_bytes = struct.pack(">I", zlib.crc32(snapshot_bytes)) + snapshot_bytes
+        await self.disk.replace(snapshot_file_name(snapshot.index), checksummed_bytes)
 
     async def _remove_segment(self, segment_number: int) -> None:
         await self.disk.remove(segment_name(segment_number))
@@ -205,7 +221,7 @@
             await self.disk.remove(file_name)
 
     async def _open_segment(self, records: list[LogRecord]) -> None:
-        # The mark leads each segment, so removing older ones loses no vote.
+        # Each segment begins with the term and vote, so removing older segments loses neither.
         batch = [LogRecord(mark=self.mark), *self.deferred_records, *records]
         batch_bytes = encode_batch(batch, self.batch_number + 1)
         await self.disk.replace(segment_name(self.segment_number + 1), batch_bytes)
@@ -253,13 +269,14 @@
         self.segment_size = offset
 
     def _check_tail(self, segment_number: int, segment_bytes: bytes, offset: int, is_last: bool) -> None:
-        where = f"{segment_name(segment_number)} at byte {offset}"
+        """Raises WalCorruptError unless what begins at the offset can be the torn tail of the last batch."""
+        location = f"{segment_name(segment_number)} at byte {offset}"
         if not is_last:
-            raise WalCorruptError(f"{where} is damaged, and later segments follow")
+            raise WalCorruptError(f"{location} is damaged, and later segments follow")
         torn_batch = self.batch_number + 1 if self.is_batch_complete else self.batch_number
         search_offset = segment_bytes.find(MAGIC, offset + 1)
         while search_offset >= 0:
             found = read_record(segment_bytes, search_offset)
             if found is not None and found.batch_number > torn_batch:
-                raise WalCorruptError(f"{where} is damaged, and synced records follow it")
+                raise WalCorruptError(f"{location} is damaged, and synced records follow it")
             search_offset = segment_bytes.find(MAGIC, search_offset + 1)
