--- a/tests/powerless_files.py
+++ b/tests/powerless_files.py
@@ -1,7 +1,8 @@
-"""A folder that loses power: what its names and files may hold afterwards, each in every way that is allowed.
+"""A simulated folder that loses power, with every state of its names and files that is allowed afterwards.
 
-A file holds what its last sync covered; each later write or cut is there, missing or torn. Each name that was made,
-changed or removed since the folder was last synced stands as before or after that, by itself.
+A file holds what its last sync covered; each later write or truncation may be present, missing or torn. Each name that
+was created, changed or removed since the folder was last synced may be in any of its states since then, independently
+of the others.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 
 
 @dataclass(frozen=True)
-class Cut:
+class Truncation:
     size: int
 
 
-FileStep = Write | Cut
+FileStep = Write | Truncation
 
 
 @dataclass
-class File:
+class SimulatedFile:
     synced_bytes: bytes = b""
     steps: list[FileStep] = field(default_factory=list)
 
@@ -44,7 +45,7 @@
 def _content(start_bytes: bytes, steps: list[FileStep]) -> bytes:
     content = bytearray(start_bytes)
     for step in steps:
-        if isinstance(step, Cut):
+        if isinstance(step, Truncation):
             del content[step.size :]
             continue
         if len(content) < step.offset:
@@ -54,8 +55,8 @@
 
 
 def _outcomes(step: FileStep) -> list[FileStep | None]:
-    """Missing, torn in the middle, torn before its last byte, present."""
-    if isinstance(step, Cut):
+    """What may be left of a step: nothing, a part torn in the middle or before the last byte, or all of it."""
+    if isinstance(step, Truncation):
         return [None, step]
     sizes = {len(step.content_bytes) // 2, len(step.content_bytes) - 1}
     torn: list[FileStep | None] = [Write(step.offset, step.content_bytes[:size]) for size in sorted(sizes) if size > 0]
@@ -63,36 +64,36 @@
 
 
 class PowerlessFiles:
-    """`FileSystem` in memory. Before each step, `before_step` is called: there a test takes copies, to stop in them."""
+    """A `FileSystem` in memory. `before_step` is called before each operation, so a test can copy the files there."""
 
     def __init__(self) -> None:
-        self.held: dict[str, File] = {}
-        self.synced_names: dict[str, File] = {}
-        self.changed_names: dict[str, list[File | None]] = {}
+        self.files: dict[str, SimulatedFile] = {}
+        self.synced_names: dict[str, SimulatedFile] = {}
+        self.changed_names: dict[str, list[SimulatedFile | None]] = {}
         self.before_step: Callable[[], None] = lambda: None
-        self.room: int | None = None
+        self.write_limit: int | None = None
 
     # ---- FileSystem -------------------------------------------------------------------------------
 
     def names(self) -> list[str]:
-        return sorted(self.held)
+        return sorted(self.files)
 
     def holds(self, file_name: str) -> bool:
-        return file_name in self.held
+        return file_name in self.files
 
     def read(self, file_name: str) -> bytes:
-        return self.held[file_name].present_bytes()
+        return self.files[file_name].present_bytes()
 
     def write(self, file_name: str, content_bytes: bytes, at_end: bool) -> None:
-        if file_name not in self.held:
+        if file_name not in self.files:
             self.before_step()
-            self._set_name(file_name, File())
-        written_file = self.held[file_name]
+            self._set_name(file_name, SimulatedFile())
+        written_file = self.files[file_name]
         if not at_end and written_file.present_bytes():
             self.before_step()
-            written_file.steps.append(Cut(0))
+            written_file.steps.append(Truncation(0))
         self.before_step()
-        taken_bytes = content_bytes if self.room is None else content_bytes[: self.room]
+        taken_bytes = content_bytes if self.write_limit is None else content_bytes[: self.write_limit]
         written_file.steps.append(Write(len(written_file.present_bytes()), taken_bytes))
         if len(taken_bytes) < len(content_bytes):
             raise OSError(errno.ENOSPC, "no space left")
@@ -100,56 +101,56 @@
 
     def truncate(self, file_name: str, kept_size: int) -> None:
         self.before_step()
-        self.held[file_name].steps.append(Cut(kept_size))
+        self.files[file_name].steps.append(Truncation(kept_size))
         self.sync(file_name)
 
     def sync(self, file_name: str) -> None:
         self.before_step()
-        synced_file = self.held[file_name]
+        synced_file = self.files[file_name]
         synced_file.synced_bytes = synced_file.present_bytes()
         synced_file.steps = []
 
     def rename(self, old_name: str, new_name: str) -> None:
         self.before_step()
-        moved_file = self.held[old_name]
+        moved_file = self.files[old_name]
         self._set_name(old_name, None)
         self._set_name(new_name, moved_file)
 
     def remove(self, file_name: str) -> None:
         self.before_step()
-        if file_name in self.held:
+        if file_name in self.files:
             self._set_name(file_name, None)
 
     def sync_folder(self) -> None:
         self.before_step()
-        self.synced_names = dict(self.held)
+        self.synced_names = dict(self.files)
         self.changed_names = {}
 
-    # ---- the power ---------------------------------------------------------------------------------
+    # ---- loss of power -----------------------------------------------------------------------------
 
-    def _set_name(self, file_name: str, new_file: File | None) -> None:
+    def _set_name(self, file_name: str, new_file: SimulatedFile | None) -> None:
         before = self.changed_names.setdefault(file_name, [self.synced_names.get(file_name)])
         before.append(new_file)
         if new_file is None:
-            del self.held[file_name]
+            del self.files[file_name]
         else:
-            self.held[file_name] = new_file
+            self.files[file_name] = new_file
 
     def copy(self) -> PowerlessFiles:
-        """As after a kill of the process alone: nothing is lost, and nothing more is synced."""
-        copies: dict[int, File] = {}
+        """The files after a kill of the process alone: nothing is lost, and nothing more is synced."""
+        copies: dict[int, SimulatedFile] = {}
 
-        def copied(held_file: File) -> File:
-            return copies.setdefault(id(held_file), File(held_file.synced_bytes, list(held_file.steps)))
+        def copied(held_file: SimulatedFile) -> SimulatedFile:
+            return copies.setdefault(id(held_file), SimulatedFile(held_file.synced_bytes, list(held_file.steps)))
 
         other = PowerlessFiles()
-        other.held = {n: copied(f) for n, f in self.held.items()}
+        other.files = {n: copied(f) for n, f in self.files.items()}
         other.synced_names = {n: copied(f) for n, f in self.synced_names.items()}
         other.changed_names = {n: [f and copied(f) for f in files] for n, files in self.changed_names.items()}
         return other
 
-    def survivors(self, chance: random.Random, most: int) -> Iterator[PowerlessFiles]:
-        """What may be there after a loss of power: all of it, or a sample where that is more than `most`."""
+    def survivors(self, random_source: random.Random, maximum_count: int) -> Iterator[PowerlessFiles]:
+        """The possible states after a loss of power; a random sample if there are more than `maximum_count`."""
         name_choices = {n: _distinct(files) for n, files in self.changed_names.items()}
         for name, held_file in self.synced_names.items():
             name_choices.setdefault(name, [held_file])
@@ -160,40 +161,42 @@
         }
         axes: list[list[object]] = [[*choices] for choices in name_choices.values()]
         axes += [[*choices] for choices in file_choices.values()]
-        for picked in _picks(axes, chance, most):
-            names = dict(zip(name_choices, picked[: len(name_choices)], strict=True))
-            contents = dict(zip(file_choices, picked[len(name_choices) :], strict=True))
+        for chosen in _choose_combinations(axes, random_source, maximum_count):
+            names = dict(zip(name_choices, chosen[: len(name_choices)], strict=True))
+            contents = dict(zip(file_choices, chosen[len(name_choices) :], strict=True))
             other = PowerlessFiles()
             for name, kept_file in names.items():
                 if kept_file is not None:
                     content = contents[id(kept_file)]
                     assert isinstance(content, bytes)
-                    other.held[name] = File(content)
-            other.synced_names = dict(other.held)
+                    other.files[name] = SimulatedFile(content)
+            other.synced_names = dict(other.files)
             yield other
 
 
-def _all_outcomes(held_file: File) -> list[list[FileStep | None]]:
+def _all_outcomes(held_file: SimulatedFile) -> list[list[FileStep | None]]:
     return [_outcomes(step) for step in held_file.steps]
 
 
-def _distinct(files: list[File | None]) -> list[File | None]:
+def _distinct(files: list[SimulatedFile | None]) -> list[SimulatedFile | None]:
     return list({id(f): f for f in files}.values())
 
 
-def _picks(axes: list[list[object]], chance: random.Random, most: int) -> Iterator[tuple[object, ...]]:
+def _choose_combinations(
+    axes: list[list[object]], random_source: random.Random, maximum_count: int
+) -> Iterator[tuple[object, ...]]:
     count = 1
     for axis in axes:
         count *= len(axis)
-    if count <= most:
+    if count <= maximum_count:
         yield from itertools.product(*axes)
         return
-    for _ in range(most):
-        yield tuple(chance.choice(axis) for axis in axes)
+    for _ in range(maximum_count):
+        yield tuple(random_source.choice(axis) for axis in axes)
 
 
 class PowerlessDisk(FolderDisk):
-    """The product's own folder disk on such files, without its thread and its lock."""
+    """The product's FolderDisk on simulated files, without its thread and its lock."""
 
     def __init__(self, files: FileSystem) -> None:
         self._begin(files)
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -1,8 +1,9 @@
-"""A model test of RaftMember and Wal: scripted network, clocks and disks, and invariants after each step.
+"""A model test of RaftMember and Wal: random walks over a simulated network, clocks and disks.
 
-A walk is a string of bytes, two a step: what happens, and to whom. Its first two bytes are the number of members
-with the kind of the walk, and the seed of their timers, so the same bytes give the same run. A long run, which prints
-the first violation with its shrunk trace: `python -m tests.raft_model --walks N --seed S`.
+The invariants of Raft are checked after each step. A walk is a string of bytes. Its first two bytes give the number of
+members with the walk's profile, and the seed of the timers; then come two bytes for each step, its kind and a choice
+such as the member it applies to. The same bytes give the same run. For a long run, which prints the first violation
+with its shrunk trace: `python -m tests.raft_model --walks N --seed S`.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 HEADER_BYTES = 2
 WALK_BYTES = HEADER_BYTES + 2 * STEP_COUNT
 SPARE_COUNT = 2
-MOST_VOTERS = 5
+MAXIMUM_VOTERS = 5
 LEADER_MICROS = 2 * SECOND
 COMMAND_MICROS = SECOND
 ROUND_MICROS = MILLI
@@ -47,7 +48,7 @@
 DIGEST_EVERY = 8
 KEPT_ENTRIES = 2
 
-# What a step does, and how many of 255 byte values stand for it; zero stands for nothing, so that walks shrink.
+# The kinds of steps, and how many of 255 byte values select each. The value 0 is a step that does nothing.
 STEP_WEIGHTS = {
     "run": 40,
     "deliver_one": 32,
@@ -69,8 +70,8 @@
     "hand_over": 4,
     "confirm": 5,
 }
-# Walks of three kinds: of all things, mostly of changes of members, mostly of lost power.
-FLAVOURS: list[dict[str, int]] = [
+# Three profiles, which override these weights: all kinds of steps, mostly membership changes, mostly losses of power.
+WALK_PROFILES: list[dict[str, int]] = [
     {},
     {"change": 44, "wipe": 8, "run": 50, "kill": 8, "confirm": 1, "duplicate": 4, "deliver_one": 16, "drop": 2}
     | {"sync_one": 6, "advance": 10, "fill_disk": 1, "propose": 32},
@@ -80,18 +81,18 @@
 ]
 
 
-def name_steps(flavour: dict[str, int]) -> list[str]:
-    weights = STEP_WEIGHTS | flavour
+def list_step_names(profile: dict[str, int]) -> list[str]:
+    weights = STEP_WEIGHTS | profile
     names = ["nothing", *(name for name, weight in weights.items() for _ in range(weight))]
     assert len(names) == 256, len(names)
     return names
 
 
-STEP_NAMES = [name_steps(flavour) for flavour in FLAVOURS]
+STEP_NAMES = [list_step_names(profile) for profile in WALK_PROFILES]
 
 
 class ModelViolationError(AssertionError):
-    """An invariant that does not hold; `checker` is its name."""
+    """A violated invariant; `checker` is its name."""
 
     def __init__(self, checker: str, text: str) -> None:
         super().__init__(f"{checker}: {text}")
@@ -102,7 +103,7 @@
 
 
 def voter_sets(members: Members) -> list[frozenset[str]]:
-    """The sets of which each must give a majority: one, or two while a joint change is under way."""
+    """The sets of voters of which each needs a majority: one, or two during a joint change."""
     sets = [frozenset(m.identity for m in members.member if m.voter)]
     if members.joint:
         sets.append(frozenset(m.identity for m in members.member if m.outgoing))
@@ -114,27 +115,27 @@
 
 
 def can_be_disjoint(first: list[frozenset[str]], second: list[frozenset[str]]) -> bool:
-    """Whether some quorum of the one and some quorum of the other have no voter in common."""
-    everybody = sorted(frozenset().union(*first, *second))
-    for size in range(len(everybody) + 1):
-        for chosen in itertools.combinations(everybody, size):
-            others = set(everybody) - set(chosen)
+    """Whether a quorum of the first and a quorum of the second exist that have no voter in common."""
+    all_voters = sorted(frozenset().union(*first, *second))
+    for size in range(len(all_voters) + 1):
+        for chosen in itertools.combinations(all_voters, size):
+            others = set(all_voters) - set(chosen)
             if is_quorum(set(chosen), first) and is_quorum(others, second):
                 return True
     return False
 
 
-def is_same(entries: list[Entry], checked_entries: list[Entry]) -> bool:
-    """A log changes at its ends only: what has the same ends is the same."""
+def is_same_log(entries: list[Entry], checked_entries: list[Entry]) -> bool:
+    """Compares the ends only, which is enough because a log changes at its ends only."""
     if len(entries) != len(checked_entries):
         return False
     return not entries or (entries[0] is checked_entries[0] and entries[-1] is checked_entries[-1])
 
 
-# ---- what a member stands on -------------------------------------------------------------------------
+# ---- simulated clock, disk and state machine ---------------------------------------------------------
 
 
-class ScriptTimer:
+class ManualTimer:
     def __init__(self, callback: Callable[[], None]) -> None:
         self.callback: Callable[[], None] | None = callback
 
@@ -142,19 +143,19 @@
         self.callback = None
 
 
-class ScriptClock:
-    """One member's clock: it goes on only as the walk says."""
+class ManualClock:
+    """One member's clock, which advances only by steps of the walk."""
 
     def __init__(self) -> None:
         self.now_micros = SECOND
-        self.timers: list[tuple[int, int, ScriptTimer]] = []
+        self.timers: list[tuple[int, int, ManualTimer]] = []
         self.timer_numbers = itertools.count()
 
     def now(self) -> int:
         return self.now_micros
 
-    def after(self, delay_micros: int, callback: Callable[[], None]) -> ScriptTimer:
-        timer = ScriptTimer(callback)
+    def after(self, delay_micros: int, callback: Callable[[], None]) -> ManualTimer:
+        timer = ManualTimer(callback)
         heapq.heappush(self.timers, (self.now_micros + max(delay_micros, 0), next(self.timer_numbers), timer))
         return timer
 
@@ -165,8 +166,8 @@
 
 
 @dataclass
-class Waiting:
-    """A write that is not synced yet."""
+class PendingWrite:
+    """A disk operation that is not synced yet; `tear` leaves what a loss of power may leave of it."""
 
     done: asyncio.Future[None]
     finish: Callable[[], None]
@@ -174,11 +175,11 @@
 
 
 class ModelDisk:
-    """Files that hold only what was synced, and what their log says, read with the product's own reader."""
+    """A disk whose files hold only what was synced, with an index of their records, read by the product's reader."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
-        self.waiting: list[Waiting] = []
+        self.pending_writes: list[PendingWrite] = []
         self.is_instant = False
         self.is_full = False
         self.entry_epochs: dict[int, int] = {}
@@ -198,10 +199,10 @@
 
         def finish() -> None:
             self._add(file_name, content_bytes)
-            self._note(content_bytes)
+            self._index_log(content_bytes)
 
-        def tear(chance: int) -> None:
-            self._add(file_name, content_bytes[: len(content_bytes) * chance // 256])
+        def tear(tear_point: int) -> None:
+            self._add(file_name, content_bytes[: len(content_bytes) * tear_point // 256])
 
         await self._sync(finish, tear)
 
@@ -211,50 +212,50 @@
 
         def finish() -> None:
             self.files[file_name] = content_bytes
-            self._note_file(file_name)
+            self._index_file(file_name)
 
-        await self._sync(finish, lambda chance: finish() if chance % 2 else None)
+        await self._sync(finish, lambda tear_point: finish() if tear_point % 2 else None)
 
     async def remove(self, file_name: str) -> None:
         def finish() -> None:
             self.files.pop(file_name, None)
 
-        await self._sync(finish, lambda chance: finish() if chance % 2 else None)
+        await self._sync(finish, lambda tear_point: finish() if tear_point % 2 else None)
 
     async def truncate(self, file_name: str, kept_size: int) -> None:
         def finish() -> None:
             self.files[file_name] = self.files[file_name][:kept_size]
 
-        await self._sync(finish, lambda chance: finish() if chance % 2 else None)
+        await self._sync(finish, lambda tear_point: finish() if tear_point % 2 else None)
 
     async def _sync(self, finish: Callable[[], None], tear: Callable[[int], None]) -> None:
         if self.is_instant:
             finish()
             return
-        waiting = Waiting(asyncio.get_running_loop().create_future(), finish, tear)
-        self.waiting.append(waiting)
-        await waiting.done
+        pending_write = PendingWrite(asyncio.get_running_loop().create_future(), finish, tear)
+        self.pending_writes.append(pending_write)
+        await pending_write.done
 
     def sync(self) -> None:
-        for waiting in self.waiting:
-            waiting.finish()
-            waiting.done.set_result(None)
-        self.waiting = []
-
-    def crash(self, chance: int | None) -> None:
-        """Without power a write is torn anywhere; after a kill the system still writes it."""
-        for waiting in self.waiting:
-            if chance is None:
-                waiting.finish()
+        for pending_write in self.pending_writes:
+            pending_write.finish()
+            pending_write.done.set_result(None)
+        self.pending_writes = []
+
+    def crash(self, tear_point: int | None) -> None:
+        """A loss of power may tear a pending write anywhere; after a kill (None) the system still completes it."""
+        for pending_write in self.pending_writes:
+            if tear_point is None:
+                pending_write.finish()
             else:
-                waiting.tear(chance)
-        self.waiting = []
+                pending_write.tear(tear_point)
+        self.pending_writes = []
 
-    def read_again(self) -> None:
-        """What the log on disk says, from its files alone."""
+    def rebuild_index(self) -> None:
+        """Rebuilds the index of entries, snapshot and mark from the files alone."""
         self.entry_epochs, self.digest_index, self.mark = {}, 0, Mark()
         for file_name in self.names():
-            self._note_file(file_name)
+            self._index_file(file_name)
 
     def holds(self, index: int, epoch: int) -> bool:
         return index <= self.digest_index or self.entry_epochs.get(index) == epoch
@@ -262,13 +263,13 @@
     def _add(self, file_name: str, content_bytes: bytes) -> None:
         self.files[file_name] = self.files.get(file_name, b"") + content_bytes
 
-    def _note_file(self, file_name: str) -> None:
+    def _index_file(self, file_name: str) -> None:
         if file_name.startswith("digest-"):
             self.digest_index = max(self.digest_index, int(file_name[7:]))
         else:
-            self._note(self.files[file_name])
+            self._index_log(self.files[file_name])
 
-    def _note(self, log_bytes: bytes) -> None:
+    def _index_log(self, log_bytes: bytes) -> None:
         offset = 0
         while (found := read_record(log_bytes, offset)) is not None:
             offset = found.end_offset
@@ -282,15 +283,15 @@
 
 
 class ModelMachine:
-    """A state that is the history itself, so that any difference shows."""
+    """A state machine whose state is the history of commands, so that any difference shows."""
 
-    def __init__(self, note: Callable[[int, bytes], None]) -> None:
-        self.note = note
+    def __init__(self, on_applied: Callable[[int, bytes], None]) -> None:
+        self.on_applied = on_applied
         self.history: list[tuple[int, str]] = []
 
     def apply(self, index: int, command_bytes: bytes) -> str:
         self.history.append((index, command_bytes.decode()))
-        self.note(index, command_bytes)
+        self.on_applied(index, command_bytes)
         return command_bytes.decode()
 
     def take_digest(self) -> bytes:
@@ -299,20 +300,20 @@
     def load_digest(self, digest_bytes: bytes) -> None:
         self.history = [(index, text) for index, text in json.loads(digest_bytes)]
         for index, text in self.history:
-            self.note(index, text.encode())
+            self.on_applied(index, text.encode())
 
 
 @dataclass
-class Place:
-    """A machine at its address: a disk with one identity, and a member while it is up."""
+class Host:
+    """A simulated host at a fixed address: a disk, which belongs to one identity, and a member while it is up."""
 
     address: str
     identity: str
-    clock: ScriptClock = field(default_factory=ScriptClock)
+    clock: ManualClock = field(default_factory=ManualClock)
     disk: ModelDisk = field(default_factory=ModelDisk)
     member: RaftMember | None = None
     machine: ModelMachine | None = None
-    # Of the member's log, what was checked already, and how far its commits were.
+    # The entries of the member's log and the commit index that were checked already.
     checked_entries: list[Entry] = field(default_factory=list)
     checked_commit: int = 0
     led_epoch: int = 0
@@ -332,7 +333,7 @@
 
 
 @dataclass
-class Committed:
+class CommittedEntry:
     epoch: int
     kind: int
     payload: bytes
@@ -347,31 +348,31 @@
         self, member_class: type[RaftMember], voter_count: int, seed: int, trace: list[str] | None = None
     ) -> None:
         self.member_class = member_class
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.trace = trace
         self.queue: list[Envelope] = []
-        self.cuts: set[tuple[str, str]] = set()
-        self.life_numbers = itertools.count(1)
+        self.cut_links: set[tuple[str, str]] = set()
+        self.identity_numbers = itertools.count(1)
         self.command_numbers = itertools.count(1)
-        self.places = [Place(f"m{n}:1", f"m{n}") for n in range(1, voter_count + SPARE_COUNT + 1)]
-        self.founders = self.places[:voter_count]
-        # By identity, the disks that are lost for good: what they held was synced when it was acknowledged.
-        self.gone_disks: dict[str, ModelDisk] = {}
+        self.hosts = [Host(f"m{n}:1", f"m{n}") for n in range(1, voter_count + SPARE_COUNT + 1)]
+        self.founders = self.hosts[:voter_count]
+        # Lost disks by identity. They still count in durability checks: what they held was synced when acknowledged.
+        self.lost_disks: dict[str, ModelDisk] = {}
         self.violation: ModelViolationError | None = None
         self.leaders: dict[int, str] = {}
-        self.links: dict[tuple[int, int], tuple[int, int, bytes]] = {}
-        self.committed: dict[int, Committed] = {}
+        self.known_entries: dict[tuple[int, int], tuple[int, int, bytes]] = {}
+        self.committed: dict[int, CommittedEntry] = {}
         self.applied: dict[int, bytes] = {}
         self.proposals: list[tuple[bytes, Proposal]] = []
-        self.confirms: list[tuple[Place, RaftMember, int, asyncio.Task[bool]]] = []
-        # Kept to the end of the walk, so that none is collected while it waits.
+        self.confirms: list[tuple[Host, RaftMember, int, asyncio.Task[bool]]] = []
+        # Kept until the end of the walk, so that no waiting task is garbage-collected.
         self.tasks: list[asyncio.Task[Any]] = []
         self.counts: Counter[str] = Counter()
         self.loop: Any = asyncio.get_running_loop()
 
     # ---- running -----------------------------------------------------------------------------------
 
-    def note(self, text: str) -> None:
+    def add_trace(self, text: str) -> None:
         if self.trace is not None:
             self.trace.append(text)
 
@@ -380,84 +381,84 @@
             self.violation = ModelViolationError(checker, text)
 
     async def settle(self) -> None:
-        """Until no task can go on without the network, a clock or a disk."""
+        """Runs tasks until each of them waits for the network, a clock or a disk."""
         while self.loop._ready:
             await asyncio.sleep(0)
 
     async def begin(self) -> None:
-        """All founders hold the same first entry, as after a founding and its joins."""
-        members = Members(member=[Member(identity=p.identity, address=p.address, voter=True) for p in self.founders])
+        """Starts all members; the founders hold the same first entry, as after a bootstrap and joins."""
+        members = Members(member=[Member(identity=h.identity, address=h.address, voter=True) for h in self.founders])
         entry = Entry(index=1, epoch=1, kind=KIND_MEMBERS, payload=members.SerializeToString())
-        for place in self.founders:
-            place.disk.is_instant = True
-            await Wal(place.disk).append([LogRecord(mark=Mark(epoch=1)), LogRecord(entry=entry)])
-        self.committed[1] = Committed(1, KIND_MEMBERS, entry.payload, 1)
-        for place in self.places:
-            await self.start(place)
-
-    async def start(self, place: Place) -> None:
-        place.disk.read_again()
-        place.machine = ModelMachine(self._note_applied)
+        for host in self.founders:
+            host.disk.is_instant = True
+            await Wal(host.disk).append([LogRecord(mark=Mark(epoch=1)), LogRecord(entry=entry)])
+        self.committed[1] = CommittedEntry(1, KIND_MEMBERS, entry.payload, 1)
+        for host in self.hosts:
+            await self.start(host)
+
+    async def start(self, host: Host) -> None:
+        host.disk.rebuild_index()
+        host.machine = ModelMachine(self._record_applied)
         member = self.member_class(
-            place.identity,
-            Wal(place.disk),
-            place.machine,
-            lambda address, body_name, body: self._tell(place, member, address, body_name, body),
-            place.clock,
-            random.Random(self.chance.getrandbits(64)),
-            BackgroundTaskGroup(place.address),
+            host.identity,
+            Wal(host.disk),
+            host.machine,
+            lambda address, body_name, body: self._send(host, member, address, body_name, body),
+            host.clock,
+            random.Random(self.random_source.getrandbits(64)),
+            BackgroundTaskGroup(host.address),
             lambda reason: self.fail("disk", reason),
             SnapshotLimits(DIGEST_EVERY, KEPT_ENTRIES),
         )
-        place.disk.is_instant = True
+        host.disk.is_instant = True
         try:
             await member.recover()
         except WalCorruptError as corrupt_error:
-            self.fail("recovery", f"{place.address}: {corrupt_error}")
+            self.fail("recovery", f"{host.address}: {corrupt_error}")
             return
-        place.disk.is_instant = False
-        place.member = member
-        place.checked_entries, place.checked_commit, place.led_epoch = [], member.commit_index, 0
+        host.disk.is_instant = False
+        host.member = member
+        host.checked_entries, host.checked_commit, host.led_epoch = [], member.commit_index, 0
         member.timer.reset()
         member.task_group.start(member.writer.run())
-        self._tick_later(place, member)
+        self._tick_later(host, member)
         await self.settle()
 
-    def _tick_later(self, place: Place, member: RaftMember) -> None:
-        """As the member's own task of ticks does, without a task."""
+    def _tick_later(self, host: Host, member: RaftMember) -> None:
+        """Replaces the member's own periodic task, so that the walk drives its ticks."""
 
         def tick() -> None:
-            self._tick_later(place, member)
+            self._tick_later(host, member)
             try:
                 member.tick()
-            except Exception as fault:  # noqa: BLE001 - the product's task would end with it
-                self.fail("task", f"{place.address} ticks: {fault!r}")
+            except Exception as fault:  # noqa: BLE001 - any exception would end the product's own task
+                self.fail("task", f"{host.address} failed in a tick: {fault!r}")
 
-        place.clock.after(TICK_MICROS, tick)
+        host.clock.after(TICK_MICROS, tick)
 
-    def stop(self, place: Place, chance: int | None) -> None:
-        assert place.member is not None
-        place.member.task_group.stop()
-        place.member = None
-        place.clock.timers = []
-        place.disk.crash(chance)
+    def stop(self, host: Host, tear_point: int | None) -> None:
+        assert host.member is not None
+        host.member.task_group.stop()
+        host.member = None
+        host.clock.timers = []
+        host.disk.crash(tear_point)
 
-    def _tell(self, place: Place, member: RaftMember, address: str, body_name: str, body: Message) -> None:
-        if place.member is not member:
+    def _send(self, host: Host, member: RaftMember, address: str, body_name: str, body: Message) -> None:
+        if host.member is not member:
             return
-        self._check_told(place, member, address, body)
-        self.queue.append(Envelope(place.identity, place.address, address, body_name, body))
+        self._check_sent(host, member, address, body)
+        self.queue.append(Envelope(host.identity, host.address, address, body_name, body))
         if len(self.queue) > QUEUE_LIMIT:
             del self.queue[0]
 
     async def deliver(self, envelope: Envelope) -> None:
-        place = next((p for p in self.places if p.address == envelope.target), None)
-        if place is None or place.member is None or (envelope.source, envelope.target) in self.cuts:
+        host = next((h for h in self.hosts if h.address == envelope.target), None)
+        if host is None or host.member is None or (envelope.source, envelope.target) in self.cut_links:
             return
-        handler = getattr(place.member, f"take_{envelope.body_name}")
+        handler = getattr(host.member, f"take_{envelope.body_name}")
         try:
             handler(envelope.identity, envelope.source, envelope.body)
-        except Exception as fault:  # noqa: BLE001 - whatever it is, no message may bring it about
+        except Exception as fault:  # noqa: BLE001 - no message may cause any exception
             self.fail("assertion", f"{envelope}: {fault!r}")
         await self.settle()
 
@@ -467,13 +468,13 @@
             await self.deliver(envelope)
 
     async def sync_all(self) -> None:
-        for place in self.places:
-            if place.disk.waiting:
-                place.disk.sync()
+        for host in self.hosts:
+            if host.disk.pending_writes:
+                host.disk.sync()
         await self.settle()
 
-    async def advance(self, place: Place, micros: int) -> None:
-        clock = place.clock
+    async def advance(self, host: Host, micros: int) -> None:
+        clock = host.clock
         end_micros = clock.now_micros + micros
         while (next_micros := clock.next_micros()) is not None and next_micros <= end_micros:
             clock.now_micros = max(clock.now_micros, next_micros)
@@ -484,7 +485,10 @@
         clock.now_micros = end_micros
 
     async def run(self, micros: int, is_done: Callable[[], bool] = lambda: False) -> int:
-        """Lets all go on without faults: links take a round, disks as well. Returns what it took."""
+        """Runs all members without new faults until done, at most for this long; returns the microseconds that passed.
+
+        Messages and disk writes take one round each.
+        """
         passed_micros = 0
         while passed_micros < micros and not is_done():
             if self.violation is not None:
@@ -493,288 +497,290 @@
             await self.sync_all()
             self.check()
             step_micros = ROUND_MICROS
-            if not self.queue and not any(p.disk.waiting for p in self.places):
-                step_micros = max(ROUND_MICROS, min([micros - passed_micros, *self._pauses()]))
-            for place in self.places:
-                next_micros = place.clock.next_micros()
-                if next_micros is not None and next_micros - place.clock.now_micros <= step_micros:
-                    await self.advance(place, step_micros)
+            if not self.queue and not any(h.disk.pending_writes for h in self.hosts):
+                step_micros = max(ROUND_MICROS, min([micros - passed_micros, *self._timer_delays()]))
+            for host in self.hosts:
+                next_micros = host.clock.next_micros()
+                if next_micros is not None and next_micros - host.clock.now_micros <= step_micros:
+                    await self.advance(host, step_micros)
                 else:
-                    place.clock.now_micros += step_micros
+                    host.clock.now_micros += step_micros
             passed_micros += step_micros
         return passed_micros
 
-    def _pauses(self) -> Iterator[int]:
-        for place in self.places:
-            next_micros = place.clock.next_micros()
+    def _timer_delays(self) -> Iterator[int]:
+        for host in self.hosts:
+            next_micros = host.clock.next_micros()
             if next_micros is not None:
-                yield next_micros - place.clock.now_micros
+                yield next_micros - host.clock.now_micros
 
     # ---- steps of a walk ----------------------------------------------------------------------------
 
-    async def step(self, name: str, chance: int) -> None:
-        await getattr(self, f"_step_{name}")(chance)
+    async def step(self, name: str, choice: int) -> None:
+        await getattr(self, f"_step_{name}")(choice)
         await self.settle()
         self.check()
 
-    def _place(self, chance: int) -> Place:
-        return self.places[chance % len(self.places)]
+    def _pick_host(self, choice: int) -> Host:
+        return self.hosts[choice % len(self.hosts)]
 
-    def _up(self) -> list[Place]:
-        return [p for p in self.places if p.member is not None]
+    def _running_hosts(self) -> list[Host]:
+        return [h for h in self.hosts if h.member is not None]
 
-    def _leader(self, chance: int) -> RaftMember | None:
-        leaders = [p.member for p in self._up() if p.member is not None and p.member.is_leader()]
-        return leaders[chance % len(leaders)] if leaders else None
+    def _leader(self, choice: int) -> RaftMember | None:
+        leaders = [h.member for h in self._running_hosts() if h.member is not None and h.member.is_leader()]
+        return leaders[choice % len(leaders)] if leaders else None
 
-    async def _step_nothing(self, chance: int) -> None:
+    async def _step_nothing(self, choice: int) -> None:
         return
 
-    async def _step_run(self, chance: int) -> None:
-        micros = (1 + chance % 8) * 50 * MILLI
-        self.note(f"all run for {micros // MILLI} ms")
+    async def _step_run(self, choice: int) -> None:
+        micros = (1 + choice % 8) * 50 * MILLI
+        self.add_trace(f"all run for {micros // MILLI} ms")
         await self.run(micros)
 
-    async def _step_deliver_one(self, chance: int) -> None:
+    async def _step_deliver_one(self, choice: int) -> None:
         if self.queue:
-            envelope = self.queue.pop(chance % len(self.queue))
-            self.note(f"delivers {envelope}")
+            envelope = self.queue.pop(choice % len(self.queue))
+            self.add_trace(f"delivers {envelope}")
             await self.deliver(envelope)
 
-    async def _step_deliver_all(self, chance: int) -> None:
+    async def _step_deliver_all(self, choice: int) -> None:
         if self.queue:
-            self.note(f"delivers all {len(self.queue)} messages")
+            self.add_trace(f"delivers all {len(self.queue)} messages")
             await self.deliver_all()
 
-    async def _step_drop(self, chance: int) -> None:
+    async def _step_drop(self, choice: int) -> None:
         if self.queue:
-            self.note(f"drops {self.queue.pop(chance % len(self.queue))}")
+            self.add_trace(f"drops {self.queue.pop(choice % len(self.queue))}")
 
-    async def _step_duplicate(self, chance: int) -> None:
+    async def _step_duplicate(self, choice: int) -> None:
         if self.queue:
-            envelope = self.queue[chance % len(self.queue)]
-            self.note(f"doubles {envelope}")
+            envelope = self.queue[choice % len(self.queue)]
+            self.add_trace(f"duplicates {envelope}")
             self.queue.append(envelope)
 
-    async def _step_advance(self, chance: int) -> None:
-        place = self._place(chance)
-        micros = (1 + chance // len(self.places)) * 25 * MILLI
-        self.note(f"{place.address}'s clock goes on by {micros // MILLI} ms")
-        await self.advance(place, micros)
-
-    async def _step_sync_one(self, chance: int) -> None:
-        places = [p for p in self.places if p.disk.waiting]
-        if places:
-            place = places[chance % len(places)]
-            self.note(f"{place.address} syncs")
-            place.disk.sync()
-
-    async def _step_sync_all(self, chance: int) -> None:
-        self.note("all sync")
+    async def _step_advance(self, choice: int) -> None:
+        host = self._pick_host(choice)
+        micros = (1 + choice // len(self.hosts)) * 25 * MILLI
+        self.add_trace(f"{host.address}'s clock advances by {micros // MILLI} ms")
+        await self.advance(host, micros)
+
+    async def _step_sync_one(self, choice: int) -> None:
+        hosts = [h for h in self.hosts if h.disk.pending_writes]
+        if hosts:
+            host = hosts[choice % len(hosts)]
+            self.add_trace(f"{host.address} syncs")
+            host.disk.sync()
+
+    async def _step_sync_all(self, choice: int) -> None:
+        self.add_trace("all sync")
         await self.sync_all()
 
-    async def _step_kill(self, chance: int) -> None:
-        place = self._place(chance)
-        if place.member is not None:
-            self.note(f"{place.address} is killed")
-            self.stop(place, None)
-
-    async def _step_lose_power(self, chance: int) -> None:
-        place = self._place(chance)
-        if place.member is not None:
-            self.note(f"{place.address} loses power")
-            self.stop(place, self.chance.randrange(257))
-
-    async def _step_restart(self, chance: int) -> None:
-        places = [p for p in self.places if p.member is None]
-        if places:
-            place = places[chance % len(places)]
-            self.note(f"{place.address} starts")
-            await self.start(place)
-
-    async def _step_fill_disk(self, chance: int) -> None:
-        place = self._place(chance)
-        place.disk.is_full = not place.disk.is_full
-        self.note(f"{place.address}'s disk is {'full' if place.disk.is_full else 'no longer full'}")
-
-    async def _step_cut(self, chance: int) -> None:
-        place = self._place(chance)
-        kind = chance // len(self.places) % 3
-        self.note(f"{place.address} {('is cut off', 'is not heard', 'hears nobody')[kind]}")
-        for other in self.places:
+    async def _step_kill(self, choice: int) -> None:
+        host = self._pick_host(choice)
+        if host.member is not None:
+            self.add_trace(f"{host.address} is killed")
+            self.stop(host, None)
+
+    async def _step_lose_power(self, choice: int) -> None:
+        host = self._pick_host(choice)
+        if host.member is not None:
+            self.add_trace(f"{host.address} loses power")
+            self.stop(host, self.random_source.randrange(257))
+
+    async def _step_restart(self, choice: int) -> None:
+        hosts = [h for h in self.hosts if h.member is None]
+        if hosts:
+            host = hosts[choice % len(hosts)]
+            self.add_trace(f"{host.address} starts")
+            await self.start(host)
+
+    async def _step_fill_disk(self, choice: int) -> None:
+        host = self._pick_host(choice)
+        host.disk.is_full = not host.disk.is_full
+        self.add_trace(f"{host.address}'s disk is {'full' if host.disk.is_full else 'no longer full'}")
+
+    async def _step_cut(self, choice: int) -> None:
+        host = self._pick_host(choice)
+        kind = choice // len(self.hosts) % 3
+        self.add_trace(f"{host.address} {('is cut off', 'is not heard', 'hears nobody')[kind]}")
+        for other in self.hosts:
             if kind in (0, 1):
-                self.cuts.add((place.address, other.address))
+                self.cut_links.add((host.address, other.address))
             if kind in (0, 2):
-                self.cuts.add((other.address, place.address))
+                self.cut_links.add((other.address, host.address))
 
-    async def _step_heal(self, chance: int) -> None:
-        self.note("links heal")
-        self.cuts.clear()
+    async def _step_heal(self, choice: int) -> None:
+        self.add_trace("links heal")
+        self.cut_links.clear()
 
-    async def _step_propose(self, chance: int) -> None:
-        leader = self._leader(chance)
+    async def _step_propose(self, choice: int) -> None:
+        leader = self._leader(choice)
         if leader is not None:
             payload = b"c%d" % next(self.command_numbers)
-            self.note(f"{leader.identity} proposes {payload.decode()}")
+            self.add_trace(f"{leader.identity} proposes {payload.decode()}")
             self.proposals.append((payload, leader.propose(payload)))
 
-    async def _step_confirm(self, chance: int) -> None:
-        leader = self._leader(chance)
+    async def _step_confirm(self, choice: int) -> None:
+        leader = self._leader(choice)
         if leader is not None:
-            self.note(f"{leader.identity} confirms")
-            place = next(p for p in self.places if p.member is leader)
+            self.add_trace(f"{leader.identity} confirms a read")
+            host = next(h for h in self.hosts if h.member is leader)
             confirm_task = self.loop.create_task(leader.confirm())
             self.tasks.append(confirm_task)
-            self.confirms.append((place, leader, max(self.committed), confirm_task))
+            self.confirms.append((host, leader, max(self.committed), confirm_task))
 
-    async def _step_hand_over(self, chance: int) -> None:
-        leader = self._leader(chance)
+    async def _step_hand_over(self, choice: int) -> None:
+        leader = self._leader(choice)
         if leader is not None:
-            self.note(f"{leader.identity} hands over")
+            self.add_trace(f"{leader.identity} transfers leadership")
             leader.transfer_leadership()
 
-    async def _step_wipe(self, chance: int) -> None:
-        place = self._place(chance)
-        gone = {*self.gone_disks, place.identity}
-        if place.identity in self._known() and not self._all_can_lead(gone):
+    async def _step_wipe(self, choice: int) -> None:
+        host = self._pick_host(choice)
+        lost = {*self.lost_disks, host.identity}
+        if host.identity in self._known_voters() and not self._has_quorum_everywhere(lost):
             return
-        if place.member is not None:
-            self.stop(place, 0)
-        self.gone_disks[place.identity] = place.disk
-        place.identity = f"{place.address[:-2]}.{next(self.life_numbers)}"
-        place.disk = ModelDisk()
-        self.note(f"{place.address} loses its disk and starts as {place.identity}")
-        await self.start(place)
-
-    async def _step_change(self, chance: int) -> None:
+        if host.member is not None:
+            self.stop(host, 0)
+        self.lost_disks[host.identity] = host.disk
+        host.identity = f"{host.address[:-2]}.{next(self.identity_numbers)}"
+        host.disk = ModelDisk()
+        self.add_trace(f"{host.address} loses its disk and starts as {host.identity}")
+        await self.start(host)
+
+    async def _step_change(self, choice: int) -> None:
         leader = self._leader(0)
         if leader is None:
             return
-        changed = self._changed(leader.members(), chance)
-        if changed is None or not all(is_quorum(s - set(self.gone_disks), [s]) for s in voter_sets(changed)):
+        changed = self._build_change(leader.members(), choice)
+        if changed is None or not all(is_quorum(s - set(self.lost_disks), [s]) for s in voter_sets(changed)):
             return
         voters = sorted(m.identity for m in changed.member if m.voter)
-        self.note(f"{leader.identity} changes members: voters {voters}")
+        self.add_trace(f"{leader.identity} changes members: voters {voters}")
         self.tasks.append(self.loop.create_task(leader.change_members(changed)))
 
-    def _changed(self, members: Members, chance: int) -> Members | None:
-        """Of one voter, or of several in a joint change; None where this one can't be made."""
+    def _build_change(self, members: Members, choice: int) -> Members | None:
+        """Builds a change of one voter, or of several for joint consensus; None if this kind is not possible now."""
         changed = Members(wanted=members.wanted)
         changed.member.extend(m for m in members.member)
-        kind, pick = chance % 8, chance // 8
-        strangers = [p for p in self.places if p.identity not in {m.identity for m in members.member}]
+        kind, pick = choice % 8, choice // 8
+        new_hosts = [h for h in self.hosts if h.identity not in {m.identity for m in members.member}]
         learners = [m for m in changed.member if not m.voter]
         voters = [m for m in changed.member if m.voter]
-        if kind <= 1 and strangers:
-            stranger = strangers[pick % len(strangers)]
-            # Who comes from a voter's address shows that this voter's disk is gone.
-            kept = [m for m in changed.member if m.address != stranger.address]
+        if kind <= 1 and new_hosts:
+            new_host = new_hosts[pick % len(new_hosts)]
+            # A new identity at a voter's address shows that this voter's disk is lost.
+            kept = [m for m in changed.member if m.address != new_host.address]
             del changed.member[:]
             changed.member.extend(kept)
-            changed.member.add(identity=stranger.identity, address=stranger.address)
-        elif kind in (2, 3) and learners and len(voters) < MOST_VOTERS:
+            changed.member.add(identity=new_host.identity, address=new_host.address)
+        elif kind in (2, 3) and learners and len(voters) < MAXIMUM_VOTERS:
             learners[pick % len(learners)].voter = True
         elif kind == 4 and len(voters) > 2:
             changed.member.remove(voters[pick % len(voters)])
         elif kind == 5 and len(voters) > 2:
             voters[pick % len(voters)].voter = False
         elif kind in (6, 7) and learners and voters:
-            # Several at once: one for another, two at most, or one more coming in besides.
-            for come, go in list(zip(learners, voters[pick % len(voters) :], strict=False))[: 1 + pick % 2]:
-                come.voter, go.voter = True, kind == 7 and len(voters) < MOST_VOTERS - 1
+            # Several voters at once: one or two learners replace voters, or become voters besides them.
+            for joining, leaving in list(zip(learners, voters[pick % len(voters) :], strict=False))[: 1 + pick % 2]:
+                joining.voter, leaving.voter = True, kind == 7 and len(voters) < MAXIMUM_VOTERS - 1
         else:
             return None
         return changed
 
-    def _known(self) -> set[str]:
+    def _known_voters(self) -> set[str]:
         return {identity for sets in self._memberships() for voters in sets for identity in voters}
 
-    def _memberships(self, places: list[Place] | None = None) -> list[list[frozenset[str]]]:
-        """The last committed, and what each of these members holds for the latest; down ones by their last log."""
+    def _memberships(self, hosts: list[Host] | None = None) -> list[list[frozenset[str]]]:
+        """The voter sets of the last committed membership and of each host's latest one, from its last known log."""
         committed = [c for _, c in sorted(self.committed.items()) if c.kind == KIND_MEMBERS][-1]
         found = [voter_sets(Members.FromString(committed.payload))]
-        for place in self.places if places is None else places:
-            latest = [e for e in place.checked_entries if e.kind == KIND_MEMBERS]
-            if place.member is not None:
-                found.append(voter_sets(place.member.members()))
+        for host in self.hosts if hosts is None else hosts:
+            latest = [e for e in host.checked_entries if e.kind == KIND_MEMBERS]
+            if host.member is not None:
+                found.append(voter_sets(host.member.members()))
             elif latest:
                 found.append(voter_sets(Members.FromString(latest[-1].payload)))
         return [sets for sets in found if sets[0]]
 
-    def _all_can_lead(self, gone: set[str], places: list[Place] | None = None) -> bool:
-        return all(is_quorum(set().union(*sets) - gone, sets) for sets in self._memberships(places))
+    def _has_quorum_everywhere(self, lost: set[str], hosts: list[Host] | None = None) -> bool:
+        return all(is_quorum(set().union(*sets) - lost, sets) for sets in self._memberships(hosts))
 
     # ---- invariants -----------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """Raises the first violation."""
-        for place in self.places:
-            if place.member is not None and self.violation is None:
-                self._check_member(place, place.member)
-        self._check_answers()
+        """Checks all invariants and raises the first violation."""
+        for host in self.hosts:
+            if host.member is not None and self.violation is None:
+                self._check_member(host, host.member)
+        self._check_results()
         if self.violation is not None:
             raise self.violation
 
-    def _check_member(self, place: Place, member: RaftMember) -> None:
+    def _check_member(self, host: Host, member: RaftMember) -> None:
         if member.task_group.faults:
-            self.fail("task", f"{place.address}: {member.task_group.faults[0]!r}")
-        self._check_log(place, member)
-        if member.is_leader() and member.term != place.led_epoch:
-            place.led_epoch = member.term
-            self._check_election(place, member)
-        if member.commit_index > place.checked_commit:
-            self._check_commits(place, member)
-
-    def _check_log(self, place: Place, member: RaftMember) -> None:
-        """Log matching: an index and an epoch name one entry, and one entry before it."""
-        if is_same(member.log.entries, place.checked_entries):
+            self.fail("task", f"{host.address}: {member.task_group.faults[0]!r}")
+        self._check_log(host, member)
+        if member.is_leader() and member.term != host.led_epoch:
+            host.led_epoch = member.term
+            self._check_election(host, member)
+        if member.commit_index > host.checked_commit:
+            self._check_commits(host, member)
+
+    def _check_log(self, host: Host, member: RaftMember) -> None:
+        """Log matching: index and epoch identify one entry and the entry before it."""
+        if is_same_log(member.log.entries, host.checked_entries):
             return
         position = len(member.log.entries)
-        shift = member.log.base_index + 1 - (place.checked_entries[0].index if place.checked_entries else 0)
+        shift = member.log.base_index + 1 - (host.checked_entries[0].index if host.checked_entries else 0)
         while position:
             checked_position = position - 1 + shift
             entry = member.log.entries[position - 1]
-            if 0 <= checked_position < len(place.checked_entries):
-                if place.checked_entries[checked_position] is entry:
+            if 0 <= checked_position < len(host.checked_entries):
+                if host.checked_entries[checked_position] is entry:
                     break
             position -= 1
         for entry in member.log.entries[position:]:
-            self._check_entry(place, member, entry)
-        place.checked_entries = list(member.log.entries)
-
-    def _check_entry(self, place: Place, member: RaftMember, entry: Entry) -> None:
-        link = (member.log.term_at(entry.index - 1), entry.kind, entry.payload)
-        known_link = self.links.get((entry.index, entry.epoch))
-        if known_link is None:
-            self.links[(entry.index, entry.epoch)] = link
+            self._check_entry(host, member, entry)
+        host.checked_entries = list(member.log.entries)
+
+    def _check_entry(self, host: Host, member: RaftMember, entry: Entry) -> None:
+        content = (member.log.term_at(entry.index - 1), entry.kind, entry.payload)
+        known_content = self.known_entries.get((entry.index, entry.epoch))
+        if known_content is None:
+            self.known_entries[(entry.index, entry.epoch)] = content
             if entry.kind == KIND_MEMBERS:
-                self._check_change(place, member, entry)
-        elif known_link != link:
-            self.fail("log matching", f"{place.address} at {entry.index}, epoch {entry.epoch}: {known_link}, {link}")
+                self._check_change(host, member, entry)
+        elif known_content != content:
+            self.fail(
+                "log matching", f"{host.address} at {entry.index}, epoch {entry.epoch}: {known_content}, {content}"
+            )
 
-    def _check_change(self, place: Place, member: RaftMember, entry: Entry) -> None:
-        """A change follows a committed membership, and no quorum of the one misses one of the other."""
+    def _check_change(self, host: Host, member: RaftMember, entry: Entry) -> None:
+        """A change follows a committed membership, and the quorums of both memberships always overlap."""
         if entry.index == 1:
             return
         earlier = member.log.membership_at(entry.index - 1)
         previous_index, previous = earlier.index, earlier.members
         if member.is_leader() and previous_index > member.commit_index:
-            self.fail("quorums", f"{place.address} changes members at {entry.index} upon uncommitted {previous_index}")
+            self.fail("quorums", f"{host.address} changes members at {entry.index} upon uncommitted {previous_index}")
         before, after = voter_sets(previous), voter_sets(Members.FromString(entry.payload))
         if can_be_disjoint(before, after):
-            self.fail("quorums", f"{place.address} at {entry.index}: {before} and {after} may both decide")
+            self.fail("quorums", f"{host.address} at {entry.index}: {before} and {after} may both decide")
         self.counts["changes"] += 1
         self.counts["joint changes"] += len(after) > 1
 
-    def _check_election(self, place: Place, member: RaftMember) -> None:
-        """One leader an epoch, chosen by a quorum, with all that was committed in earlier epochs."""
+    def _check_election(self, host: Host, member: RaftMember) -> None:
+        """Each epoch has one leader, elected by a quorum, which holds all entries committed in earlier epochs."""
         self.counts["leaders"] += 1
         known_leader = self.leaders.setdefault(member.term, member.identity)
         if known_leader != member.identity:
             self.fail("election", f"epoch {member.term} is led by {known_leader} and {member.identity}")
-        # Its first entry may have been a change: it was chosen by what held before its own entries.
-        own_first = next((e.index for e in member.log.entries if e.epoch == member.term), member.last_index() + 1)
-        sets = voter_sets(member.log.membership_at(own_first - 1).members)
+        # The election counts by the membership before the leader's own entries, which may already include a change.
+        first_own_index = next((e.index for e in member.log.entries if e.epoch == member.term), member.last_index() + 1)
+        sets = voter_sets(member.log.membership_at(first_own_index - 1).members)
         if not is_quorum(member.elections.granted_by, sets):
             self.fail(
                 "election", f"{member.identity} leads {member.term} by {sorted(member.elections.granted_by)} of {sets}"
@@ -783,7 +789,7 @@
             if committed.by_epoch < member.term:
                 self._check_complete(member, index, committed)
 
-    def _check_complete(self, member: RaftMember, index: int, committed: Committed) -> None:
+    def _check_complete(self, member: RaftMember, index: int, committed: CommittedEntry) -> None:
         if index > member.log.base_index and member.log.term_at(index) != committed.epoch:
             self.fail(
                 "completeness",
@@ -791,64 +797,64 @@
                 f"committed in {committed.by_epoch}",
             )
 
-    def _check_commits(self, place: Place, member: RaftMember) -> None:
-        for index in range(place.checked_commit + 1, member.commit_index + 1):
+    def _check_commits(self, host: Host, member: RaftMember) -> None:
+        for index in range(host.checked_commit + 1, member.commit_index + 1):
             entry = member.entry_at(index)
             if entry is None:
-                continue  # It came with a digest, whose history is compared instead.
+                continue  # The entry came with a snapshot, whose history is compared instead.
             known = self.committed.get(index)
             if known is None:
                 self._check_first_commit(member, entry)
-                self.committed[index] = Committed(entry.epoch, entry.kind, entry.payload, member.term)
+                self.committed[index] = CommittedEntry(entry.epoch, entry.kind, entry.payload, member.term)
             elif (known.epoch, known.payload) != (entry.epoch, entry.payload):
-                self.fail("state machine", f"{place.address} commits {entry.epoch} at {index}, others {known.epoch}")
-        is_counted = member.is_leader() and place.checked_commit < member.commit_index
+                self.fail("state machine", f"{host.address} commits {entry.epoch} at {index}, others {known.epoch}")
+        is_counted = member.is_leader() and host.checked_commit < member.commit_index
         if is_counted and member.log.term_at(member.commit_index) != member.term:
             self.fail("old epoch", f"{member.identity} leads {member.term}, commits up to {member.commit_index}")
-        place.checked_commit = member.commit_index
+        host.checked_commit = member.commit_index
 
     def _check_first_commit(self, member: RaftMember, entry: Entry) -> None:
-        """What is committed first is on the synced disks of a quorum, and in the log of who leads later."""
+        """At its first commit, an entry is synced on the disks of a quorum and in the log of every later leader."""
         self.counts["commits"] += 1
-        disks = self.gone_disks | {p.identity: p.disk for p in self.places}
+        disks = self.lost_disks | {h.identity: h.disk for h in self.hosts}
         holders = {identity for identity, disk in disks.items() if disk.holds(entry.index, entry.epoch)}
         sets = voter_sets(member.members())
         if member.is_leader() and not is_quorum(holders, sets):
             self.fail("durability", f"{member.identity} commits {entry.index}, synced by {sorted(holders)} of {sets}")
-        committed = Committed(entry.epoch, entry.kind, entry.payload, member.term)
-        for place in self._up():
-            other = place.member
+        committed = CommittedEntry(entry.epoch, entry.kind, entry.payload, member.term)
+        for host in self._running_hosts():
+            other = host.member
             if other is not None and other.is_leader() and other.term > member.term:
                 self._check_complete(other, entry.index, committed)
 
-    def _check_told(self, place: Place, member: RaftMember, address: str, body: Message) -> None:
-        """What is acknowledged is synced first: a vote, and entries."""
+    def _check_sent(self, host: Host, member: RaftMember, address: str, body: Message) -> None:
+        """Votes, entries and snapshots are synced before they are acknowledged."""
         if isinstance(body, VoteResult) and body.granted and not body.trial:
-            target = next((p.identity for p in self.places if p.address == address), "")
-            mark = place.disk.mark
-            if mark.epoch == body.epoch and mark.voted_for != target and mark.voted_for not in self.gone_disks:
-                self.fail("durability", f"{place.address} votes for {target}, on disk for {mark.voted_for}")
+            target = next((h.identity for h in self.hosts if h.address == address), "")
+            mark = host.disk.mark
+            if mark.epoch == body.epoch and mark.voted_for != target and mark.voted_for not in self.lost_disks:
+                self.fail("durability", f"{host.address} votes for {target}, on disk for {mark.voted_for}")
             if mark.epoch < body.epoch:
-                self.fail("durability", f"{place.address} votes in {body.epoch}, on disk in {mark.epoch}")
+                self.fail("durability", f"{host.address} votes in {body.epoch}, on disk in {mark.epoch}")
         if isinstance(body, AppendResult) and body.success and body.match_index <= member.last_index():
             epoch = member.log.term_at(body.match_index)
-            if not place.disk.holds(body.match_index, epoch):
-                self.fail("durability", f"{place.address} acknowledges {body.match_index} of epoch {epoch} unsynced")
+            if not host.disk.holds(body.match_index, epoch):
+                self.fail("durability", f"{host.address} acknowledges {body.match_index} of epoch {epoch} unsynced")
         if isinstance(body, DigestResult) and member.log.base_index == body.index:
-            if place.disk.digest_index < body.index:
-                self.fail("durability", f"{place.address} acknowledges digest {body.index} unsynced")
+            if host.disk.digest_index < body.index:
+                self.fail("durability", f"{host.address} acknowledges digest {body.index} unsynced")
 
-    def _note_applied(self, index: int, payload: bytes) -> None:
+    def _record_applied(self, index: int, payload: bytes) -> None:
         if self.applied.setdefault(index, payload) != payload:
             self.fail("state machine", f"at {index} both {self.applied[index]!r} and {payload!r} were applied")
 
-    def _check_answers(self) -> None:
+    def _check_results(self) -> None:
         for payload, proposal in self.proposals:
             if proposal.done():
                 self._check_outcome(payload, proposal)
         self.proposals = [p for p in self.proposals if not p[1].done()]
-        for place, leader, index, confirm_task in self.confirms:
-            if confirm_task.done() and place.member is leader and confirm_task.result():
+        for host, leader, index, confirm_task in self.confirms:
+            if confirm_task.done() and host.member is leader and confirm_task.result():
                 self.counts["confirms"] += 1
                 if leader.commit_index < index:
                     self.fail("confirm", f"{leader.identity} reads at {leader.commit_index}, {index} was committed")
@@ -865,69 +871,72 @@
     # ---- progress ---------------------------------------------------------------------------------------
 
     async def check_progress(self) -> None:
-        """From here no more faults: a majority of each membership in force is up and leads within 2 s."""
-        self.cuts.clear()
-        for place in self.places:
-            place.disk.is_full = False
-        for place in self.places:
-            if place.member is None:
-                await self.start(place)
-        if not self._all_can_lead(set(self.gone_disks)):
+        """Ends all faults: with just a majority of each membership in force, a leader must be elected within 2 s."""
+        self.cut_links.clear()
+        for host in self.hosts:
+            host.disk.is_full = False
+        for host in self.hosts:
+            if host.member is None:
+                await self.start(host)
+        if not self._has_quorum_everywhere(set(self.lost_disks)):
             self.counts["no majority left"] += 1
             return
-        await self._leave_down()
+        await self._stop_unneeded_hosts()
         self.queue = []
-        up_names = [p.identity for p in self._up()]
-        self.note(f"no more faults: {up_names} are up")
+        running_identities = [h.identity for h in self._running_hosts()]
+        self.add_trace(f"no more faults: {running_identities} are up")
         self.counts["progress checks"] += 1
         took_micros = await self.run(LEADER_MICROS, lambda: self._settled_leader() is not None)
         self.check()
         leader = self._settled_leader()
         if leader is None:
-            self.fail("progress", f"no leader for {took_micros // MILLI} ms of {up_names}: {self._states()}")
+            self.fail(
+                "progress",
+                f"no leader for {took_micros // MILLI} ms of {running_identities}: {self._describe_members()}",
+            )
             self.check()
             return
         self.counts["leader ms"] += took_micros // MILLI
         self.counts["longest leader ms"] = max(self.counts["longest leader ms"], took_micros // MILLI)
-        if not await self._commits_one(LEADER_MICROS - took_micros + COMMAND_MICROS):
-            self.fail("progress", f"no command of {up_names} is committed: {self._states()}")
+        if not await self._can_commit(LEADER_MICROS - took_micros + COMMAND_MICROS):
+            self.fail("progress", f"no command of {running_identities} is committed: {self._describe_members()}")
         self.check()
 
-    async def _commits_one(self, left_micros: int) -> bool:
-        """A leader may be one of old that steps down yet, so a command that did not get through goes again."""
-        while left_micros > 0:
-            left_micros -= await self.run(left_micros, lambda: self._settled_leader() is not None)
+    async def _can_commit(self, remaining_micros: int) -> bool:
+        """Whether a command commits in time; retried, because the leader may be a stale one that still steps down."""
+        while remaining_micros > 0:
+            remaining_micros -= await self.run(remaining_micros, lambda: self._settled_leader() is not None)
             leader = self._settled_leader()
             if leader is None:
                 return False
             payload = b"c%d" % next(self.command_numbers)
             proposal = leader.propose(payload)
             self.proposals.append((payload, proposal))
-            left_micros -= max(ROUND_MICROS, await self.run(left_micros, proposal.done))
+            remaining_micros -= max(ROUND_MICROS, await self.run(remaining_micros, proposal.done))
             if proposal.done() and isinstance(proposal.result(), Ok):
                 return True
         return False
 
-    async def _leave_down(self) -> None:
-        """Takes down who is not needed, in an order by chance."""
-        for place in self.chance.sample(self.places, len(self.places)):
-            others = [p for p in self._up() if p is not place]
-            down = {p.identity for p in self.places if p not in others} | set(self.gone_disks)
-            if place.member is not None and self._all_can_lead(down, others):
-                self.stop(place, None)
+    async def _stop_unneeded_hosts(self) -> None:
+        """Stops hosts, in random order, as long as the others still have a majority of each membership."""
+        for host in self.random_source.sample(self.hosts, len(self.hosts)):
+            others = [h for h in self._running_hosts() if h is not host]
+            down = {h.identity for h in self.hosts if h not in others} | set(self.lost_disks)
+            if host.member is not None and self._has_quorum_everywhere(down, others):
+                self.stop(host, None)
 
     def _settled_leader(self) -> RaftMember | None:
-        for place in self._up():
-            if place.member is not None and place.member.settled():
-                if not place.member.transfer.is_in_progress() and not place.member.disk_full:
-                    return place.member
+        for host in self._running_hosts():
+            if host.member is not None and host.member.settled():
+                if not host.member.transfer.is_in_progress() and not host.member.disk_full:
+                    return host.member
         return None
 
-    def _states(self) -> str:
+    def _describe_members(self) -> str:
         return "; ".join(
             f"{m.identity} {m.role} epoch {m.term} last {m.log.term_at(m.last_index())}/{m.last_index()} "
             f"commit {m.commit_index} voters {sorted(m.voters())}"
-            for m in (p.member for p in self._up())
+            for m in (h.member for h in self._running_hosts())
             if m is not None
         )
 
@@ -944,17 +953,17 @@
             await model.step(step_names[walk_bytes[offset]], walk_bytes[offset + 1])
         await model.check_progress()
     finally:
-        for place in model._up():
-            model.stop(place, None)
+        for host in model._running_hosts():
+            model.stop(host, None)
     return model.counts
 
 
-def run_play(play: Callable[[], Coroutine[Any, Any, AnyT]]) -> AnyT:
-    """Runs one play on a loop without real time, and ends what it left."""
+def run_scenario(scenario: Callable[[], Coroutine[Any, Any, AnyT]]) -> AnyT:
+    """Runs one scenario on an event loop with virtual time, and cancels the tasks that it left."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(play())
+        return loop.run_until_complete(scenario())
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
@@ -966,16 +975,16 @@
 def run_walk(
     walk_bytes: bytes, member_class: type[RaftMember] = RaftMember, trace: list[str] | None = None
 ) -> Counter[str]:
-    """Raises ModelViolationError; what it returns tells how much the walk brought about."""
-    return run_play(lambda: _walk(member_class, walk_bytes, trace))
+    """Runs a walk and returns counts of what happened in it; raises ModelViolationError at a violation."""
+    return run_scenario(lambda: _walk(member_class, walk_bytes, trace))
 
 
-def make_walk(seed: int, flavour: int | None = None) -> bytes:
-    """A walk of any kind, or of this one."""
+def make_walk(seed: int, profile: int | None = None) -> bytes:
+    """A random walk, of a random profile or of the given one."""
     walk_bytes = random.Random(seed).randbytes(WALK_BYTES)
-    if flavour is None:
+    if profile is None:
         return walk_bytes
-    return bytes([walk_bytes[0] % 3 + 3 * flavour]) + walk_bytes[1:]
+    return bytes([walk_bytes[0] % 3 + 3 * profile]) + walk_bytes[1:]
 
 
 def find_violation(walk_bytes: bytes, member_class: type[RaftMember] = RaftMember) -> ModelViolationError | None:
@@ -987,7 +996,7 @@
 
 
 def shrink_walk(walk_bytes: bytes, member_class: type[RaftMember], checker: str, try_limit: int = 400) -> bytes:
-    """Leaves out steps as long as the same checker still finds a violation."""
+    """Removes steps as long as the same checker still finds a violation."""
     steps = [walk_bytes[o : o + 2] for o in range(HEADER_BYTES, len(walk_bytes) - 1, 2)]
     header, size, tries = walk_bytes[:HEADER_BYTES], max(1, len(steps) // 2), 0
     while tries < try_limit:
@@ -1006,8 +1015,8 @@
     return header + b"".join(steps)
 
 
-def explain(walk_bytes: bytes, member_class: type[RaftMember] = RaftMember) -> str:
-    """The steps of a walk and the violation it ends with."""
+def explain_walk(walk_bytes: bytes, member_class: type[RaftMember] = RaftMember) -> str:
+    """The trace of a walk's steps, and the violation that it ends with."""
     trace: list[str] = []
     try:
         run_walk(walk_bytes, member_class, trace)
@@ -1039,7 +1048,7 @@
             found.setdefault(violation.checker, []).append(seed)
             if not arguments.keep_going:
                 print(f"seed {seed}: {violation}")
-                print(explain(shrink_walk(walk_bytes, RaftMember, violation.checker)))
+                print(explain_walk(shrink_walk(walk_bytes, RaftMember, violation.checker)))
                 break
             continue
         longest = max(counts["longest leader ms"], walk_counts.pop("longest leader ms", 0))
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -1,4 +1,8 @@
-"""A member that missed hundreds of changes is in step again within a bound, while changes go on, on virtual time."""
+"""A core that missed hundreds of changes catches up within a time bound while changes go on, in virtual time.
+
+Guards against a core that never catches up after a restart, a lost disk, a slow link or disk, or a loss of power while
+it installs a snapshot, and against a leader that lacks acknowledged changes.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 from tests.test_members import all_agree, run_cores, seconds_until, told_once
 
 CHANGE_COUNT = 300
-CHANGES_GOING_ON = 20
+ONGOING_CHANGE_COUNT = 20
 CHANGE_EVERY_MICROS = 60 * MILLI
 ROUTE_COUNT = 1_400
 LARGE_BYTES = 3_000_000
@@ -29,15 +33,16 @@
 DISK_SLOWNESS = 30
 SLOW_DISK_CHANGES = 200
 LEADER_LOST_AT = 40
-# The bound: this long to be found and heard, and the bytes that it must be sent at the link's rate, twice over.
-BEGIN_SECONDS = 1.0
+# The time bound: this long to start and reach the leader, plus twice the time to send the missing bytes over the link.
+STARTUP_SECONDS = 1.0
 LEADER_SECONDS = 2.0
-# Before which sync of a takeover power goes: snapshot, segment, removal of older ones; and whether on a new disk.
-TAKEOVER_STOPS = ((0, False), (1, False), (2, False), (3, False), (0, True), (1, True), (2, True))
+# Before which sync of a snapshot installation power is lost (the snapshot, the segment, the removal of older files),
+# and whether the disk is wiped first.
+INSTALL_STOPS = ((0, False), (1, False), (2, False), (3, False), (0, True), (1, True), (2, True))
 
 
 def build_change(number: int) -> Command:
-    """Most are small; some bring 1,400 routes, some several megabytes."""
+    """Builds a change: most are small, some have 1,400 routes, some several megabytes."""
     document = whole(source=f"change {number}")
     if number in LARGE_AT:
         document["source"] = str(number).ljust(LARGE_BYTES, "x")
@@ -50,7 +55,7 @@
 
 
 class SlowLink:
-    """One machine behind a narrow link: what goes to or from it waits its turn, each way by itself."""
+    """Puts one machine behind a link of limited bandwidth; frames queue separately in each direction."""
 
     def __init__(self, world: World, name: str, bytes_a_second: int) -> None:
         self.world = world
@@ -62,20 +67,20 @@
         world.transmit = self.delay  # type: ignore[method-assign]
 
     def delay(self, source: Machine, target_address: str, frame_bytes: bytes, is_stream: bool) -> None:
-        is_in, is_out = target_address == f"{self.name}:1", source.name == self.name
-        if not is_in and not is_out:
+        is_inbound, is_outbound = target_address == f"{self.name}:1", source.name == self.name
+        if not is_inbound and not is_outbound:
             self.transmit(source, target_address, frame_bytes, is_stream)
             return
-        way = "in" if is_in else "out"
-        start_micros = max(self.world.now(), self.free_micros[way])
-        self.free_micros[way] = start_micros + len(frame_bytes) * SECOND // self.bytes_a_second
+        direction = "in" if is_inbound else "out"
+        start_micros = max(self.world.now(), self.free_micros[direction])
+        self.free_micros[direction] = start_micros + len(frame_bytes) * SECOND // self.bytes_a_second
         self.sent_bytes += len(frame_bytes)
-        delay_seconds = (self.free_micros[way] - self.world.now()) / SECOND
+        delay_seconds = (self.free_micros[direction] - self.world.now()) / SECOND
         self.world.loop.call_later(delay_seconds, self.transmit, source, target_address, frame_bytes, is_stream)
 
 
-class Course:
-    """Three cores and an operator that goes on changing; it watches that nobody leads with less than was told."""
+class CatchUpCluster:
+    """Three cores and an operator that keeps making changes; records leaders that lack acknowledged changes."""
 
     def __init__(self, test: unittest.TestCase, fleet: SimFleet) -> None:
         self.test = test
@@ -86,7 +91,7 @@
         self.leaders_behind: list[str] = []
 
     async def begin(self) -> str:
-        """Gives the member that will be behind: one that does not lead."""
+        """Starts the cores; returns the one that will fall behind, which is not the leader."""
         names = [n for n in self.fleet.startups if n.startswith("core-")]
         for name in names:
             self.fleet.start(name)
@@ -101,10 +106,10 @@
             self.number += 1
             command = build_change(self.number)
             self.told_bytes += len(command.change.document)
-            await self._insist(command)
+            await self._call_until_done(command)
             await pause(self.fleet.world, every_micros)
 
-    async def _insist(self, command: Command) -> None:
+    async def _call_until_done(self, command: Command) -> None:
         end_micros = self.fleet.world.now() + CALL_MICROS
         while self.fleet.world.now() < end_micros:
             leader = self.fleet.leader()
@@ -138,142 +143,142 @@
         return self.acknowledged_index - core.raft.applied_index
 
     async def seconds_to_catch_up(self, name: str, limit_seconds: float) -> float:
-        """While changes go on; in step means at most one change behind."""
-        going_on = self.fleet.world.loop.create_task(self.change(CHANGES_GOING_ON, CHANGE_EVERY_MICROS))
+        """Measures, while changes go on, the time until the core is at most one change behind."""
+        ongoing_changes = self.fleet.world.loop.create_task(self.change(ONGOING_CHANGE_COUNT, CHANGE_EVERY_MICROS))
         took_seconds = await seconds_until(self.fleet, lambda: self.lag(name) <= 1, limit_seconds)
-        await going_on
+        await ongoing_changes
         return took_seconds
 
-    async def check_it_counts(self, name: str) -> None:
-        """With another gone without power, the one that came back holds up the majority, and nothing is lost."""
+    async def check_needed_for_majority(self, name: str) -> None:
+        """Stops another core, so that this one is needed for the majority, and checks that no change is lost."""
         self.test.assertLess(await seconds_until(self.fleet, lambda: self.lag(name) == 0), 1.0)
         other = next(n for n in self.fleet.cores if n not in (name, self.fleet.leader()))
         self.fleet.kill(other, loses_power=True)
         await self.change(1)
-        standing = (name, self.fleet.leader())
-        await seconds_until(self.fleet, lambda: all(self.lag(n) == 0 for n in standing), 2.0)
-        for core_name in standing:
+        majority = (name, self.fleet.leader())
+        await seconds_until(self.fleet, lambda: all(self.lag(n) == 0 for n in majority), 2.0)
+        for core_name in majority:
             fleet = self.fleet.cores[core_name].fleet
             self.test.assertEqual(fleet.description_number, self.number, core_name)
             self.test.assertEqual(len(fleet.taken), self.number, core_name)
 
     def bound_seconds(self, bytes_a_second: float) -> float:
-        """What it must be sent is its log, or the snapshot and what came after it: never more than was told."""
-        return BEGIN_SECONDS + 2 * self.told_bytes / bytes_a_second
+        """The time bound; the log, or the snapshot and the log after it, is never larger than all the changes sent."""
+        return STARTUP_SECONDS + 2 * self.told_bytes / bytes_a_second
 
 
-Play = Callable[[Course, str], Awaitable[None]]
+Scenario = Callable[[CatchUpCluster, str], Awaitable[None]]
 
 
 class CatchingUpTest(unittest.TestCase):
-    def play(self, story: Play, digest_every: int = 100, seed: int = 1) -> None:
+    def run_scenario(self, scenario: Scenario, digest_every: int = 100, seed: int = 1) -> None:
         async def run(fleet: SimFleet) -> None:
             for name, startup in list(fleet.startups.items()):
                 fleet.startups[name] = dataclasses.replace(
                     startup, digestEvery=digest_every, keptEntries=digest_every // 4
                 )
-            course = Course(self, fleet)
-            await story(course, await course.begin())
-            self.assertEqual(course.leaders_behind, [])
+            cluster = CatchUpCluster(self, fleet)
+            await scenario(cluster, await cluster.begin())
+            self.assertEqual(cluster.leaders_behind, [])
 
         run_cores(3, seed, run)
 
     def test_down_for_20_s(self) -> None:
-        self.play(lambda course, name: self.come_back(course, name, is_wiped=False))
+        self.run_scenario(lambda cluster, name: self.restart_and_catch_up(cluster, name, is_wiped=False))
 
     def test_down_for_20_s_and_wiped(self) -> None:
-        self.play(lambda course, name: self.come_back(course, name, is_wiped=True))
+        self.run_scenario(lambda cluster, name: self.restart_and_catch_up(cluster, name, is_wiped=True))
 
-    async def come_back(self, course: Course, name: str, is_wiped: bool) -> None:
-        fleet = course.fleet
+    async def restart_and_catch_up(self, cluster: CatchUpCluster, name: str, is_wiped: bool) -> None:
+        fleet = cluster.fleet
         fleet.kill(name, loses_power=True)
         start_micros = fleet.world.now()
-        await course.change(CHANGE_COUNT)
+        await cluster.change(CHANGE_COUNT)
         await pause(fleet.world, max(0, start_micros + DOWN_MICROS - fleet.world.now()))
         if is_wiped:
             fleet.world.machine(name).disk.empty()
         fleet.start(name)
-        self.assertLess(await course.seconds_to_catch_up(name, 20.0), BEGIN_SECONDS)
+        self.assertLess(await cluster.seconds_to_catch_up(name, 20.0), STARTUP_SECONDS)
         self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, list(fleet.cores))), 2.0)
-        await course.check_it_counts(name)
+        await cluster.check_needed_for_majority(name)
 
     def test_the_leader_is_lost_while_another_is_behind(self) -> None:
-        """The one that holds all leads at once, and changes are taken as soon as the other has caught up."""
+        """The core with the full log becomes leader, and changes commit as soon as the other one has caught up."""
 
-        async def story(course: Course, name: str) -> None:
-            fleet = course.fleet
+        async def scenario(cluster: CatchUpCluster, name: str) -> None:
+            fleet = cluster.fleet
             fleet.kill(name, loses_power=True)
-            await course.change(LEADER_LOST_AT)
+            await cluster.change(LEADER_LOST_AT)
             lost = fleet.leader()
             fleet.start(name)
             await pause(fleet.world, 10 * MILLI)
-            self.assertGreater(course.lag(name), LEADER_LOST_AT // 2)
+            self.assertGreater(cluster.lag(name), LEADER_LOST_AT // 2)
             fleet.kill(lost, loses_power=True)
             start_micros = fleet.world.now()
-            await course.change(1)
+            await cluster.change(1)
             self.assertLess((fleet.world.now() - start_micros) / SECOND, LEADER_SECONDS)
             self.assertNotEqual(fleet.leader(), name)
             fleet.start(lost)
-            self.assertLess(await course.seconds_to_catch_up(lost, 20.0), BEGIN_SECONDS)
-            await course.check_it_counts(name)
+            self.assertLess(await cluster.seconds_to_catch_up(lost, 20.0), STARTUP_SECONDS)
+            await cluster.check_needed_for_majority(name)
 
         for seed in range(6):
             with self.subTest(seed=seed):
-                self.play(story, seed=seed)
+                self.run_scenario(scenario, seed=seed)
 
     def test_behind_a_narrow_link(self) -> None:
-        async def story(course: Course, name: str) -> None:
-            SlowLink(course.fleet.world, name, LINK_BYTES_A_SECOND)
-            await course.change(CHANGE_COUNT)
-            bound_seconds = course.bound_seconds(LINK_BYTES_A_SECOND)
-            took_seconds = await course.seconds_to_catch_up(name, bound_seconds)
+        async def scenario(cluster: CatchUpCluster, name: str) -> None:
+            SlowLink(cluster.fleet.world, name, LINK_BYTES_A_SECOND)
+            await cluster.change(CHANGE_COUNT)
+            bound_seconds = cluster.bound_seconds(LINK_BYTES_A_SECOND)
+            took_seconds = await cluster.seconds_to_catch_up(name, bound_seconds)
             self.assertLess(took_seconds, bound_seconds)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
     def test_a_disk_thirty_times_slower(self) -> None:
-        async def story(course: Course, name: str) -> None:
-            course.fleet.world.machine(name).disk.slowness = DISK_SLOWNESS
-            await course.change(SLOW_DISK_CHANGES)
-            self.assertLess(await course.seconds_to_catch_up(name, 20.0), BEGIN_SECONDS)
-            await course.check_it_counts(name)
+        async def scenario(cluster: CatchUpCluster, name: str) -> None:
+            cluster.fleet.world.machine(name).disk.slowness = DISK_SLOWNESS
+            await cluster.change(SLOW_DISK_CHANGES)
+            self.assertLess(await cluster.seconds_to_catch_up(name, 20.0), STARTUP_SECONDS)
+            await cluster.check_needed_for_majority(name)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
     def test_power_lost_at_each_step_of_a_takeover(self) -> None:
-        async def story(course: Course, name: str) -> None:
-            fleet = course.fleet
+        async def scenario(cluster: CatchUpCluster, name: str) -> None:
+            fleet = cluster.fleet
             fleet.kill(name, loses_power=True)
-            await course.change(CHANGE_COUNT // 2)
-            for sync_number, is_wiped in TAKEOVER_STOPS:
+            await cluster.change(CHANGE_COUNT // 2)
+            for sync_number, is_wiped in INSTALL_STOPS:
                 if is_wiped:
                     fleet.world.machine(name).disk.empty()
-                await self.lose_power_in_takeover(course, name, sync_number)
-                await course.change(30)
+                await self.lose_power_during_install(cluster, name, sync_number)
+                await cluster.change(30)
             fleet.start(name)
-            self.assertLess(await course.seconds_to_catch_up(name, 20.0), BEGIN_SECONDS)
+            self.assertLess(await cluster.seconds_to_catch_up(name, 20.0), STARTUP_SECONDS)
             self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, list(fleet.cores))), 2.0)
-            await course.check_it_counts(name)
+            await cluster.check_needed_for_majority(name)
 
-        self.play(story, digest_every=20)
+        self.run_scenario(scenario, digest_every=20)
 
-    async def lose_power_in_takeover(self, course: Course, name: str, sync_number: int) -> None:
-        """Power goes before the sync of this number, counted from the moment when the snapshot is whole."""
-        fleet = course.fleet
+    async def lose_power_during_install(self, cluster: CatchUpCluster, name: str, sync_number: int) -> None:
+        """Loses power before the sync with this number, counted from when the whole snapshot was received."""
+        fleet = cluster.fleet
         disk = fleet.world.machine(name).disk
         sync = disk._sync
-        left = [sync_number]
+        remaining_syncs = [sync_number]
 
         async def counted_sync() -> None:
             core = fleet.cores[name]
             if hasattr(core, "raft") and core.raft.is_installing_snapshot:
-                left[0] -= 1
-                if left[0] < 0:
+                remaining_syncs[0] -= 1
+                if remaining_syncs[0] < 0:
                     fleet.kill(name, loses_power=True)
             await sync()
 
         disk._sync = counted_sync  # type: ignore[method-assign]
         fleet.start(name)
-        await seconds_until(fleet, lambda: left[0] < 0, 3.0)
+        await seconds_until(fleet, lambda: remaining_syncs[0] < 0, 3.0)
         disk._sync = sync  # type: ignore[method-assign]
-        self.assertLess(left[0], 0, f"no takeover came to sync {sync_number}")
+        self.assertLess(remaining_syncs[0], 0, f"no snapshot installation reached sync {sync_number}")
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -1,4 +1,8 @@
-"""The faults that issue 17 names, each in the smallest form that shows it (§3.1, §4.1, §4.2)."""
+"""Faults of the control plane from issue 17, each in the smallest case that shows it (§3.1, §4.1, §4.2).
+
+Guards against wrong votes and elections, stale or repeated commands, joined pieces of different snapshots, and answers
+that are taken for another request.
+"""
 
 from __future__ import annotations
 
@@ -44,8 +48,8 @@
 from tests.test_wal import MemoryDisk
 
 
-class Recorder:
-    """A state machine that keeps what was applied and what was loaded."""
+class RecordingMachine:
+    """A state machine that records what was applied and loaded."""
 
     def __init__(self) -> None:
         self.applied: list[bytes] = []
@@ -61,8 +65,8 @@
         self.loaded = digest_bytes
 
 
-class FarClock(FakeRuntime):
-    """The elections' deadlines have long passed, and no leader was heard for as long."""
+class ExpiredClock(FakeRuntime):
+    """A clock at which all election deadlines have passed and no leader was heard recently."""
 
     def now(self) -> int:
         return 100 * SECOND
@@ -75,18 +79,18 @@
     )
 
 
-class OneMember:
-    """A member with a made-up log, and all that it tells others."""
+class SingleMember:
+    """A single member with a given log, which records the messages that it sends."""
 
     def __init__(self, identity: str, voters: str, epoch: int, log_epochs: list[int]) -> None:
-        self.told: list[tuple[str, str, Any]] = []
-        self.machine = Recorder()
+        self.sent_messages: list[tuple[str, str, Any]] = []
+        self.machine = RecordingMachine()
         self.raft = RaftMember(
             identity,
             Wal(MemoryDisk()),
             self.machine,
-            self.tell,
-            FarClock(),
+            self.record_message,
+            ExpiredClock(),
             random.Random(1),
             BackgroundTaskGroup("member"),
             lambda reason: None,
@@ -96,11 +100,11 @@
         rest = [Entry(index=2 + n, epoch=e, kind=KIND_COMMAND) for n, e in enumerate(log_epochs)]
         self.raft.log.replace_entries([first, *rest])
 
-    def tell(self, address: str, body_name: str, body: Message) -> None:
-        self.told.append((address, body_name, body))
+    def record_message(self, address: str, body_name: str, body: Message) -> None:
+        self.sent_messages.append((address, body_name, body))
 
     async def flush(self) -> None:
-        """Writes what waits, as the member's own task does."""
+        """Writes the queued records, as the member's LogWriter task does."""
         records, self.raft.writer.pending_records = self.raft.writer.pending_records, []
         callbacks, self.raft.writer.pending_callbacks = self.raft.writer.pending_callbacks, []
         await self.raft.wal.append(records)
@@ -110,44 +114,47 @@
 
 class VotesTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_refused_trial_tells_the_voters_own_epoch(self) -> None:
-        voter = OneMember("a", "abc", epoch=5, log_epochs=[5, 5])
-        candidate = OneMember("b", "abc", epoch=8, log_epochs=[5])
+        voter = SingleMember("a", "abc", epoch=5, log_epochs=[5, 5])
+        candidate = SingleMember("b", "abc", epoch=8, log_epochs=[5])
         voter.raft.take_vote_ask("b", "b:1", VoteAsk(epoch=9, last_index=2, last_epoch=5, trial=True))
-        ((_, _, answer),) = voter.told
+        ((_, _, answer),) = voter.sent_messages
         self.assertEqual((answer.granted, answer.epoch, answer.asked), (False, 5, 9))
         candidate.raft.elections.start(is_pre_vote=True, is_transfer=False)
         candidate.raft.take_vote_result("a", "a:1", answer)
-        self.assertEqual(candidate.raft.term, 8, "an epoch that nobody has was adopted")
+        self.assertEqual(candidate.raft.term, 8, "a term that no member is in was adopted")
 
     async def test_a_member_with_the_longer_log_and_the_lower_epoch_adopts_the_others_and_wins(self) -> None:
-        short, long = OneMember("b", "abc", epoch=9, log_epochs=[5]), OneMember("a", "abc", epoch=5, log_epochs=[5, 5])
+        short, long = (
+            SingleMember("b", "abc", epoch=9, log_epochs=[5]),
+            SingleMember("a", "abc", epoch=5, log_epochs=[5, 5]),
+        )
         long.raft.elections.start(is_pre_vote=True, is_transfer=False)
         short.raft.take_vote_ask("a", "a:1", VoteAsk(epoch=6, last_index=3, last_epoch=5, trial=True))
-        long.raft.take_vote_result("b", "b:1", short.told[-1][2])
+        long.raft.take_vote_result("b", "b:1", short.sent_messages[-1][2])
         self.assertEqual(long.raft.term, 9)
         long.raft.elections.start(is_pre_vote=True, is_transfer=False)
-        short.raft.take_vote_ask("a", "a:1", long.told[-1][2])
-        self.assertTrue(short.told[-1][2].granted)
-        long.raft.take_vote_result("b", "b:1", short.told[-1][2])
-        self.assertEqual((long.raft.role, long.raft.term), ("candidate", 10), "a majority of trials leads to a vote")
+        short.raft.take_vote_ask("a", "a:1", long.sent_messages[-1][2])
+        self.assertTrue(short.sent_messages[-1][2].granted)
+        long.raft.take_vote_result("b", "b:1", short.sent_messages[-1][2])
+        self.assertEqual((long.raft.role, long.raft.term), ("candidate", 10), "a majority of pre-votes starts a vote")
 
     async def test_term_and_log_decide_not_the_voters_own_list(self) -> None:
-        voter = OneMember("a", "abx", epoch=5, log_epochs=[5])
+        voter = SingleMember("a", "abx", epoch=5, log_epochs=[5])
         for is_trial in (True, False):
             voter.raft.take_vote_ask("c", "c:1", VoteAsk(epoch=6, last_index=3, last_epoch=5, trial=is_trial))
             if not is_trial:
                 await voter.flush()
-            self.assertTrue(voter.told[-1][2].granted, "the promoted member is not in this log yet")
+            self.assertTrue(voter.sent_messages[-1][2].granted, "the promoted member is not in this log yet")
 
     async def test_who_led_lately_or_is_followed_is_not_disturbed_by_one_that_was_let_go(self) -> None:
-        voter = OneMember("a", "abc", epoch=5, log_epochs=[5])
+        voter = SingleMember("a", "abc", epoch=5, log_epochs=[5])
         voter.raft.timer.heard_leader_micros = voter.raft.clock.now()
         for is_trial in (True, False):
             voter.raft.take_vote_ask("x", "x:1", VoteAsk(epoch=60, last_index=9, last_epoch=5, trial=is_trial))
-            self.assertEqual((voter.told[-1][2].granted, voter.raft.term), (False, 5))
+            self.assertEqual((voter.sent_messages[-1][2].granted, voter.raft.term), (False, 5))
 
     async def test_an_answer_for_another_vote_is_not_counted(self) -> None:
-        candidate = OneMember("b", "abc", epoch=8, log_epochs=[5])
+        candidate = SingleMember("b", "abc", epoch=8, log_epochs=[5])
         candidate.raft.elections.start(is_pre_vote=True, is_transfer=False)
         candidate.raft.take_vote_result("a", "a:1", VoteResult(epoch=5, granted=True, trial=True, asked=7))
         self.assertEqual(candidate.raft.elections.granted_by, {"b"})
@@ -157,7 +164,7 @@
     def test_two_survivors_of_which_one_lacks_the_last_entry_have_a_leader_soon(self) -> None:
         for seed in range(12):
 
-            async def play(fleet: SimFleet) -> None:
+            async def scenario(fleet: SimFleet) -> None:
                 names = [n for n in fleet.startups if n.startswith("core-")]
                 for name in names:
                     fleet.start(name)
@@ -178,7 +185,7 @@
                 await pause(fleet.world, SECOND)
 
             with self.subTest(seed=seed):
-                run_cores(3, seed, play)
+                run_cores(3, seed, scenario)
 
 
 class WaitingTest(unittest.IsolatedAsyncioTestCase):
@@ -210,23 +217,23 @@
         self.assertEqual(joint.quorum_value({"a": 9, "b": 3, "c": 9, "d": 5}.__getitem__), 5)
         ended = Membership(8, end_joint(joint.members))
         self.assertEqual((set(ended.voters), ended.is_joint, len(ended.members.member)), (set("abd"), False, 4))
-        self.assertFalse(Membership(0, Members()).has_quorum(["a"]), "nobody votes yet")
+        self.assertFalse(Membership(0, Members()).has_quorum(["a"]), "there are no voters yet")
 
     async def test_members_are_not_looked_for_in_the_log(self) -> None:
-        """The cost of a look-up does not grow with the log (fault D)."""
+        """Looking up members must not scan the log, because the cost would grow with it (fault D)."""
         counts = []
         for length in (10, 4_000):
-            member = OneMember("a", "abc", epoch=5, log_epochs=[5] * length)
+            member = SingleMember("a", "abc", epoch=5, log_epochs=[5] * length)
             member.raft.log.entries = CountingList(member.raft.log.entries)
             for _ in range(100):
                 member.raft.members()
                 member.raft.voters()
                 member.raft.leader_address()
-            counts.append(member.raft.log.entries.walked)
+            counts.append(member.raft.log.entries.iterated_count)
         self.assertEqual(counts, [0, 0])
 
     async def test_what_is_cut_from_the_log_takes_its_members_along(self) -> None:
-        member = OneMember("a", "abc", epoch=5, log_epochs=[5])
+        member = SingleMember("a", "abc", epoch=5, log_epochs=[5])
         later = Entry(index=3, epoch=5, kind=KIND_MEMBERS, payload=members_of("abcd").SerializeToString())
         member.raft.log.append(later)
         self.assertEqual(set(member.raft.voters()), set("abcd"))
@@ -235,39 +242,39 @@
 
 
 class CountingList(list[Entry]):
-    """Counts each entry that somebody walks over."""
+    """Counts the entries that are iterated over."""
 
-    walked = 0
+    iterated_count = 0
 
     def __iter__(self) -> Any:
         for entry in list.__iter__(self):
-            self.walked += 1
+            self.iterated_count += 1
             yield entry
 
     def __reversed__(self) -> Any:
         for entry in list.__reversed__(self):
-            self.walked += 1
+            self.iterated_count += 1
             yield entry
 
 
 class SnapshotTest(unittest.IsolatedAsyncioTestCase):
     async def test_pieces_of_two_snapshots_are_never_joined(self) -> None:
-        member = OneMember("a", "abc", epoch=5, log_epochs=[])
+        member = SingleMember("a", "abc", epoch=5, log_epochs=[])
 
-        def piece(index: int, offset: int, chunk: bytes) -> None:
+        def receive_chunk(index: int, offset: int, chunk: bytes) -> None:
             ask = DigestAsk(epoch=5, index=index, last_epoch=5, offset=offset, total=6, chunk=chunk, checksum=index)
             member.raft.take_digest_ask("b", "b:1", ask)
 
-        piece(40, 0, b"ab")
-        piece(50, 2, b"yz")
-        self.assertEqual(member.told[-1][2].next_offset, 0, "the other snapshot begins at its begin")
+        receive_chunk(40, 0, b"ab")
+        receive_chunk(50, 2, b"yz")
+        self.assertEqual(member.sent_messages[-1][2].next_offset, 0, "another snapshot starts at offset 0")
         self.assertIsNone(member.machine.loaded)
 
     async def test_a_member_that_writes_a_snapshot_is_heard_and_does_not_stand(self) -> None:
-        member = OneMember("a", "abc", epoch=5, log_epochs=[5])
+        member = SingleMember("a", "abc", epoch=5, log_epochs=[5])
         member.raft.state.is_installing_snapshot = True
         member.raft.take_append_ask("b", "b:1", AppendAsk(epoch=5, previous_index=2, previous_epoch=5, round=7))
-        answer = member.told[-1][2]
+        answer = member.sent_messages[-1][2]
         self.assertEqual((answer.waiting, answer.round, answer.success), (True, 7, False))
         member.raft.timer.deadline_micros = 0
         member.raft.tick()
@@ -278,14 +285,14 @@
         self.assertEqual(member.raft.role, "candidate")
 
     async def test_a_snapshot_that_fails_its_checksum_is_asked_for_anew(self) -> None:
-        member = OneMember("a", "abc", epoch=5, log_epochs=[])
+        member = SingleMember("a", "abc", epoch=5, log_epochs=[])
         ask = DigestAsk(epoch=5, index=40, last_epoch=5, offset=0, total=2, chunk=b"ab", checksum=1)
         member.raft.take_digest_ask("b", "b:1", ask)
-        self.assertEqual((member.told[-1][2].next_offset, member.raft.is_installing_snapshot), (0, False))
+        self.assertEqual((member.sent_messages[-1][2].next_offset, member.raft.is_installing_snapshot), (0, False))
 
 
-class Frames:
-    """A network that keeps what was sent."""
+class RecordingNetwork:
+    """A network that records the frames that were sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, Envelope]] = []
@@ -303,21 +310,23 @@
 
 class AnswersTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, change: Any) -> bool:
-        """Whether an answer, changed in some way, is taken for the answer to an order."""
-        frames: Any = Frames()
-        rpc_endpoint = RpcEndpoint("me", "me:1", frames, FakeRuntime())
-        asked = asyncio.ensure_future(rpc_endpoint.call("core:1", "command_ask", CommandAsk(command=b"x"), SECOND))
+        """Whether an answer, after this change, is accepted as the response to a command."""
+        network: Any = RecordingNetwork()
+        rpc_endpoint = RpcEndpoint("me", "me:1", network, FakeRuntime())
+        pending_call = asyncio.ensure_future(
+            rpc_endpoint.call("core:1", "command_ask", CommandAsk(command=b"x"), SECOND)
+        )
         await asyncio.sleep(0)
-        question = frames.sent[-1][1]
-        answer = Envelope(identity="core", address="core:1", reply_to=question.ask, reply_life=question.life)
+        request = network.sent[-1][1]
+        answer = Envelope(identity="core", address="core:1", reply_to=request.ask, reply_life=request.life)
         answer.command_result.CopyFrom(CommandResult(status="done"))
         change(answer)
-        frames.receive(answer.SerializeToString())
+        network.receive(answer.SerializeToString())
         await asyncio.sleep(0)
-        is_taken = asked.done()
+        is_taken = pending_call.done()
         if is_taken:
-            self.assertEqual(asked.result(), Ok(answer.command_result))
-        asked.cancel()
+            self.assertEqual(pending_call.result(), Ok(answer.command_result))
+        pending_call.cancel()
         return is_taken
 
     async def test_only_the_answer_to_this_very_question_counts(self) -> None:
@@ -341,8 +350,8 @@
         self.assertEqual(reply_name("roster_note"), "roster_note")
 
     async def test_each_life_is_another(self) -> None:
-        frames: Any = Frames()
-        lives = {RpcEndpoint("me", "me:1", frames, FakeRuntime()).incarnation for _ in range(50)}
+        network: Any = RecordingNetwork()
+        lives = {RpcEndpoint("me", "me:1", network, FakeRuntime()).incarnation for _ in range(50)}
         self.assertEqual(len(lives), 50)
 
 
@@ -368,15 +377,15 @@
         late, later = self.hold(), self.hold()
         fence = self.apply(later)["fence"]
         self.assertEqual(self.apply(late)["status"], "refused")
-        self.assertEqual(self.fleet.holds["w"]["fence"], fence, "the holder knows of no later fence")
+        self.assertEqual(self.fleet.holds["w"]["fence"], fence, "the holder does not know a later fence")
 
     def test_a_repeat_has_the_outcome_of_the_first_also_behind_a_snapshot(self) -> None:
         command = self.hold()
         first = self.apply(command)
         self.assertEqual(self.apply(command), first)
-        behind = FleetState()
-        behind.load_digest(self.fleet.take_digest())
-        self.assertEqual(behind.apply(99, command.SerializeToString()), first)
+        restored = FleetState()
+        restored.load_digest(self.fleet.take_digest())
+        self.assertEqual(restored.apply(99, command.SerializeToString()), first)
 
     def test_a_change_older_than_memory_is_left_without_a_clear_answer(self) -> None:
         def change(number: int) -> Command:
@@ -389,11 +398,13 @@
         first = change(1)
         for number in range(1, TAKEN_LIMIT + 2):
             self.assertEqual(self.apply(change(number))["status"], "done")
-        self.assertEqual(self.apply(first)["status"], "unknown", "it was taken, and must not be refused")
-        self.assertEqual(self.apply(change(2))["status"], "done", "the oldest that is remembered")
+        self.assertEqual(self.apply(first)["status"], "unknown", "it was applied and must not be refused")
+        self.assertEqual(self.apply(change(2))["status"], "done", "the oldest change that is still remembered")
         other = change(500)
         other.change.document = b'{"limits":{}}'
-        self.assertEqual(self.apply(other)["status"], "conflict", "another content under a number that was taken")
+        self.assertEqual(
+            self.apply(other)["status"], "conflict", "different content under a number that is already used"
+        )
 
     def test_other_workers_and_other_lives_have_numbers_of_their_own(self) -> None:
         numbers = [self.hold().number for _ in range(3)]
@@ -404,4 +415,4 @@
         bump = Command()
         bump.bump.part = 1
         self.session.assign_number(bump)
-        self.assertEqual(bump.session, "", "bumps are told apart by their transaction")
+        self.assertEqual(bump.session, "", "bumps are identified by their transaction")
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -1,4 +1,8 @@
-"""How soon a core leads, reads and acknowledges again while machines, links and disks fail (§4.1), on virtual time."""
+"""Elections under failures (§4.1): how soon cores have a leader, answer reads and acknowledge changes again.
+
+Guards against elections that take too long or that are not needed, while machines, links and disks fail. Runs in
+virtual time.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 from pearhead.testbed.simulator.world import pause
 from tests.test_members import all_agree, run_cores, seconds_until
 
-Play = Callable[[SimFleet, str, list[str]], Awaitable[None]]
+Scenario = Callable[[SimFleet, str, list[str]], Awaitable[None]]
 
 
 async def seconds_to_apply(fleet: SimFleet, mark: str) -> float:
@@ -19,7 +23,7 @@
     return (fleet.world.now() - start_micros) / SECOND
 
 
-async def reads_somewhere(fleet: SimFleet, names: list[str]) -> bool:
+async def any_core_reads(fleet: SimFleet, names: list[str]) -> bool:
     for name in names:
         fleet_read = fleet.world.loop.create_task(fleet.cores[name].read_fleet())
         await pause(fleet.world, 300 * MILLI)
@@ -30,12 +34,12 @@
 
 
 class ElectionsTest(unittest.TestCase):
-    def play(self, play: Play, core_counts: tuple[int, ...] = (3, 5), seeds: int = 6) -> None:
-        """Each time on a core that has settled: its leader, and the others."""
+    def run_scenario(self, scenario: Scenario, core_counts: tuple[int, ...] = (3, 5), seeds: int = 6) -> None:
+        """Runs a scenario on a settled cluster of each size and seed, with its leader and the other cores."""
         for core_count in core_counts:
             for seed in range(seeds):
 
-                async def play_one(fleet: SimFleet) -> None:
+                async def run_one(fleet: SimFleet) -> None:
                     names = [n for n in fleet.startups if n.startswith("core-")]
                     for name in names:
                         fleet.start(name)
@@ -43,70 +47,72 @@
                     await fleet.apply(fleet.marked_description("first"))
                     await pause(fleet.world, SECOND)
                     leader = fleet.leader()
-                    await play(fleet, leader, [n for n in names if n != leader])
+                    await scenario(fleet, leader, [n for n in names if n != leader])
                     await seconds_until(fleet, lambda: bool(fleet.leader()))
                     await pause(fleet.world, 2 * SECOND)
                     self.assertLess(await seconds_to_apply(fleet, "last"), SECOND)
 
                 with self.subTest(cores=core_count, seed=seed):
-                    run_cores(core_count, seed, play_one)
+                    run_cores(core_count, seed, run_one)
 
-    async def led_by_another(self, fleet: SimFleet, leader: str, limit_seconds: float) -> None:
+    async def assert_new_leader(self, fleet: SimFleet, leader: str, limit_seconds: float) -> None:
         took_seconds = await seconds_until(fleet, lambda: fleet.leader() not in ("", leader))
         self.assertLess(took_seconds, limit_seconds)
 
     def test_a_killed_leader(self) -> None:
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             fleet.kill(leader, loses_power=True)
-            await self.led_by_another(fleet, leader, 1.3)
+            await self.assert_new_leader(fleet, leader, 1.3)
             self.assertLess(await seconds_to_apply(fleet, "a"), 1.0)
             fleet.start(leader)
 
-        self.play(play)
+        self.run_scenario(scenario)
 
     def test_a_leader_that_freezes_and_wakes(self) -> None:
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             fleet.freeze(leader)
-            await self.led_by_another(fleet, leader, 1.3)
+            await self.assert_new_leader(fleet, leader, 1.3)
             await pause(fleet.world, 3 * SECOND)
             epoch = fleet.cores[fleet.leader()].raft.term
             fleet.wake(leader)
             await pause(fleet.world, SECOND)
             self.assertFalse(fleet.cores[leader].raft.is_leader())
-            self.assertEqual(fleet.cores[fleet.leader()].raft.term, epoch, "waking cost a leader")
+            self.assertEqual(fleet.cores[fleet.leader()].raft.term, epoch, "the leader that woke caused an election")
 
-        self.play(play)
+        self.run_scenario(scenario)
 
     def test_a_leader_that_hears_nobody_or_is_heard_by_nobody(self) -> None:
-        for hears in (True, False):
+        for leader_hears in (True, False):
 
-            async def play(fleet: SimFleet, leader: str, others: list[str], hears: bool = hears) -> None:
+            async def scenario(
+                fleet: SimFleet, leader: str, others: list[str], leader_hears: bool = leader_hears
+            ) -> None:
                 pairs = (
                     fleet.cut([leader], others, both_ways=False)
-                    if hears
+                    if leader_hears
                     else [pair for name in others for pair in fleet.cut([name], [leader], both_ways=False)]
                 )
-                await self.led_by_another(fleet, leader, 2.6)
+                await self.assert_new_leader(fleet, leader, 2.6)
                 fleet.restore_links(pairs)
                 await pause(fleet.world, SECOND)
 
-            with self.subTest(hears=hears):
-                self.play(play)
+            with self.subTest(leader_hears=leader_hears):
+                self.run_scenario(scenario)
 
     def test_a_leader_in_the_minority(self) -> None:
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             minority = [leader, *others[: len(others) // 2 - 1]]
             majority = [n for n in others if n not in minority]
             pairs = fleet.cut(minority, majority)
-            await self.led_by_another(fleet, leader, 1.3)
+            await self.assert_new_leader(fleet, leader, 1.3)
             await pause(fleet.world, 2 * SECOND)
             self.assertFalse(fleet.cores[leader].raft.is_leader())
             fleet.restore_links(pairs)
 
-        self.play(play)
+        self.run_scenario(scenario)
 
     def test_all_cores_killed_and_back_within_a_second(self) -> None:
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             for name in [leader, *others]:
                 fleet.kill(name, loses_power=True)
             for name in [leader, *others]:
@@ -114,10 +120,10 @@
                 fleet.start(name)
             self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 1.3)
 
-        self.play(play)
+        self.run_scenario(scenario)
 
     def test_disks_slow_by_a_factor_of_25_cost_no_leader(self) -> None:
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             epoch = fleet.cores[leader].raft.term
             for name in [leader, *others]:
                 fleet.world.machine(name).disk.slowness = 50
@@ -127,42 +133,45 @@
             for name in [leader, *others]:
                 fleet.world.machine(name).disk.slowness = 1
 
-        self.play(play, seeds=3)
+        self.run_scenario(scenario, seeds=3)
 
     def test_reads_are_answered_while_disks_stall(self) -> None:
-        """As many as may be lost, the leader's among them or not; and those of all followers."""
+        """The leader's disk stalls, or the disks of all followers."""
         for kind in ("leader", "followers"):
 
-            async def play(fleet: SimFleet, leader: str, others: list[str], kind: str = kind) -> None:
+            async def scenario(fleet: SimFleet, leader: str, others: list[str], kind: str = kind) -> None:
                 names = [leader] if kind == "leader" else others
                 for name in names:
                     fleet.set_disk(name, "stalled", True)
                 applied = fleet.world.loop.create_task(fleet.apply(fleet.marked_description("a")))
                 await pause(fleet.world, SECOND)
                 for _ in range(3):
-                    self.assertTrue(await reads_somewhere(fleet, [fleet.leader(), leader, *others]))
+                    self.assertTrue(await any_core_reads(fleet, [fleet.leader(), leader, *others]))
                 for name in names:
                     fleet.set_disk(name, "stalled", False)
                 await applied
 
             with self.subTest(kind=kind):
-                self.play(play, core_counts=(3,))
+                self.run_scenario(scenario, core_counts=(3,))
 
     def test_a_full_disk_steps_down_and_comes_back(self) -> None:
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             fleet.set_disk(leader, "full", True)
             self.assertLess(await seconds_to_apply(fleet, "a"), 2.0)
-            await self.led_by_another(fleet, leader, 1.0)
+            await self.assert_new_leader(fleet, leader, 1.0)
             await pause(fleet.world, 4 * SECOND)
             self.assertTrue(fleet.world.machine(leader).is_alive)
             fleet.set_disk(leader, "full", False)
 
-        self.play(play)
+        self.run_scenario(scenario)
 
     def test_disks_that_were_full_while_digests_were_kept(self) -> None:
-        """All of them at once, cut off and with nothing else to write: nobody may wait for another for ever."""
+        """Guards against a deadlock: all disks are full at once, all cores are cut off and have nothing else to write.
+
+        Without another write, no core would notice that its disk has room again.
+        """
 
-        async def play(fleet: SimFleet, leader: str, others: list[str]) -> None:
+        async def scenario(fleet: SimFleet, leader: str, others: list[str]) -> None:
             pairs = fleet.cut([leader, *others], [leader, *others])
             for name in [leader, *others]:
                 fleet.set_disk(name, "full", True)
@@ -174,4 +183,4 @@
             fleet.restore_links(pairs)
             self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 2.0)
 
-        self.play(play, core_counts=(3,), seeds=3)
+        self.run_scenario(scenario, core_counts=(3,), seeds=3)
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -1,4 +1,8 @@
-"""Walks of the model test of RaftMember (docs/model-tests.md), and broken members that its checkers must find."""
+"""Random walks of the model test of RaftMember (docs/model-tests.md), and faulty members that its checkers must detect.
+
+Guards against violations of Raft's invariants under lost, reordered and duplicated messages, kills, losses of power,
+full disks and membership changes.
+"""
 
 from __future__ import annotations
 
@@ -22,19 +26,19 @@
 from pearhead.rpc.wire_pb2 import Entry, LogRecord, Member, Members, VoteAsk, VoteResult
 from pearhead.runtime.clock import MILLI
 from tests.raft_model import (
-    FLAVOURS,
     HEADER_BYTES,
     LEADER_MICROS,
     WALK_BYTES,
+    WALK_PROFILES,
     Model,
     ModelDisk,
     ModelViolationError,
     can_be_disjoint,
-    explain,
+    explain_walk,
     find_violation,
     is_quorum,
     make_walk,
-    run_play,
+    run_scenario,
     run_walk,
     shrink_walk,
     voter_sets,
@@ -42,32 +46,32 @@
 
 WALK_COUNT = 300
 SHRINK_TRIES = 100
-CHANGES_FLAVOUR = 1
+CHANGES_PROFILE = 1
 
 
-def setUpModule() -> None:  # noqa: N802 - unittest's own name
-    # A walk steps down and elects a dozen times: its warnings are no news.
+def setUpModule() -> None:  # noqa: N802 - the name is unittest's
+    # A walk has a dozen elections and step-downs; their warnings would only flood the output.
     logging.getLogger("pearhead").handlers = [logging.NullHandler()]
 
 
 class AskedTermAdopted(RaftMember):
-    """Fault A: a refused trial tells the term that was asked, so that the asker adopts a term that nobody has."""
+    """Fault A: a refused pre-vote returns the requested term, so the candidate adopts a term that no member is in."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
-        right_send = self.elections.send
+        original_send = self.elections.send
 
         def send_asked_term(target: str, body_name: str, body: Message) -> None:
-            is_calm = self.is_leader() or self.timer.is_leader_present()
-            if isinstance(body, VoteResult) and body.trial and not body.granted and not is_calm:
+            has_leader = self.is_leader() or self.timer.is_leader_present()
+            if isinstance(body, VoteResult) and body.trial and not body.granted and not has_leader:
                 body.epoch = body.asked
-            right_send(target, body_name, body)
+            original_send(target, body_name, body)
 
         self.elections.send = send_asked_term
 
 
 class StrangersIgnored(RaftMember):
-    """Fault B: a voter ignores the request of one that its own members do not hold."""
+    """Fault B: a voter ignores requests from a candidate that its own membership does not list."""
 
     def take_vote_ask(self, identity: str, address: str, ask: VoteAsk) -> None:
         known_voters = self.voters()
@@ -76,21 +80,21 @@
 
 
 class EarlyAcknowledger(RaftMember):
-    """Acknowledges before the sync."""
+    """Acknowledges records before they are synced."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
-        right_persist = self.writer.persist
+        original_persist = self.writer.persist
 
         def persist(records: list[LogRecord], callback: Callable[[], None]) -> None:
             callback()
-            right_persist(records, do_nothing)
+            original_persist(records, do_nothing)
 
         self.writer.persist = persist  # type: ignore[method-assign]
 
 
 class TwiceVoter(RaftMember):
-    """Forgets whom it voted for."""
+    """Forgets its vote, and so may vote twice in a term."""
 
     def take_vote_ask(self, identity: str, address: str, ask: VoteAsk) -> None:
         self.state.voted_for = ""
@@ -98,26 +102,26 @@
 
 
 class OldEpochCommitter(RaftMember):
-    """Commits entries of an earlier epoch by counting them (figure 8 of the Raft paper)."""
+    """Commits entries of an earlier epoch by counting replicas (figure 8 of the Raft paper)."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.counts_all = False
-        right_term_at = self.log.term_at
-        right_advance_commit = self.replication.advance_commit
-        right_commit_to = self.applier.commit_to
+        original_term_at = self.log.term_at
+        original_advance_commit = self.replication.advance_commit
+        original_commit_to = self.applier.commit_to
 
         def term_at(index: int) -> int:
-            return self.term if self.counts_all else right_term_at(index)
+            return self.term if self.counts_all else original_term_at(index)
 
         def advance_commit() -> None:
             self.counts_all = True
-            right_advance_commit()
+            original_advance_commit()
             self.counts_all = False
 
         def commit_to(index: int) -> None:
             self.counts_all = False
-            right_commit_to(index)
+            original_commit_to(index)
 
         self.log.term_at = term_at  # type: ignore[method-assign]
         self.replication.advance_commit = advance_commit  # type: ignore[method-assign]
@@ -125,44 +129,44 @@
 
 
 class NewSetAlone(RaftMember):
-    """Counts a joint change by the new set of voters alone."""
+    """Needs a majority of the new voters only during a joint change."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.counts_new_alone = False
-        self.right_membership = self.log.membership
+        self.original_membership = self.log.membership
         self.log.membership = self.membership_for_counting  # type: ignore[method-assign]
         self._break_counting()
 
     def membership_for_counting(self) -> Membership:
-        present = self.right_membership()
+        present = self.original_membership()
         if not self.counts_new_alone or not present.is_joint:
             return present
         return Membership(present.index, Members(member=present.members.member))
 
     def _break_counting(self) -> None:
-        right_count_votes, right_become_leader = self.elections.count_votes, self.roles.become_leader
-        right_advance_commit, right_commit_to = self.replication.advance_commit, self.applier.commit_to
+        original_count_votes, original_become_leader = self.elections.count_votes, self.roles.become_leader
+        original_advance_commit, original_commit_to = self.replication.advance_commit, self.applier.commit_to
 
         def count_votes() -> None:
             self.counts_new_alone = True
             try:
-                right_count_votes()
+                original_count_votes()
             finally:
                 self.counts_new_alone = False
 
         def become_leader() -> None:
             self.counts_new_alone = False
-            right_become_leader()
+            original_become_leader()
 
         def advance_commit() -> None:
             self.counts_new_alone = True
-            right_advance_commit()
+            original_advance_commit()
             self.counts_new_alone = False
 
         def commit_to(index: int) -> None:
             self.counts_new_alone = False
-            right_commit_to(index)
+            original_commit_to(index)
 
         self.elections.count_votes = count_votes  # type: ignore[method-assign]
         self.roles.become_leader = become_leader  # type: ignore[method-assign]
@@ -171,7 +175,7 @@
 
 
 class TwoAtOnce(RaftMember):
-    """Changes several voters by one entry, as if there were no joint consensus."""
+    """Changes several voters by a single entry, without joint consensus."""
 
     async def change_members(self, changed: Members) -> Result[tuple[int, Any], str]:
         if not self.settled() or self.membership().index > self.commit_index or self.membership().is_joint:
@@ -179,31 +183,31 @@
         return await self.propose(changed.SerializeToString(), KIND_MEMBERS)
 
 
-async def commit_upon_an_old_entry(member_class: type[RaftMember]) -> str:
-    """A leader comes back with an entry that only it holds; the checker that finds a commit of it by count."""
+async def commit_old_epoch_entry(member_class: type[RaftMember]) -> str:
+    """Restarts a leader that alone holds an entry of an earlier epoch; returns the checker that finds its commit."""
     model = Model(member_class, 3, 1)
     await model.begin()
     await model.run(1_500 * MILLI)
-    leading = next(p for p in model.places if p.member is not None and p.member.is_leader())
-    others = [p for p in model.founders if p is not leading]
-    for place in others:
-        model.stop(place, None)
+    leader_host = next(h for h in model.hosts if h.member is not None and h.member.is_leader())
+    others = [h for h in model.founders if h is not leader_host]
+    for host in others:
+        model.stop(host, None)
     await model.step("propose", 0)
     await model.sync_all()
-    model.stop(leading, None)
-    for place in (leading, others[0]):
-        await model.start(place)
-    assert leading.member is not None
+    model.stop(leader_host, None)
+    for host in (leader_host, others[0]):
+        await model.start(host)
+    assert leader_host.member is not None
     try:
         for _ in range(3_000):
             await model.deliver_all()
-            for place in model.places:
-                if place is not leading or not leading.member.is_leader():
-                    place.disk.sync()
+            for host in model.hosts:
+                if host is not leader_host or not leader_host.member.is_leader():
+                    host.disk.sync()
             await model.settle()
             model.check()
-            for place in model.places:
-                await model.advance(place, MILLI)
+            for host in model.hosts:
+                await model.advance(host, MILLI)
     except ModelViolationError as violation:
         return violation.checker
     return ""
@@ -216,57 +220,57 @@
             max_examples=WALK_COUNT,
             deadline=None,
             database=None,
-            # Its own shrinking of so long a string is bounded by minutes; shrink_walk leaves out whole steps.
+            # Hypothesis may shrink such a long string for minutes; shrink_walk removes whole steps instead.
             phases=[Phase.generate],
             suppress_health_check=list(HealthCheck),
         )
         @given(st.binary(min_size=WALK_BYTES, max_size=WALK_BYTES))
-        def hold(walk_bytes: bytes) -> None:
+        def check_walk(walk_bytes: bytes) -> None:
             violation = find_violation(walk_bytes)
             if violation is not None:
                 short_bytes = shrink_walk(walk_bytes, RaftMember, violation.checker, SHRINK_TRIES)
-                raise AssertionError(f"{violation}\n{explain(short_bytes)}")
+                raise AssertionError(f"{violation}\n{explain_walk(short_bytes)}")
 
-        hold()
+        check_walk()
 
     def test_the_same_bytes_give_the_same_walk(self) -> None:
         for seed in range(3):
-            first, second = explain(make_walk(seed)), explain(make_walk(seed))
+            first, second = explain_walk(make_walk(seed)), explain_walk(make_walk(seed))
             self.assertEqual(first, second)
 
     def test_walks_bring_about_what_they_check(self) -> None:
-        """A walk that elects nobody and changes nothing would hold every invariant."""
-        for flavour in range(len(FLAVOURS)):
+        """A walk without elections and changes would hold every invariant without testing it."""
+        for profile in range(len(WALK_PROFILES)):
             counts = sum(
-                (run_walk(make_walk(seed, flavour)) for seed in (1, 2, 3)), start=run_walk(bytes(HEADER_BYTES))
+                (run_walk(make_walk(seed, profile)) for seed in (1, 2, 3)), start=run_walk(bytes(HEADER_BYTES))
             )
             for name in ("leaders", "commits", "commands", "changes", "progress checks"):
-                self.assertGreater(counts[name], 3, f"{name} in walks of kind {flavour}: {counts}")
+                self.assertGreater(counts[name], 3, f"{name} in walks of kind {profile}: {counts}")
 
 
 class MutationsTest(unittest.TestCase):
-    """Each broken member must be found within this many walks, by this checker."""
+    """Each faulty member must be detected within a given number of walks, by a given checker."""
 
-    def find(self, member_class: type[RaftMember], checkers: set[str], walk_limit: int, flavour: int | None) -> int:
+    def find(self, member_class: type[RaftMember], checkers: set[str], walk_limit: int, profile: int | None) -> int:
         for seed in range(walk_limit):
-            walk_bytes = make_walk(seed, flavour)
+            walk_bytes = make_walk(seed, profile)
             violation = find_violation(walk_bytes, member_class)
             if violation is not None and violation.checker in checkers:
-                self.assertIsNone(find_violation(walk_bytes), "the whole member fails too")
+                self.assertIsNone(find_violation(walk_bytes), "the correct member fails too")
                 return seed
         raise AssertionError(f"{member_class.__name__} was not found in {walk_limit} walks")
 
     def test_a_term_that_nobody_has(self) -> None:
-        self.find(AskedTermAdopted, {"progress"}, 60, CHANGES_FLAVOUR)
+        self.find(AskedTermAdopted, {"progress"}, 60, CHANGES_PROFILE)
 
     def test_a_candidate_that_the_voter_does_not_know(self) -> None:
-        self.find(StrangersIgnored, {"progress"}, 150, CHANGES_FLAVOUR)
+        self.find(StrangersIgnored, {"progress"}, 150, CHANGES_PROFILE)
 
     def test_a_joint_change_counted_by_the_new_set_alone(self) -> None:
-        self.find(NewSetAlone, {"election", "durability", "completeness"}, 60, CHANGES_FLAVOUR)
+        self.find(NewSetAlone, {"election", "durability", "completeness"}, 60, CHANGES_PROFILE)
 
     def test_two_voters_changed_at_once(self) -> None:
-        self.find(TwoAtOnce, {"quorums"}, 20, CHANGES_FLAVOUR)
+        self.find(TwoAtOnce, {"quorums"}, 20, CHANGES_PROFILE)
 
     def test_an_acknowledgement_before_the_sync(self) -> None:
         self.find(EarlyAcknowledger, {"durability"}, 3, None)
@@ -275,9 +279,9 @@
         self.find(TwiceVoter, {"election", "durability"}, 60, None)
 
     def test_an_old_epoch_committed_by_count(self) -> None:
-        """No walk tried brought it about, so it is scripted: the new leader's own disk stands while a follower acks."""
-        self.assertEqual(run_play(lambda: commit_upon_an_old_entry(OldEpochCommitter)), "old epoch")
-        self.assertEqual(run_play(lambda: commit_upon_an_old_entry(RaftMember)), "")
+        """Scripted, because no walk tried led to it: a follower acknowledges while the new leader's own disk stalls."""
+        self.assertEqual(run_scenario(lambda: commit_old_epoch_entry(OldEpochCommitter)), "old epoch")
+        self.assertEqual(run_scenario(lambda: commit_old_epoch_entry(RaftMember)), "")
 
     def test_a_shrunk_walk_is_shorter_and_finds_the_same(self) -> None:
         walk_bytes = make_walk(0)
@@ -303,7 +307,7 @@
         self.assertFalse(is_quorum({"a", "b", "c"}, both))
 
     def test_a_disk_forgets_what_was_not_synced(self) -> None:
-        async def write(chance: int | None, syncs: bool) -> ModelDisk:
+        async def write(tear_point: int | None, syncs: bool) -> ModelDisk:
             disk = ModelDisk()
             disk.is_instant = True
             wal = Wal(disk)
@@ -314,39 +318,44 @@
             self.assertFalse(disk.holds(2, 1))
             if syncs:
                 disk.sync()
-            disk.crash(chance)
+            disk.crash(tear_point)
             append_task.cancel()
-            disk.read_again()
+            disk.rebuild_index()
             return disk
 
-        for chance, syncs, is_held in ((0, False, False), (128, False, False), (0, True, True), (None, False, True)):
-            disk = asyncio.run(write(chance, syncs))
+        for tear_point, syncs, is_held in (
+            (0, False, False),
+            (128, False, False),
+            (0, True, True),
+            (None, False, True),
+        ):
+            disk = asyncio.run(write(tear_point, syncs))
             self.assertEqual((disk.holds(1, 1), disk.holds(2, 1)), (True, is_held))
 
-    def check(self, spoil: Callable[[Model], None]) -> str:
-        """The checker that finds what was done to a model whose members have settled."""
+    def check(self, corrupt: Callable[[Model], None]) -> str:
+        """Corrupts a model whose members are in a stable state; returns the checker that finds it."""
 
-        async def play() -> str:
+        async def scenario() -> str:
             model = Model(RaftMember, 3, 1)
             await model.begin()
             await model.run(1_500_000)
             await model.step("propose", 0)
             await model.run(100_000)
-            spoil(model)
+            corrupt(model)
             try:
                 model.check()
             except ModelViolationError as violation:
                 return violation.checker
             finally:
-                for place in model._up():
-                    model.stop(place, None)
+                for host in model._running_hosts():
+                    model.stop(host, None)
             return ""
 
-        return run_play(play)
+        return run_scenario(scenario)
 
     def test_each_checker_finds_what_it_is_for(self) -> None:
         def member(model: Model, is_leader: bool) -> RaftMember:
-            return next(p.member for p in model.places[:3] if p.member and p.member.is_leader() == is_leader)
+            return next(h.member for h in model.hosts[:3] if h.member and h.member.is_leader() == is_leader)
 
         def lead_twice(model: Model) -> None:
             follower = member(model, False)
@@ -372,7 +381,7 @@
             leader.applier.commit_to(leader.last_index())
 
         def apply_another(model: Model) -> None:
-            machine = model.places[0].machine
+            machine = model.hosts[0].machine
             assert machine is not None
             machine.apply(max(model.applied), b"other")
 
@@ -380,7 +389,7 @@
             leader = member(model, True)
             leader.propose(self.members("m1", "m4", "m5").SerializeToString(), KIND_MEMBERS)
 
-        for spoil, checker in (
+        for corrupt, checker in (
             (lambda model: None, ""),
             (lead_twice, "election"),
             (lead_without_votes, "election"),
@@ -390,35 +399,37 @@
             (apply_another, "state machine"),
             (swap_two, "quorums"),
         ):
-            with self.subTest(checker=checker, spoil=getattr(spoil, "__name__", "")):
-                self.assertEqual(self.check(spoil), checker)
+            with self.subTest(checker=checker, corrupt=getattr(corrupt, "__name__", "")):
+                self.assertEqual(self.check(corrupt), checker)
 
 
 class LeftOutTest(unittest.TestCase):
     def test_a_voter_that_an_uncommitted_change_leaves_out_still_stands(self) -> None:
-        """Three of four are up, and only the one left out holds the longest log: no other can win (fault G)."""
+        """Guards against a cluster without a leader (fault G): three of four voters are up, one of them alone holds the
+        longest log, and an uncommitted change in that log removes it. No other member can win an election.
+        """
 
-        async def play() -> bool:
+        async def scenario() -> bool:
             model = Model(RaftMember, 4, 1)
             await model.begin()
             await model.run(1_500 * MILLI)
-            leading = next(p for p in model.places if p.member is not None and p.member.is_leader())
-            others = [p for p in model.founders if p is not leading]
-            for place in others:
-                model.stop(place, None)
-            assert leading.member is not None
-            kept = [m for m in leading.member.members().member if m.identity != leading.identity]
-            change_task = asyncio.ensure_future(leading.member.change_members(Members(member=kept)))
+            leader_host = next(h for h in model.hosts if h.member is not None and h.member.is_leader())
+            others = [h for h in model.founders if h is not leader_host]
+            for host in others:
+                model.stop(host, None)
+            assert leader_host.member is not None
+            kept = [m for m in leader_host.member.members().member if m.identity != leader_host.identity]
+            change_task = asyncio.ensure_future(leader_host.member.change_members(Members(member=kept)))
             await model.settle()
             await model.sync_all()
             change_task.cancel()
-            self.assertNotIn(leading.identity, leading.member.voters())
-            model.stop(leading, None)
+            self.assertNotIn(leader_host.identity, leader_host.member.voters())
+            model.stop(leader_host, None)
             model.queue = []
             # The longest log is needed for a majority of either membership.
-            for place in (leading, *others[:2]):
-                await model.start(place)
+            for host in (leader_host, *others[:2]):
+                await model.start(host)
             await model.run(LEADER_MICROS, lambda: model._settled_leader() is not None)
             return model._settled_leader() is not None
 
-        self.assertTrue(run_play(play), "no leader within 2 s")
+        self.assertTrue(run_scenario(scenario), "no leader within 2 s")
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -1,4 +1,7 @@
-"""The log on disk: torn tails, damage, a full disk, and what outlives a snapshot (§4.3)."""
+"""The write-ahead log (§4.3): torn tails, damaged records, a full disk, and what remains after a snapshot.
+
+Guards against starting from a damaged log, and against losing synced records to a torn tail or a failed append.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class MemoryDisk:
-    """A disk for tests that syncs at once."""
+    """A disk in memory on which every write is synced at once; `fails_append` makes it full."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
