--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -48,7 +48,8 @@
 DIGEST_EVERY = 8
 KEPT_ENTRIES = 2
 
-# The kinds of steps, and how many of 255 byte values select each. The value 0 is a step that does nothing.
+# The kinds of steps, and how many of 255 byte values select each. The value 0 does nothing, so that walks can be shrunk
+# towards zero bytes.
 STEP_WEIGHTS = {
     "run": 40,
     "deliver_one": 32,
@@ -778,7 +779,7 @@
         known_leader = self.leaders.setdefault(member.term, member.identity)
         if known_leader != member.identity:
             self.fail("election", f"epoch {member.term} is led by {known_leader} and {member.identity}")
-        # The election counts by the membership before the leader's own entries, which may already include a change.
+        # The leader's first entry may already be a membership change; it was elected under the membership before that.
         first_own_index = next((e.index for e in member.log.entries if e.epoch == member.term), member.last_index() + 1)
         sets = voter_sets(member.log.membership_at(first_own_index - 1).members)
         if not is_quorum(member.elections.granted_by, sets):
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -136,7 +136,7 @@
         self.run_scenario(scenario, seeds=3)
 
     def test_reads_are_answered_while_disks_stall(self) -> None:
-        """The leader's disk stalls, or the disks of all followers."""
+        """As many disks stall as may fail at once (one of three, the leader's), or those of all followers."""
         for kind in ("leader", "followers"):
 
             async def scenario(fleet: SimFleet, leader: str, others: list[str], kind: str = kind) -> None:
