--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -1,4 +1,8 @@
-"""The operators' calls on the platform: settings, configurations and weights, translated there and back."""
+"""The operators' API on the platform, and the settings file.
+
+A configuration must be read back exactly as it was sent, also after changes, and its items must become the product's.
+Invalid input must be answered with 4xx and change nothing; a process with unusable settings must name the field.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +44,7 @@
     "Resume": True,
     "GapSetpointMs": 250,
 }
-OTHER: Json = {
+OTHER_ROUTE: Json = {
     "Name": "r-2",
     "Hostname": "a.example",
     "Prefix": "/b/",
@@ -53,7 +57,7 @@
     "Public": True,
     "Later": {"x": [1.0, None, "\u00e9\U0001f600"]},
 }
-MODEL: Json = {
+MODEL_SERVICE: Json = {
     "Name": "m",
     "Probe": "/health",
     "ConnLimit": 210,
@@ -69,8 +73,8 @@
         "Models": [{"Name": "line"}],
     },
 }
-PLAIN: Json = {"Name": "p", "Probe": "/h", "ConnLimit": 9}
-STORE: Json = {
+PLAIN_SERVICE: Json = {"Name": "p", "Probe": "/h", "ConnLimit": 9}
+STORE_SERVICE: Json = {
     "Name": "k",
     "CacheStore": "172.20.0.2:8165",
     "Zone": "z-b",
@@ -84,8 +88,8 @@
 ]
 CONFIG: Json = {
     "Revision": 7,
-    "RouteTable": [ROUTE, OTHER],
-    "Services": [MODEL, PLAIN, STORE],
+    "RouteTable": [ROUTE, OTHER_ROUTE],
+    "Services": [MODEL_SERVICE, PLAIN_SERVICE, STORE_SERVICE],
     "Limits": {"HeaderBytes": 16384, "BodyBytes": 4194304, "HeaderReadMs": 3000, "IdleMs": 15000},
     "Tenants": TENANTS,
     "Later": [{"a": None}],
@@ -118,49 +122,53 @@
         self.core = build_core()
         return build_config_api(self.core)
 
-    def call(self, method: str, body: object, base: object = None, path: str = "/v1/config") -> tuple[int, Json]:
+    def send_request(
+        self, method: str, body: object, base: object = None, path: str = "/v1/config"
+    ) -> tuple[int, Json]:
         headers = {} if base is None else {"If-Match": str(base)}
         content = body if isinstance(body, bytes) else json.dumps(body).encode()
-        answer = self.fetch(path, method=method, headers=headers, body=content)
-        return answer.code, json.loads(answer.body)
+        response = self.fetch(path, method=method, headers=headers, body=content)
+        return response.code, json.loads(response.body)
 
-    def read(self) -> tuple[int, Json]:
-        answer = self.fetch("/v1/config")
-        return answer.code, json.loads(answer.body)
+    def read_config(self) -> tuple[int, Json]:
+        response = self.fetch("/v1/config")
+        return response.code, json.loads(response.body)
 
     def test_what_is_read_back_is_what_was_sent(self) -> None:
-        self.assertEqual(self.read()[0], 404)
+        self.assertEqual(self.read_config()[0], 404)
         for number, config in (
             (7, CONFIG),
             (8, {"Revision": 8, "RouteTable": [], "Services": []}),
-            (9, {"Services": [PLAIN], "Revision": 9, "RouteTable": [], "Tenants": [], "Limits": {}, "x": True}),
+            (9, {"Services": [PLAIN_SERVICE], "Revision": 9, "RouteTable": [], "Tenants": [], "Limits": {}, "x": True}),
             (11, {**CONFIG, "Revision": 11, "Limits": None}),
         ):
             base = self.core.fleet.description_number
-            self.assertEqual(self.call("PUT", config, base), (200, {"Revision": number}))
-            self.assertEqual(self.read(), (200, config))
+            self.assertEqual(self.send_request("PUT", config, base), (200, {"Revision": number}))
+            self.assertEqual(self.read_config(), (200, config))
 
     def test_a_change_is_merged_by_name(self) -> None:
-        self.call("PUT", CONFIG, 0)
-        moved, added = {**OTHER, "Service": "p", "Split": None}, {**ROUTE, "Name": "r-3", "Prefix": "/c/"}
-        tenant = {"Name": "v", "Keys": ["k3"]}
+        self.send_request("PUT", CONFIG, 0)
+        moved, added = {**OTHER_ROUTE, "Service": "p", "Split": None}, {**ROUTE, "Name": "r-3", "Prefix": "/c/"}
+        added_tenant = {"Name": "v", "Keys": ["k3"]}
         change = {
             "Revision": 20,
-            "Upsert": {"RouteTable": [added, moved], "Tenants": [tenant], "Services": []},
+            "Upsert": {"RouteTable": [added, moved], "Tenants": [added_tenant], "Services": []},
             "Remove": {"RouteTable": ["r-1", "none"], "Tenants": ["t"]},
         }
-        self.assertEqual(self.call("PATCH", change, 7), (200, {"Revision": 20}))
-        wanted = {**CONFIG, "Revision": 20, "RouteTable": [moved, added], "Tenants": [TENANTS[1], tenant]}
-        self.assertEqual(self.read(), (200, wanted))
-        self.assertEqual(self.call("PATCH", change, 7)[0], 200, "an exact repeat")
-        self.assertEqual(self.call("PUT", CONFIG, 0), (200, {"Revision": 7}), "an exact repeat of an older one")
-        self.assertEqual(self.call("PATCH", {"Revision": 22, "Remove": {"RouteTable": ["r-3"]}}, 20)[0], 200)
-        self.assertEqual(self.read()[1]["RouteTable"], [moved])
-        self.assertEqual(self.call("PATCH", {**change, "Revision": 30}, 7), (412, {"Revision": 22}))
+        self.assertEqual(self.send_request("PATCH", change, 7), (200, {"Revision": 20}))
+        expected = {**CONFIG, "Revision": 20, "RouteTable": [moved, added], "Tenants": [TENANTS[1], added_tenant]}
+        self.assertEqual(self.read_config(), (200, expected))
+        self.assertEqual(self.send_request("PATCH", change, 7)[0], 200, "an exact repeat")
+        self.assertEqual(
+            self.send_request("PUT", CONFIG, 0), (200, {"Revision": 7}), "an exact repeat of an older change"
+        )
+        self.assertEqual(self.send_request("PATCH", {"Revision": 22, "Remove": {"RouteTable": ["r-3"]}}, 20)[0], 200)
+        self.assertEqual(self.read_config()[1]["RouteTable"], [moved])
+        self.assertEqual(self.send_request("PATCH", {**change, "Revision": 30}, 7), (412, {"Revision": 22}))
 
     def test_every_invalid_configuration_is_a_4xx_and_changes_nothing(self) -> None:
-        self.call("PUT", CONFIG, 0)
-        zero = [{"Service": "m", "Share": 0}]
+        self.send_request("PUT", CONFIG, 0)
+        zero_share = [{"Service": "m", "Share": 0}]
         cases: list[object] = [
             b"",
             b"{",
@@ -178,11 +186,11 @@
             {**CONFIG, "Revision": 2**64},
             {**CONFIG, "Revision": -1},
         ]
-        fields: list[Json] = [
+        field_cases: list[Json] = [
             {"RouteTable": [{**ROUTE, "Service": "none"}]},
             {"RouteTable": [{**ROUTE, "Service": "k"}]},
-            {"RouteTable": [ROUTE, {**OTHER, "Prefix": "/a/", "Hostname": "A.example"}]},
-            {"RouteTable": [{**ROUTE, "Split": zero}]},
+            {"RouteTable": [ROUTE, {**OTHER_ROUTE, "Prefix": "/a/", "Hostname": "A.example"}]},
+            {"RouteTable": [{**ROUTE, "Split": zero_share}]},
             {"RouteTable": [{**ROUTE, "DeadlineMs": 0}]},
             {"RouteTable": [{**ROUTE, "DeadlineMs": None}]},
             {"RouteTable": [{**ROUTE, "DeadlineMs": "5"}]},
@@ -195,18 +203,18 @@
             {"RouteTable": [{**ROUTE, "Split": 5}]},
             {"RouteTable": [{**ROUTE, "Public": 1}]},
             {"RouteTable": [{**ROUTE, "DeadlineMs": float("nan")}]},
-            {"Services": [{**MODEL, "Engine": 1}]},
+            {"Services": [{**MODEL_SERVICE, "Engine": 1}]},
             {"RouteTable": [{**ROUTE, "DeadlineMs": 1e400}]},
             {"RouteTable": [{**ROUTE, "Name": "\ud800"}]},
-            {"Services": [MODEL, MODEL, PLAIN]},
+            {"Services": [MODEL_SERVICE, MODEL_SERVICE, PLAIN_SERVICE]},
             {"Limits": []},
             {"Limits": {"BodyBytes": "x"}},
             {"Tenants": [TENANTS[0], {"Name": "u", "Keys": ["k1"]}]},
             {"Tenants": [{"Name": "t", "Keys": "k"}]},
         ]
-        cases += [{**CONFIG, "Revision": 8, **field} for field in fields]
+        cases += [{**CONFIG, "Revision": 8, **field} for field in field_cases]
         for case in cases:
-            status, body = self.call("PUT", case, 7)
+            status, body = self.send_request("PUT", case, 7)
             self.assertEqual(status, 400, (case, body))
             self.assertTrue(body["Faults"])
         changes: list[Json] = [
@@ -220,19 +228,19 @@
             {"Revision": 7},
         ]
         for change in changes:
-            self.assertEqual(self.call("PATCH", {"Revision": 8, **change}, 7)[0], 400, change)
+            self.assertEqual(self.send_request("PATCH", {"Revision": 8, **change}, 7)[0], 400, change)
         for base in (None, "x", "", "-1", '"', 2**70):
-            self.assertEqual(self.call("PUT", {**CONFIG, "Revision": 8}, base)[0], 400, base)
-        self.assertEqual(self.read(), (200, CONFIG))
-        self.assertEqual(self.call("PUT", b" " * (MAX_CONFIG_BODY_BYTES + 1), 7)[0], 413)
-        self.assertEqual(self.call("PUT", {**CONFIG, "Revision": 8}, '"7"')[0], 200)
+            self.assertEqual(self.send_request("PUT", {**CONFIG, "Revision": 8}, base)[0], 400, base)
+        self.assertEqual(self.read_config(), (200, CONFIG))
+        self.assertEqual(self.send_request("PUT", b" " * (MAX_CONFIG_BODY_BYTES + 1), 7)[0], 413)
+        self.assertEqual(self.send_request("PUT", {**CONFIG, "Revision": 8}, '"7"')[0], 200)
 
     def test_items_become_the_products_own(self) -> None:
-        self.call("PUT", CONFIG, 0)
-        held = asyncio.run(self.core.read_description())
-        assert held is not None
-        items = held["description"]
-        first, second = items["routes"]
+        self.send_request("PUT", CONFIG, 0)
+        description = asyncio.run(self.core.read_description())
+        assert description is not None
+        document = description["description"]
+        first, second = document["routes"]
         self.assertEqual(
             [(r["stream"], r["repeatable"], r["resumable"], r["public"]) for r in (first, second)],
             [(True, False, True, False), (False, True, False, True)],
@@ -241,20 +249,24 @@
         self.assertEqual(times, [4_000_000, 300_000, 250_000])
         self.assertEqual(first["splits"], [{"service": "m", "share": 1}])
         self.assertEqual([s["share"] for s in second["splits"]], [90_000_000, 10_500_000])
-        self.assertEqual([s["role"] for s in items["services"]], ["model", "application", "store"])
-        self.assertEqual((items["services"][0]["lines"], items["services"][2]["store_zone"]), (["line"], "z-b"))
-        self.assertEqual(items["tenants"][0]["keyHashes"], [hash_key("k1"), hash_key("k2")])
-        self.assertEqual([t["group"] for t in items["tenants"]], ["", "shared"])
-        self.assertEqual(items["limits"]["header_micros"], 3_000_000)
+        self.assertEqual([s["role"] for s in document["services"]], ["model", "application", "store"])
+        self.assertEqual((document["services"][0]["lines"], document["services"][2]["store_zone"]), (["line"], "z-b"))
+        self.assertEqual(document["tenants"][0]["keyHashes"], [hash_key("k1"), hash_key("k2")])
+        self.assertEqual([t["group"] for t in document["tenants"]], ["", "shared"])
+        self.assertEqual(document["limits"]["header_micros"], 3_000_000)
 
     def test_versions_rise(self) -> None:
         path = "/v1/version-put"
-        self.assertEqual(self.call("POST", {"Model": "line", "Revision": 2}, path=path)[0], 503, "not known yet")
-        self.call("PUT", CONFIG, 0)
-        for version, wanted in ((3, "3"), (2, "3"), (3, "3"), (12, "12")):
-            self.assertEqual(self.call("POST", {"Model": "line", "Revision": version}, path=path), (200, {}))
-            self.assertEqual(self.core.fleet.weights["line"]["weights"], wanted)
-        bad: list[object] = [
+        self.assertEqual(
+            self.send_request("POST", {"Model": "line", "Revision": 2}, path=path)[0],
+            503,
+            "no configuration names the model yet",
+        )
+        self.send_request("PUT", CONFIG, 0)
+        for version, expected in ((3, "3"), (2, "3"), (3, "3"), (12, "12")):
+            self.assertEqual(self.send_request("POST", {"Model": "line", "Revision": version}, path=path), (200, {}))
+            self.assertEqual(self.core.fleet.weights["line"]["weights"], expected)
+        invalid_bodies: list[object] = [
             b"{",
             {"Model": "line"},
             {"Revision": 2},
@@ -262,24 +274,24 @@
             {"Model": 5, "Revision": 2},
             {"Model": "line", "Revision": "2"},
         ]
-        for body in bad:
-            self.assertEqual(self.call("POST", body, path=path)[0], 400, body)
+        for body in invalid_bodies:
+            self.assertEqual(self.send_request("POST", body, path=path)[0], 400, body)
 
     def test_without_a_leader_the_operator_is_asked_to_come_again(self) -> None:
         raft: Any = self.core.raft
         raft.leads = False
-        self.assertEqual(self.call("PUT", CONFIG, 0)[0], 503)
-        self.assertEqual(self.read()[0], 503)
-        self.assertEqual(self.call("POST", {"Model": "line", "Revision": 2}, path="/v1/version-put")[0], 503)
+        self.assertEqual(self.send_request("PUT", CONFIG, 0)[0], 503)
+        self.assertEqual(self.read_config()[0], 503)
+        self.assertEqual(self.send_request("POST", {"Model": "line", "Revision": 2}, path="/v1/version-put")[0], 503)
 
 
 class JsonReaderTest(unittest.TestCase):
     def test_it_reads_in_pieces_what_is_read_whole(self) -> None:
-        breaths = 0
+        yield_count = 0
 
         async def yield_to_loop() -> None:
-            nonlocal breaths
-            breaths += 1
+            nonlocal yield_count
+            yield_count += 1
 
         texts = [
             json.dumps({**CONFIG, "RouteTable": [ROUTE] * 1_000}),
@@ -291,9 +303,9 @@
             '{"a":1,"a":2}',
         ]
         for text in texts:
-            found = asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(yield_to_loop))
-            self.assertEqual(found, json.loads(text.lstrip("\ufeff")))
-        self.assertGreater(breaths, 5)
+            data = asyncio.run(YieldingJsonReader(text.encode()).read_in_pieces(yield_to_loop))
+            self.assertEqual(data, json.loads(text.lstrip("\ufeff")))
+        self.assertGreater(yield_count, 5)
         for text in (
             "{,}",
             '{"a"}',
@@ -331,8 +343,8 @@
             (5_000_000, 6_000_000, 6_000_000, 6_000_000),
         )
         self.assertEqual((settings.bounds.fenced, settings.cloud.rate_per_s, settings.limits.cores), (True, 47.0, 3.0))
-        later = parse_settings({**SETTINGS, "FirstStart": False})
-        self.assertEqual(build_startup_config(later).founders, [])
+        restarted = parse_settings({**SETTINGS, "FirstStart": False})
+        self.assertEqual(build_startup_config(restarted).founders, [])
         front = {**SETTINGS, "Serves": ["front"], "DataDir": None, "BindAddresses": {"Front": "10.1.0.36:8167"}}
         front_startup = build_startup_config(parse_settings(front))
         self.assertEqual((front_startup.founders, front_startup.dataFolder), ([], ""))
@@ -361,23 +373,23 @@
     def test_a_process_that_can_not_start_says_why_in_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.json"
-            for text, wanted in (("{", "PEARHEAD_NODE_FILE"), ("{}", "PortRange: missing"), ("5", "one object")):
+            for text, expected in (("{", "PEARHEAD_NODE_FILE"), ("{}", "PortRange: missing"), ("5", "one object")):
                 path.write_text(text)
-                self.check_end(str(path), wanted)
-            self.check_end(str(path) + "x", "PEARHEAD_NODE_FILE")
-            self.check_end("", "not set")
+                self.check_exit(str(path), expected)
+            self.check_exit(str(path) + "x", "PEARHEAD_NODE_FILE")
+            self.check_exit("", "not set")
 
-    def check_end(self, path: str, wanted: str) -> None:
-        said = io.StringIO()
-        held = os.environ.get("PEARHEAD_NODE_FILE")
+    def check_exit(self, path: str, expected: str) -> None:
+        stderr = io.StringIO()
+        previous_value = os.environ.get("PEARHEAD_NODE_FILE")
         os.environ["PEARHEAD_NODE_FILE"] = path
         try:
-            with contextlib.redirect_stderr(said), self.assertRaises(SystemExit) as raised:
+            with contextlib.redirect_stderr(stderr), self.assertRaises(SystemExit) as raised:
                 read_settings()
         finally:
             os.environ.pop("PEARHEAD_NODE_FILE")
-            if held is not None:
-                os.environ["PEARHEAD_NODE_FILE"] = held
+            if previous_value is not None:
+                os.environ["PEARHEAD_NODE_FILE"] = previous_value
         self.assertEqual(raised.exception.code, 2)
-        self.assertIn(wanted, said.getvalue())
-        self.assertEqual(said.getvalue().count("\n"), 1)
+        self.assertIn(expected, stderr.getvalue())
+        self.assertEqual(stderr.getvalue().count("\n"), 1)
--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -1,4 +1,9 @@
-"""The programs of `platform/` as processes: signals, exit status, and what they log (docs/operating.md §6)."""
+"""The programs of `platform/` as processes: signals, exit status, metrics and log lines (docs/operating.md §6).
+
+SIGHUP, which the platform sends when settings change, must not end a process. After SIGTERM a front node must still
+answer requests that arrive while it drains. A metrics port in use must not stop a program; any
+other address in use must end it with one clear line.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +26,14 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 ROOT = Path(__file__).resolve().parent.parent
-LINE = re.compile(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z (INFO|WARNING|ERROR) [a-z_]+: [A-Z].*")
+LOG_LINE_PATTERN = re.compile(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z (INFO|WARNING|ERROR) [a-z_]+: [A-Z].*")
 WAIT_SECONDS = 20.0
 
 
-def status_of(address: str, path: str) -> int:
+def fetch_status(address: str, path: str) -> int:
     try:
-        with urllib.request.urlopen(f"http://{address}{path}", timeout=2) as answer:
-            return int(answer.status)
+        with urllib.request.urlopen(f"http://{address}{path}", timeout=2) as response:
+            return int(response.status)
     except urllib.error.HTTPError as refused:
         return refused.code
 
@@ -42,16 +47,22 @@
         self.host = f"127.{random.randrange(20, 220)}.{random.randrange(250)}.{random.randrange(2, 250)}"
 
     def start(self, program: str, **settings: Any) -> tuple[subprocess.Popen[bytes], Path]:
-        told = {"Ip": self.host, "Zone": "a", "PortRange": [7640, 7655], "SeedNodes": [f"{self.host}:8169"], **settings}
+        content = {
+            "Ip": self.host,
+            "Zone": "a",
+            "PortRange": [7640, 7655],
+            "SeedNodes": [f"{self.host}:8169"],
+            **settings,
+        }
         self.started += 1
         settings_path, log_path = self.folder / f"settings-{self.started}", self.folder / f"log-{self.started}"
-        settings_path.write_text(json.dumps(told))
-        log: IO[bytes] = log_path.open("wb")
-        self.addCleanup(log.close)
+        settings_path.write_text(json.dumps(content))
+        log_file: IO[bytes] = log_path.open("wb")
+        self.addCleanup(log_file.close)
         process = subprocess.Popen(
             [sys.executable, f"platform/{program}"],
             cwd=ROOT,
-            stderr=log,
+            stderr=log_file,
             env={**os.environ, "PEARHEAD_NODE_FILE": str(settings_path)},
         )
         self.addCleanup(process.wait)
@@ -59,14 +70,14 @@
         return process, log_path
 
     def wait_for(self, log_path: Path, text: str) -> None:
-        end_seconds = time.monotonic() + WAIT_SECONDS
+        deadline_seconds = time.monotonic() + WAIT_SECONDS
         while text not in log_path.read_text():
-            self.assertLess(time.monotonic(), end_seconds, log_path.read_text())
+            self.assertLess(time.monotonic(), deadline_seconds, log_path.read_text())
             time.sleep(0.05)
 
     def check_log(self, log_path: Path) -> None:
         for line in log_path.read_text().splitlines():
-            self.assertRegex(line, LINE)
+            self.assertRegex(line, LOG_LINE_PATTERN)
 
     def test_a_front_node_outlives_a_change_of_its_settings_and_drains(self) -> None:
         addresses = {"Front": f"{self.host}:8167", "Readiness": f"{self.host}:8162"}
@@ -80,11 +91,11 @@
         process.send_signal(signal.SIGHUP)
         time.sleep(0.3)
         self.assertIsNone(process.poll())
-        self.assertEqual(status_of(addresses["Readiness"], "/v1/readiness"), 503)
-        self.assertEqual(status_of(addresses["Front"], "/x/"), 503)
+        self.assertEqual(fetch_status(addresses["Readiness"], "/v1/readiness"), 503)
+        self.assertEqual(fetch_status(addresses["Front"], "/x/"), 503)
         process.send_signal(signal.SIGTERM)
         self.wait_for(log_path, "daemon: Drains.")
-        self.assertEqual(status_of(addresses["Front"], "/x/"), 503, "callers still come while it drains")
+        self.assertEqual(fetch_status(addresses["Front"], "/x/"), 503, "requests are still answered while it drains")
         self.assertEqual(process.wait(WAIT_SECONDS), 0)
         self.check_log(log_path)
 
@@ -94,22 +105,22 @@
             "run_router.py", Serves=["front"], BindAddresses=addresses, CloudApi={"Address": f"{self.host}:8161"}
         )
         self.wait_for(log_path, "router: Listens.")
-        late = socket.create_connection((self.host, 8167), timeout=WAIT_SECONDS)
-        self.addCleanup(late.close)
-        late.sendall(b"GET /x/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: ")
+        late_connection = socket.create_connection((self.host, 8167), timeout=WAIT_SECONDS)
+        self.addCleanup(late_connection.close)
+        late_connection.sendall(b"GET /x/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: ")
         process.send_signal(signal.SIGTERM)
-        stopped_seconds = time.monotonic()
+        signalled_seconds = time.monotonic()
         while self.is_listening(8167):
-            self.assertLess(time.monotonic(), stopped_seconds + WAIT_SECONDS)
+            self.assertLess(time.monotonic(), signalled_seconds + WAIT_SECONDS)
             time.sleep(0.05)
-        self.assertGreater(time.monotonic() - stopped_seconds, 2.6, "callers still come")
-        self.assertEqual(status_of(addresses["Readiness"], "/v1/readiness"), 503)
-        self.assertIsNone(process.poll(), "a request has begun to arrive")
-        late.sendall(b"late-1\r\n\r\n")
-        answer = late.makefile("rb").read()
-        self.assertTrue(answer.startswith(b"HTTP/1.1 503"), answer)
+        self.assertGreater(time.monotonic() - signalled_seconds, 2.6, "the handover phase still accepts connections")
+        self.assertEqual(fetch_status(addresses["Readiness"], "/v1/readiness"), 503)
+        self.assertIsNone(process.poll(), "the head of a request has been read in part")
+        late_connection.sendall(b"late-1\r\n\r\n")
+        response = late_connection.makefile("rb").read()
+        self.assertTrue(response.startswith(b"HTTP/1.1 503"), response)
         for part in (b"Connection: close\r\n", b"X-Request-Id: late-1\r\n", b"Retry-After: 0.050\r\n", b'"draining"'):
-            self.assertIn(part, answer)
+            self.assertIn(part, response)
         self.assertEqual(process.wait(WAIT_SECONDS), 0)
         self.check_log(log_path)
 
@@ -134,7 +145,7 @@
         process.send_signal(signal.SIGHUP)
         time.sleep(0.3)
         self.assertIsNone(process.poll())
-        self.assertEqual(status_of(f"{self.host}:8169", "/v1/config"), 404)
+        self.assertEqual(fetch_status(f"{self.host}:8169", "/v1/config"), 404)
         process.send_signal(signal.SIGTERM)
         self.assertEqual(process.wait(WAIT_SECONDS), 0)
         self.check_log(log_path)
@@ -154,31 +165,31 @@
         addresses = {"Front": f"{self.host}:8167", "Readiness": f"{self.host}:8162"}
         return self.start("run_router.py", Serves=["front"], BindAddresses=addresses)
 
-    def fetch_figures(self) -> dict[str, float]:
-        with urllib.request.urlopen(f"http://{self.host}:7655/metrics", timeout=2) as answer:
-            text = answer.read().decode()
+    def fetch_metrics(self) -> dict[str, float]:
+        with urllib.request.urlopen(f"http://{self.host}:7655/metrics", timeout=2) as response:
+            text = response.read().decode()
         families = text_string_to_metric_families(text)
         return {sample.name: sample.value for family in families for sample in family.samples}
 
     def test_a_core_tells_its_figures(self) -> None:
         _, log_path = self.start_core()
         self.wait_for(log_path, "consensus: Leads.")
-        figures = self.fetch_figures()
-        self.assertEqual(figures["pearhead_raft_voters"], 1)
-        self.assertGreaterEqual(figures["pearhead_raft_term"], 1)
+        metrics = self.fetch_metrics()
+        self.assertEqual(metrics["pearhead_raft_voters"], 1)
+        self.assertGreaterEqual(metrics["pearhead_raft_term"], 1)
 
     def test_a_front_node_tells_its_figures_until_it_ends(self) -> None:
         process, log_path = self.start_front()
         self.wait_for(log_path, "router: Listens.")
-        self.assertEqual(self.fetch_figures()["pearhead_draining"], 0)
-        status_of(f"{self.host}:8167", "/x/")
+        self.assertEqual(self.fetch_metrics()["pearhead_draining"], 0)
+        fetch_status(f"{self.host}:8167", "/x/")
         process.send_signal(signal.SIGTERM)
         self.wait_for(log_path, "daemon: Drains.")
-        status_of(f"{self.host}:8167", "/x/")
-        figures = self.fetch_figures()
-        self.assertEqual(figures["pearhead_draining"], 1)
-        self.assertEqual(figures["pearhead_requests_taken_total"], 2)
-        self.assertEqual(figures["pearhead_requests_taken_draining_total"], 1)
+        fetch_status(f"{self.host}:8167", "/x/")
+        metrics = self.fetch_metrics()
+        self.assertEqual(metrics["pearhead_draining"], 1)
+        self.assertEqual(metrics["pearhead_requests_taken_total"], 2)
+        self.assertEqual(metrics["pearhead_requests_taken_draining_total"], 1)
         self.assertEqual(process.wait(WAIT_SECONDS), 0)
         self.assertIn("router: The drain is over. open_before=0 taken=1 cut=0", log_path.read_text())
         self.check_log(log_path)
@@ -190,7 +201,7 @@
             process, log_path = self.start_front()
             self.wait_for(log_path, "router: Listens.")
             self.assertIn("daemon: The metrics can't be served.", log_path.read_text())
-            self.assertEqual(status_of(f"{self.host}:8162", "/v1/readiness"), 503)
+            self.assertEqual(fetch_status(f"{self.host}:8162", "/v1/readiness"), 503)
             process.send_signal(signal.SIGTERM)
             self.assertEqual(process.wait(WAIT_SECONDS), 0)
             self.check_log(log_path)
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -1,4 +1,8 @@
-"""The border of `platform/` (docs/system.md §3): none of its words in the product, no state and no size of its own."""
+"""Architecture tests for `platform/` (docs/system.md §3).
+
+The product must not contain the platform's names nor import the adapters. The adapters must have no timers, no tasks
+and no state but their connections, and must stay small. The searches are also run on planted violations.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +16,8 @@
 PLATFORM = ROOT / "platform"
 PRODUCT = ROOT / "src" / "pearhead"
 
-# Words that are the platform's alone: found wherever they stand, also in comments. Headers in any case. X-Request-Id is
-# not among them: many speak it, and the product's own calls to workers had it before the platform came.
+# Names that only the platform uses: they are searched for everywhere, also in comments, and headers in any case.
+# X-Request-Id is left out: it is in general use, and the product sent it to workers before it ran on the platform.
 HEADERS = (
     "X-Answer-Seal",
     "X-Cache-Salt",
@@ -48,7 +52,7 @@
     "PEARHEAD_NODE_FILE",
 )
 FIELDS = (
-    # of the settings file
+    # in the settings file
     "AckMs",
     "ApplyMs",
     "BeatPeriodMs",
@@ -85,7 +89,7 @@
     "ThawMs",
     "TransitMs",
     "VersionMs",
-    # of configurations
+    # in configurations
     "BodyBytes",
     "CacheStore",
     "CacheTokens",
@@ -100,7 +104,7 @@
     "SetpointMs",
     "TokenBytes",
     "If-Match",
-    # of workers, the list and the operator's calls
+    # in the interfaces of workers, of the worker list and for operators
     "CacheTotal",
     "CacheUsed",
     "CallSeq",
@@ -109,8 +113,8 @@
     "Upsert",
     "Saturated",
 )
-# Words that are others' as well: found where they are the whole of a text, as a name of a field is.
-COMMON = (
+# Names that are common words too: they are searched for only as whole string literals, as field names are written.
+COMMON_NAMES = (
     "Active",
     "Adapters",
     "Address",
@@ -181,12 +185,12 @@
     "preempt",
     "retain",
 )
-PROPER = re.compile(rf"(?<![\w-])({'|'.join(map(re.escape, (*PATHS, *FIELDS)))})(?![\w-])")
-HEADER = re.compile(rf"(?<![\w-])({'|'.join(HEADERS)})(?![\w-])", re.IGNORECASE)
+PLATFORM_NAME_PATTERN = re.compile(rf"(?<![\w-])({'|'.join(map(re.escape, (*PATHS, *FIELDS)))})(?![\w-])")
+HEADER_PATTERN = re.compile(rf"(?<![\w-])({'|'.join(HEADERS)})(?![\w-])", re.IGNORECASE)
 
-LOCKS_AND_TIMERS = {"call_later", "call_at", "sleep", "Timer", "PeriodicCallback", "add_timeout", "spawn_callback"}
-TASKS = {"create_task", "ensure_future", "Thread", "ThreadPoolExecutor", "run_in_executor", "to_thread", "gather"}
-MUTATORS = {
+TIMER_CALLS = {"call_later", "call_at", "sleep", "Timer", "PeriodicCallback", "add_timeout", "spawn_callback"}
+TASK_CALLS = {"create_task", "ensure_future", "Thread", "ThreadPoolExecutor", "run_in_executor", "to_thread", "gather"}
+MUTATING_METHODS = {
     "add",
     "append",
     "clear",
@@ -200,52 +204,54 @@
     "setdefault",
     "update",
 }
-# What a connection, or the reading of one body, holds while it lasts: these classes are made anew for each.
-PASSING = {
+# Classes that may change their attributes: they are instantiated for each request or for each body that is read.
+SHORT_LIVED_CLASSES = {
     "config_api.py": {"ControlHandler"},
     "request_dialect.py": {"ReadinessHandler"},
     "platform_worker_client.py": {"_BufferedResponse"},
     "config_translation.py": {"YieldingJsonReader"},
 }
-# The one thing of a process's life: connections kept open to stores, workers and the list, told by their address.
-KEPT_CONNECTIONS = {"idle_connections"}
+# The only state that lasts as long as the process: idle connections to stores, workers and the list, by address.
+CONNECTION_FIELDS = {"idle_connections"}
 
 
-def words_in(source: str) -> list[str]:
-    found = [match.group(1) for pattern in (PROPER, HEADER) for match in pattern.finditer(source)]
+def find_platform_names(source: str) -> list[str]:
+    found = [
+        match.group(1) for pattern in (PLATFORM_NAME_PATTERN, HEADER_PATTERN) for match in pattern.finditer(source)
+    ]
     for node in ast.walk(ast.parse(source)):
-        if isinstance(node, ast.Constant) and isinstance(node.value, str) and node.value in COMMON:
+        if isinstance(node, ast.Constant) and isinstance(node.value, str) and node.value in COMMON_NAMES:
             found.append(node.value)
     return found
 
 
-def name_of(node: ast.AST) -> str:
-    """The last part of `a.b.c`."""
+def last_name(node: ast.AST) -> str:
+    """Returns the last part of `a.b.c`, or the plain name."""
     return node.attr if isinstance(node, ast.Attribute) else node.id if isinstance(node, ast.Name) else ""
 
 
-def root_of(node: ast.AST) -> tuple[str, str]:
-    """`self` and `kept` of `self.kept[x].y`; the second is empty for a plain name."""
-    below = ""
+def root_and_field(node: ast.AST) -> tuple[str, str]:
+    """Returns `self` and `kept` for `self.kept[x].y`; the second is empty for a plain name."""
+    field = ""
     while isinstance(node, (ast.Attribute, ast.Subscript)):
-        below = node.attr if isinstance(node, ast.Attribute) else below
+        field = node.attr if isinstance(node, ast.Attribute) else field
         node = node.value
-    return (node.id if isinstance(node, ast.Name) else ""), below
+    return (node.id if isinstance(node, ast.Name) else ""), field
 
 
-def timers_and_tasks(source: str) -> Iterator[str]:
+def find_timers_and_tasks(source: str) -> Iterator[str]:
     for node in ast.walk(ast.parse(source)):
-        if isinstance(node, ast.Call) and name_of(node.func) in LOCKS_AND_TIMERS | TASKS:
-            yield f"{node.lineno}: calls {name_of(node.func)}"
-        if isinstance(node, ast.Call) and name_of(node.func) == "sleep_for":
-            # A rest of no time lets others run, as a loop over much has to; any other is a timer.
-            last = node.args[-1] if node.args else None
-            if not isinstance(last, ast.Constant) or last.value != 0:
-                yield f"{node.lineno}: rests"
+        if isinstance(node, ast.Call) and last_name(node.func) in TIMER_CALLS | TASK_CALLS:
+            yield f"{node.lineno}: calls {last_name(node.func)}"
+        if isinstance(node, ast.Call) and last_name(node.func) == "sleep_for":
+            # A sleep of zero only yields to the event loop, which long loops have to do; any other is a timer.
+            last_argument = node.args[-1] if node.args else None
+            if not isinstance(last_argument, ast.Constant) or last_argument.value != 0:
+                yield f"{node.lineno}: sleeps"
 
 
-def kept_by_module(tree: ast.Module) -> Iterator[str]:
-    """State of the module: names that functions change, by `global`, by a call that changes, or by an item."""
+def find_module_state_changes(tree: ast.Module) -> Iterator[str]:
+    """Yields changes of module-level names: by `global`, by a mutating method, by an item or an attribute."""
     names = {
         target.id
         for node in tree.body
@@ -258,65 +264,65 @@
             yield f"{node.lineno}: {type(node).__name__.lower()} {', '.join(node.names)}"
         if isinstance(node, ast.FunctionDef) and any("cache" in ast.unparse(d) for d in node.decorator_list):
             yield f"{node.lineno}: caches"
-        for changed, line in changed_by(node):
+        for changed, line in changed_expressions(node):
             if isinstance(changed, (ast.Attribute, ast.Subscript)) or isinstance(node, ast.Call):
-                if root_of(changed)[0] in names:
-                    yield f"{line}: changes {root_of(changed)[0]}"
+                if root_and_field(changed)[0] in names:
+                    yield f"{line}: changes {root_and_field(changed)[0]}"
 
 
-def changed_by(node: ast.AST) -> list[tuple[ast.expr, int]]:
-    """What a statement or a call changes."""
+def changed_expressions(node: ast.AST) -> list[tuple[ast.expr, int]]:
+    """Returns the expressions that a statement or a call changes, with their line."""
     if isinstance(node, ast.Assign):
-        found = [item for target in node.targets for item in parts_of(target)]
+        found = [item for target in node.targets for item in unpack_target(target)]
     elif isinstance(node, (ast.AugAssign, ast.AnnAssign)):
         found = [node.target]
     elif isinstance(node, ast.Delete):
         found = list(node.targets)
-    elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.func.attr in MUTATORS:
+    elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.func.attr in MUTATING_METHODS:
         found = [node.func.value]
     else:
         return []
     return [(item, node.lineno) for item in found]
 
 
-def parts_of(target: ast.expr) -> Iterable[ast.expr]:
+def unpack_target(target: ast.expr) -> Iterable[ast.expr]:
     return target.elts if isinstance(target, (ast.Tuple, ast.List)) else [target]
 
 
-def kept_by_objects(tree: ast.Module, passing: set[str]) -> Iterator[str]:
-    """State of objects: whatever of `self` changes after it was made, but in classes that pass with a connection."""
-    for found_class in (node for node in tree.body if isinstance(node, ast.ClassDef)):
-        if found_class.name in passing:
+def find_object_state_changes(tree: ast.Module, short_lived: set[str]) -> Iterator[str]:
+    """Yields changes of attributes outside `__init__`, except in the classes of `short_lived`."""
+    for class_node in (node for node in tree.body if isinstance(node, ast.ClassDef)):
+        if class_node.name in short_lived:
             continue
-        for method in found_class.body:
+        for method in class_node.body:
             if not isinstance(method, (ast.FunctionDef, ast.AsyncFunctionDef)) or method.name == "__init__":
                 continue
             for node in ast.walk(method):
-                for changed, line in changed_by(node):
-                    root, field = root_of(changed)
-                    if root == "self" and field and field not in KEPT_CONNECTIONS:
-                        yield f"{line}: changes self.{field} of {found_class.name}"
-                    if root == "cls" or (root == found_class.name and field):
-                        yield f"{line}: changes the class {found_class.name}"
+                for changed, line in changed_expressions(node):
+                    root, field = root_and_field(changed)
+                    if root == "self" and field and field not in CONNECTION_FIELDS:
+                        yield f"{line}: changes self.{field} of {class_node.name}"
+                    if root == "cls" or (root == class_node.name and field):
+                        yield f"{line}: changes the class {class_node.name}"
 
 
-def kept_state(source: str, passing: Iterable[str] = ()) -> list[str]:
+def find_state_changes(source: str, short_lived: Iterable[str] = ()) -> list[str]:
     tree = ast.parse(source)
-    return [*kept_by_module(tree), *kept_by_objects(tree, set(passing))]
+    return [*find_module_state_changes(tree), *find_object_state_changes(tree, set(short_lived))]
 
 
-def made_once(source: str, passing: Iterable[str]) -> list[str]:
-    """Objects of passing classes that a module makes for itself would not pass."""
+def find_module_level_instances(source: str, short_lived: Iterable[str]) -> list[str]:
+    """Returns instances of `short_lived` classes that a module creates at its top level, where they would last."""
     return [
-        f"{node.lineno}: {name_of(node.value.func)} lasts"
+        f"{node.lineno}: {last_name(node.value.func)} is created at module level"
         for node in ast.parse(source).body
         if isinstance(node, (ast.Assign, ast.AnnAssign))
         and isinstance(node.value, ast.Call)
-        and name_of(node.value.func) in set(passing)
+        and last_name(node.value.func) in set(short_lived)
     ]
 
 
-def line_count(paths: Iterable[Path]) -> int:
+def count_lines(paths: Iterable[Path]) -> int:
     return sum(len(path.read_text(encoding="utf-8").splitlines()) for path in paths)
 
 
@@ -333,7 +339,11 @@
     def test_no_word_of_the_platform_stands_in_the_product(self) -> None:
         for path in [*product_files(), PRODUCT / "rpc" / "wire.proto"]:
             source = path.read_text(encoding="utf-8")
-            found = words_in(source) if path.suffix == ".py" else PROPER.findall(source) + HEADER.findall(source)
+            found = (
+                find_platform_names(source)
+                if path.suffix == ".py"
+                else PLATFORM_NAME_PATTERN.findall(source) + HEADER_PATTERN.findall(source)
+            )
             self.assertEqual(found, [], str(path.relative_to(ROOT)))
 
     def test_the_product_imports_nothing_of_the_folder(self) -> None:
@@ -359,13 +369,13 @@
             ('POST = "/v1/version-put"', "/v1/version-put"),
             ("GapSetpointMs = 3", "GapSetpointMs"),
         ):
-            self.assertIn(word, words_in(source), source)
-        self.assertEqual(words_in('class Service: """A Route by Name."""\nNames = "a Model of ours"'), [])
+            self.assertIn(word, find_platform_names(source), source)
+        self.assertEqual(find_platform_names('class Service: """A Route by Name."""\nNames = "a Model of ours"'), [])
 
     def test_every_word_is_met_in_the_folder_or_the_pages_words_only(self) -> None:
-        """A word that nobody speaks would be looked for in vain: most of them stand in the folder."""
-        spoken = "".join(path.read_text(encoding="utf-8") for path in PLATFORM.glob("*.py"))
-        unknown = [word for word in (*FIELDS, *HEADERS) if word not in spoken]
+        """Guards against outdated names, which would be searched for in vain: most of them must be in `platform/`."""
+        platform_source = "".join(path.read_text(encoding="utf-8") for path in PLATFORM.glob("*.py"))
+        unknown = [word for word in (*FIELDS, *HEADERS) if word not in platform_source]
         self.assertLess(len(unknown), len((*FIELDS, *HEADERS)) // 4, unknown)
 
 
@@ -375,15 +385,17 @@
 
     def test_the_folder_has_no_timer_and_no_task(self) -> None:
         for path in sorted(PLATFORM.glob("*.py")):
-            self.assertEqual(list(timers_and_tasks(path.read_text(encoding="utf-8"))), [], path.name)
+            self.assertEqual(list(find_timers_and_tasks(path.read_text(encoding="utf-8"))), [], path.name)
 
     def test_the_folder_keeps_nothing_beyond_a_connection(self) -> None:
         for path in sorted(PLATFORM.glob("*.py")):
-            source, passing = path.read_text(encoding="utf-8"), PASSING.get(path.name, set())
-            self.assertEqual(kept_state(source, passing), [], path.name)
-            self.assertEqual(made_once(source, passing), [], path.name)
-            for name in passing:
-                self.assertTrue(kept_state(source, passing - {name}), f"{path.name}: {name} needs no exception")
+            source, short_lived = path.read_text(encoding="utf-8"), SHORT_LIVED_CLASSES.get(path.name, set())
+            self.assertEqual(find_state_changes(source, short_lived), [], path.name)
+            self.assertEqual(find_module_level_instances(source, short_lived), [], path.name)
+            for name in short_lived:
+                self.assertTrue(
+                    find_state_changes(source, short_lived - {name}), f"{path.name}: {name} needs no exemption"
+                )
 
     def test_planted_timers_and_tasks_are_found(self) -> None:
         for line in (
@@ -396,8 +408,8 @@
             "Thread(target=f)",
             "asyncio.ensure_future(f())",
         ):
-            self.assertTrue(list(timers_and_tasks(f"async def g():\n    {line}")), line)
-        self.assertEqual(list(timers_and_tasks("async def g():\n    await sleep_for(clock, 0)")), [])
+            self.assertTrue(list(find_timers_and_tasks(f"async def g():\n    {line}")), line)
+        self.assertEqual(list(find_timers_and_tasks("async def g():\n    await sleep_for(clock, 0)")), [])
 
     def test_planted_state_is_found(self) -> None:
         for source in (
@@ -416,17 +428,17 @@
             "def f():\n    n = 0\n    def g():\n        nonlocal n\n        n += 1",
             "class PlatformWorkerClient:\n    def f(self, a):\n        self.last[a] = 1",
         ):
-            self.assertTrue(kept_state(source), source)
-        self.assertTrue(made_once("READER = _Reader({})", {"_Reader"}))
+            self.assertTrue(find_state_changes(source), source)
+        self.assertTrue(find_module_level_instances("READER = _Reader({})", {"_Reader"}))
         for source in (
             "class A:\n    def __init__(self):\n        self.n = 1",
             "LIMIT = 3\ndef f(a):\n    a.n = LIMIT",
             "class PlatformWorkerClient:\n    def f(self, a):\n        self.idle_connections.pop(a)",
             "def f():\n    found = {}\n    found['a'] = 1",
         ):
-            self.assertEqual(kept_state(source), [], source)
+            self.assertEqual(find_state_changes(source), [], source)
 
 
 class SizeTest(unittest.TestCase):
     def test_the_folder_has_at_most_a_quarter_of_the_products_lines(self) -> None:
-        self.assertLessEqual(line_count(sorted(PLATFORM.glob("*.py"))) * 4, line_count(product_files()))
+        self.assertLessEqual(count_lines(sorted(PLATFORM.glob("*.py"))) * 4, count_lines(product_files()))
