--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -1,4 +1,4 @@
-"""CoreProcess (§4): one disk machine's part in the core, put together from its controllers."""
+"""One control-plane process (§4), called a core: a Raft member with the fleet state and its services."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
 
 LOGGER = logging.getLogger("pearhead")
 COMMAND_TIMEOUT_MICROS = 5 * SECOND
-# Operators go on to another core after a second without an answer, later where bodies are large.
+# Operators' clients try another core after a second without an answer, later if the body is large, so a relayed command
+# waits for a second plus the time that its bytes take at the rate below.
 RELAY_BASE_TIMEOUT_MICROS = SECOND
 RELAY_BYTES_PER_SECOND = 500_000
 DESCRIPTION_READ_TIMEOUT_MICROS = 2 * SECOND
@@ -63,16 +64,23 @@
 
 
 def unavailable_result(why: str) -> CommandResult:
-    """The answer for a command that did not run."""
+    """The result for a command that did not run, with the reason for the caller."""
     return CommandResult(status="unavailable", body=encode_canonical_json({"why": why}))
 
 
 def relay_timeout_micros(command_bytes: int) -> int:
-    """For how long a relayed command of this size waits for the leader's answer."""
+    """How long a relayed command of this size waits for the leader's reply, in microseconds."""
     return RELAY_BASE_TIMEOUT_MICROS + command_bytes * SECOND // RELAY_BYTES_PER_SECOND
 
 
 class CoreProcess:
+    """A core: wires Raft, fleet state, membership, node views and part revisions to one disk and one endpoint.
+
+    It is the state machine that Raft applies commands to, and the store of the `RevisionSequencer`. `fail` is called
+    with a reason when the process must stop. `hold_last_seen` has, for each worker, the fence of its hold and when this
+    core last saw that hold taken or renewed.
+    """
+
     def __init__(
         self,
         startup: StartupConfig,
@@ -103,6 +111,10 @@
         self.serializer: RevisionSequencer
 
     async def start(self) -> None:
+        """Recovers the state from disk, registers the message handlers and starts the background tasks.
+
+        Raises WalCorruptError if the log is damaged, OSError if the disk fails.
+        """
         self.identity = await self._load_or_create_identity()
         self.founders = self._load_founders()
         self.rpc_endpoint = RpcEndpoint(self.identity, self.startup.address, self.net, self.clock)
@@ -166,25 +178,27 @@
         LOGGER.info("control_plane: Listens. core=%s address=%s", self.identity[:8], self.startup.address)
 
     def stop(self) -> None:
+        """Cancels the background tasks and stops the endpoint."""
         self.task_group.stop()
         self.rpc_endpoint.stop()
 
     async def drain(self) -> None:
-        """Gives vote and leadership to others before it stops (§4.9)."""
+        """Hands this core's vote and leadership to other members before a planned stop (§4.9)."""
         await self.membership.leave()
 
     def _send_to_member(self, address: str, body_name: str, body: Message) -> None:
         self.rpc_endpoint.send_message(address, body_name, body)
 
     async def _load_or_create_identity(self) -> str:
-        """A random id on its disk: an empty disk is a new member (§4.4)."""
+        """Reads the random identity from disk, or creates it: a core with an empty disk is a new member (§4.4)."""
         file_names = self.disk.names()
         if IDENTITY_FILE in file_names:
             return self.disk.read(IDENTITY_FILE).decode()
         if any(n.startswith(("log-", "digest-")) for n in file_names):
-            self.fail("the data folder holds a log and no identity")
+            self.fail("the data folder holds a log but no identity")
         identity = self.chance.randbytes(12).hex()
-        # Founders are told once: a founder killed before it founded must know them in its next life (§4.9).
+        # Founders are configured for the first start only, so they are stored: a founder that was killed before the
+        # bootstrap must still know them after its restart (§4.9).
         if self.startup.founders or FOUNDERS_FILE not in file_names:
             await self._write_file_with_retry(FOUNDERS_FILE, json.dumps(self.startup.founders))
         await self._write_file_with_retry(IDENTITY_FILE, identity)
@@ -204,12 +218,16 @@
     def _load_founders(self) -> list[str]:
         if self.startup.founders or FOUNDERS_FILE not in self.disk.names():
             return self.startup.founders
-        kept: list[str] = json.loads(self.disk.read(FOUNDERS_FILE))
-        return kept
+        stored_founders: list[str] = json.loads(self.disk.read(FOUNDERS_FILE))
+        return stored_founders
 
-    # ---- Machine: the fleet, and what this core notes of it -------------------------------------
+    # ---- StateMachine ----------------------------------------------------------------------------
 
     def apply(self, index: int, command_bytes: bytes) -> dict[str, Any]:
+        """Applies a committed command to the fleet state and returns its outcome; the leader publishes an event.
+
+        Calls `fail` and raises UnknownCommandError for a command that only a later release knows.
+        """
         try:
             outcome = self.fleet.apply(index, command_bytes)
         except UnknownCommandError as fault:
@@ -226,31 +244,37 @@
         return outcome
 
     def take_digest(self) -> bytes:
+        """The fleet state, for a snapshot."""
         return self.fleet.take_digest()
 
     def load_digest(self, digest_bytes: bytes) -> None:
+        """Replaces the fleet state by that of a snapshot."""
         self.fleet.load_digest(digest_bytes)
-        # How long a hold was seen is not known, so it counts from now (§7.2).
-        self.hold_last_seen = {w: (h["fence"], self.clock.now()) for w, h in self.fleet.holds.items()}
+        # A snapshot does not tell when holds were last renewed, so their time counts from now (§7.2).
+        self.hold_last_seen = {worker: (hold["fence"], self.clock.now()) for worker, hold in self.fleet.holds.items()}
 
     def _register_volumes(self) -> None:
+        """Joins the invalidation channel of each pair of owner and line; the serializer exists only after recovery."""
         if hasattr(self, "serializer"):
             owners = {
-                f"group:{t['group']}" if t.get("group") else f"tenant:{t['name']}"
-                for t in self.fleet.description.get("tenants", [])
+                f"group:{tenant['group']}" if tenant.get("group") else f"tenant:{tenant['name']}"
+                for tenant in self.fleet.description.get("tenants", [])
             }
-            line_names = [x["name"] for x in self.fleet.description.get("lines", [])]
-            self.serializer.join_volumes((o, n) for o in sorted(owners) for n in line_names)
+            line_names = [line["name"] for line in self.fleet.description.get("lines", [])]
+            self.serializer.join_volumes((owner, name) for owner in sorted(owners) for name in line_names)
 
     # ---- RevisionStore -------------------------------------------------------------------------
 
     def is_leader(self) -> bool:
+        """Whether this core leads, as far as it knows."""
         return self.raft.is_leader()
 
     async def confirm(self) -> bool:
+        """Whether this core leads and a majority, asked after this call, still follows it."""
         return await self.raft.confirm()
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
+        """Raises a part's revision by one; returns the revision and its log index once committed, or None."""
         command = Command(transaction=note.revision_request.transaction)
         command.bump.owner, command.bump.line, command.bump.part = note.owner, note.line, note.part
         outcome = await self.raft.propose(command.SerializeToString())
@@ -260,19 +284,28 @@
         return (body["revision"], body["index"]) if "index" in body else None
 
     def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+        """Part number and revision of each part whose revision is above one."""
         return self.fleet.raised_part_revisions(f"{owner}/{line}")
 
     def position(self) -> tuple[int, int]:
+        """The Raft term (epoch) and the applied index."""
         return self.raft.term, self.raft.applied_index
 
     # ---- commands --------------------------------------------------------------------------------
 
     def is_bootstrap_complete(self) -> bool:
-        """Nothing is acknowledged before as many vote as founded: one lost disk must not matter."""
+        """Whether commands may be acknowledged.
+
+        They may not before as many members vote as founded the core: the loss of one disk must not lose an acknowledged
+        command.
+        """
         return self.fleet.visible_index > 0 or self.membership.is_bootstrap_complete()
 
     async def execute(self, command: Command, relayed: bool = False) -> CommandResult:
-        """Runs a command here or at the leader. `unavailable` did not run; `unknown` may have."""
+        """Runs a command here, or relays it to the leader unless it was relayed before.
+
+        Status `unavailable` means that the command did not run, `unknown` that it may have run.
+        """
         arrived_micros = self.clock.now()
         if self.raft.is_leader():
             if not self.is_bootstrap_complete():
@@ -281,33 +314,34 @@
         if relayed or not self.raft.leader_address():
             return unavailable_result("no leader is known")
         command_bytes = command.SerializeToString()
-        relay_ask = CommandAsk(command=command_bytes, relayed=True)
-        given_result = await self._ask_leader("command_ask", relay_ask, relay_timeout_micros(len(command_bytes)))
-        if isinstance(given_result, Err):
+        relayed_ask = CommandAsk(command=command_bytes, relayed=True)
+        reply = await self._ask_leader("command_ask", relayed_ask, relay_timeout_micros(len(command_bytes)))
+        if isinstance(reply, Err):
             return CommandResult(status="unknown", body=encode_canonical_json({"why": "the leader did not answer"}))
-        result: CommandResult = given_result.ok_value
+        result: CommandResult = reply.ok_value
         return result
 
     async def _ask_leader(self, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
-        """Asks the leader that this core follows, and waits no longer than it follows it."""
+        """Calls the leader that this core follows; gives up as soon as this core follows another or none."""
         leader_address = self.raft.leader_address()
-        asked = asyncio.ensure_future(self.rpc_endpoint.call(leader_address, body_name, body, limit_micros))
+        call = asyncio.ensure_future(self.rpc_endpoint.call(leader_address, body_name, body, limit_micros))
         try:
-            while not asked.done() and self.raft.leader_address() == leader_address:
-                await self._wait_for_reply_or_pause(asked)
-            if asked.done():
-                given_result: Result[Any, str] = asked.result()
-                return given_result
+            while not call.done() and self.raft.leader_address() == leader_address:
+                await self._wait_for_reply_or_poll(call)
+            if call.done():
+                reply: Result[Any, str] = call.result()
+                return reply
             return Err("the leader is not followed any more")
         finally:
-            asked.cancel()
+            call.cancel()
 
-    async def _wait_for_reply_or_pause(self, asked: asyncio.Future[Any]) -> None:
-        pause = asyncio.ensure_future(sleep_for(self.clock, LEADER_POLL_MICROS))
+    async def _wait_for_reply_or_poll(self, call: asyncio.Future[Any]) -> None:
+        """Waits until the call is done, at most until it is time to look at the leader again."""
+        poll_timer = asyncio.ensure_future(sleep_for(self.clock, LEADER_POLL_MICROS))
         try:
-            await asyncio.wait({asked, pause}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({call, poll_timer}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            pause.cancel()
+            poll_timer.cancel()
 
     async def _execute_as_leader(self, command: Command, arrived_micros: int) -> CommandResult:
         if command.WhichOneof("body") == "hold":
@@ -321,19 +355,24 @@
             if rejection is not None:
                 return rejection
         if self.clock.now() - arrived_micros > COMMAND_TIMEOUT_MICROS:
-            # Who asked has given up, and may have said something else since (§4.2).
+            # The caller has given up, and may have sent another command since (§4.2).
             return unavailable_result("the command waited too long")
         outcome = await self.raft.propose(command.SerializeToString())
         if isinstance(outcome, Err):
-            is_run = outcome.err_value == "outcome unknown"
+            may_have_run = outcome.err_value == "outcome unknown"
             return CommandResult(
-                status="unknown" if is_run else "unavailable", body=encode_canonical_json({"why": outcome.err_value})
+                status="unknown" if may_have_run else "unavailable",
+                body=encode_canonical_json({"why": outcome.err_value}),
             )
         index, body = outcome.ok_value
         return CommandResult(status=body["status"], index=index, body=encode_canonical_json(body))
 
     async def _precheck_change(self, command: Command) -> CommandResult | None:
-        """A change that can't be taken is told so before it goes into the log (§5.4). None: let it go there."""
+        """Returns the result for a change that can't be applied, before it goes into the log (§5.4).
+
+        None if the change may be proposed, which a repeat of an applied one may as well. Sets its hash and the revision
+        that it was checked against.
+        """
         change = command.change
         if not await self.raft.confirm():
             return unavailable_result("no majority follows this core")
@@ -358,11 +397,15 @@
         return None
 
     async def _yield_to_loop(self) -> None:
-        """Lets heartbeats through while a large description is checked."""
+        """Yields to the event loop, so that heartbeats go out while a large description is checked."""
         await sleep_for(self.clock, 0)
 
     def _check_hold_expiry(self, command: Command) -> None:
-        """The leader alone judges a term over, by the time since it saw that fence renewed (§7.2)."""
+        """Sets `expired` in the command if the time of the worker's present hold is over (§7.2).
+
+        Only the leader decides this: by the time since it last saw that fence renewed, or since it became the leader if
+        that is later.
+        """
         worker = command.hold.worker
         held = self.fleet.holds.get(worker)
         command.hold.expired = False
@@ -374,14 +417,14 @@
             if held["fence"] == command.hold.renew_fence:
                 self.hold_last_seen[worker] = (held["fence"], now_micros)
             return
-        since_micros = now_micros - max(seen_micros, self.leader_since)
-        if seen_fence == held["fence"] and since_micros > self.startup.holdMicros:
+        unrenewed_micros = now_micros - max(seen_micros, self.leader_since)
+        if seen_fence == held["fence"] and unrenewed_micros > self.startup.holdMicros:
             command.hold.expired = True
             command.hold.renew_fence = held["fence"]
 
     async def _make_command_result(self, identity: str, address: str, ask: CommandAsk) -> CommandResult:
         if self.clock.now() - self.raft.ticked_micros > MAX_STALL_MICROS:
-            # This process stood still, so it is not known for how long the command waited (§4.2).
+            # This process was suspended or blocked, so it is unknown how long the command has waited (§4.2).
             return unavailable_result("this core stood still")
         return await self.execute(Command.FromString(ask.command), relayed=ask.relayed)
 
@@ -399,9 +442,10 @@
         self.membership.on_leadership_change(leads)
         self.view_service.on_leadership_change(leads)
 
-    # ---- what operators are told -------------------------------------------------------------------
+    # ---- state for operators -----------------------------------------------------------------------
 
     def soundness(self) -> dict[str, Any]:
+        """Health and Raft state as this core alone sees them, for operators and the platform."""
         return {
             "kind": "core",
             "area": self.startup.area,
@@ -423,7 +467,10 @@
         }
 
     async def read_description(self) -> dict[str, Any] | None:
-        """Number and items as of now with all sources, on any core (§5.4). None: nobody who can tell is in reach."""
+        """The number and content of the description in force, with all sources, on any core (§5.4).
+
+        None if no leader that a majority follows can be reached.
+        """
         result = await self.fetch_description()
         if result is None:
             return None
@@ -433,14 +480,14 @@
         return {"number": result.number, "description": description}
 
     async def fetch_description(self) -> DescriptionResult | None:
-        """The same with the routes as they are kept, which costs little where they are many."""
+        """Like `read_description`, but with the routes still encoded, which is cheap even if there are many."""
         result = await self._make_description_result("", "", DescriptionAsk())
         leader_address = self.raft.leader_address()
         if not result.held and leader_address and not self.raft.is_leader():
-            given_result = await self._ask_leader("description_ask", DescriptionAsk(), DESCRIPTION_READ_TIMEOUT_MICROS)
-            if isinstance(given_result, Err):
+            reply = await self._ask_leader("description_ask", DescriptionAsk(), DESCRIPTION_READ_TIMEOUT_MICROS)
+            if isinstance(reply, Err):
                 return None
-            result = given_result.ok_value
+            result = reply.ok_value
         return result if result.held else None
 
     async def _make_description_result(self, identity: str, address: str, ask: DescriptionAsk) -> DescriptionResult:
@@ -453,7 +500,7 @@
         return result
 
     async def read_fleet(self) -> dict[str, Any] | None:
-        """The state as of now, read at the leader after a majority confirmed it; None elsewhere."""
+        """The present fleet state, read on the leader after a majority confirmed it; None on other cores."""
         if not await self.raft.confirm():
             return None
         return self.fleet.read()
--- a/src/pearhead/control_plane/data_folder_inspector.py
+++ b/src/pearhead/control_plane/data_folder_inspector.py
@@ -1,4 +1,4 @@
-"""DataFolderInspector (§10.4): looks at a core's data folder without a running core, and changes nothing."""
+"""Offline, read-only inspection of a core's data folder (§10.4)."""
 
 from __future__ import annotations
 
@@ -14,48 +14,66 @@
 
 
 class ReadOnlyDisk:
-    """Files are read as they are; a cut of a torn tail is only noted."""
+    """Implements `Disk` on a folder without changing it.
+
+    A truncation, by which recovery removes an incomplete write at the end of the log, is only recorded in
+    `skipped_truncations`; all other writes raise PermissionError.
+    """
 
     def __init__(self, folder_path: Path) -> None:
         self.folder_path = folder_path
         self.skipped_truncations: list[str] = []
 
     def names(self) -> list[str]:
+        """The sorted names of the folder's files, without the lock file."""
         return sorted(p.name for p in self.folder_path.iterdir() if p.is_file() and p.name != "lock")
 
     def read(self, file_name: str) -> bytes:
+        """The content of a file."""
         return (self.folder_path / file_name).read_bytes()
 
     async def append(self, file_name: str, content_bytes: bytes) -> None:
+        """Raises PermissionError."""
         raise PermissionError("read only")
 
     async def replace(self, file_name: str, content_bytes: bytes) -> None:
+        """Raises PermissionError."""
         raise PermissionError("read only")
 
     async def remove(self, file_name: str) -> None:
+        """Raises PermissionError."""
         raise PermissionError("read only")
 
     async def truncate(self, file_name: str, kept_size: int) -> None:
+        """Records that the file would be truncated to `kept_size` bytes."""
         size = (self.folder_path / file_name).stat().st_size
         self.skipped_truncations.append(f"{file_name}: a torn tail of {size - kept_size} bytes would be cut")
 
 
 @dataclass
 class DataFolderReport:
+    """Faults found in a data folder, none if it is sound, and facts about its content."""
+
     faults: list[str] = field(default_factory=list)
     facts: dict[str, Any] = field(default_factory=dict)
 
 
 class DataFolderInspector:
+    """Reads the log, snapshots and membership of the core whose data folder is at `folder_path`."""
+
     def __init__(self, folder_path: Path) -> None:
         self.folder_path = folder_path
 
     async def read(self) -> DataFolderReport:
+        """Recovers the log, applies its entries to an empty fleet state and reports what it found.
+
+        Stops at damage and at a command of a later release; the report then lacks most facts.
+        """
         report = DataFolderReport()
         disk = ReadOnlyDisk(self.folder_path)
         file_names = disk.names()
         if "identity" not in file_names:
-            report.faults.append("no identity: this is no core's data folder, or an empty one")
+            report.faults.append("no identity file: the folder is empty or is not a core's data folder")
         else:
             report.facts["identity"] = disk.read("identity").decode(errors="replace")
         wal = Wal(disk)
@@ -65,11 +83,11 @@
             report.faults.append(str(fault))
             return report
         fleet, members = FleetState(), Members()
-        epochs = [e.epoch for e in recovered.entries]
+        epochs = [entry.epoch for entry in recovered.entries]
         if epochs != sorted(epochs):
-            report.faults.append("epochs of the entries go down")
+            report.faults.append("the epochs of the log entries decrease")
         if epochs and recovered.mark.epoch < epochs[-1]:
-            report.faults.append("an entry is of a later epoch than the mark")
+            report.faults.append("a log entry has a later epoch than the mark")
         if recovered.digest is not None:
             fleet.load_digest(recovered.digest.state)
             members = recovered.digest.members
@@ -102,4 +120,5 @@
         return report
 
     def text(self, report: DataFolderReport) -> str:
+        """The report as indented JSON."""
         return json.dumps({"faults": report.faults, **report.facts}, indent=2)
--- a/src/pearhead/control_plane/description_change.py
+++ b/src/pearhead/control_plane/description_change.py
@@ -1,7 +1,7 @@
-"""Changes of the description under operators' own numbers (§5.4): merged alike by every core, checked by the leader.
+"""Changes of the description, numbered by the operators (§5.4): the leader checks them, every core merges them alike.
 
-Routes may be many, so they are kept one by one as they are shown and given back: JSON bytes that no core has to read
-when a change is applied.
+There may be many routes, so each is kept as encoded JSON, in the form in which nodes and operators get it. No core has
+to parse routes when it applies a change.
 """
 
 from __future__ import annotations
@@ -37,6 +37,7 @@
 INITIAL_WEIGHTS = "1"
 
 Json = dict[str, Any]
+# By route name: the route's JSON without its source, and the source as UTF-8.
 EncodedRoutes = dict[str, tuple[bytes, bytes]]
 YieldToLoop = Callable[[], Awaitable[None]]
 
@@ -65,16 +66,21 @@
 
 
 def to_json(value: Any) -> bytes:
+    """Compact JSON in UTF-8; lone surrogates pass through."""
     return json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode("utf-8", "surrogatepass")
 
 
 def encode_route(item: Json) -> Item:
-    """Raises KeyError, TypeError or ValueError where it has no name or a source that is no text."""
+    """Encodes a route, with its source kept apart from what nodes see.
+
+    Raises KeyError, TypeError, ValueError or AttributeError if it is no object, has no name, or its source is no text.
+    """
     shown = {name: value for name, value in item.items() if name != "source"}
     return Item(name=item["name"], shown=to_json(shown), source=item.get("source", "").encode("utf-8", "surrogatepass"))
 
 
 def decode_route(shown: bytes, source: bytes) -> Json:
+    """The route as the operator gave it, with its source if it has one."""
     route: Json = json.loads(shown)
     if source:
         route["source"] = source.decode("utf-8", "surrogatepass")
@@ -82,7 +88,10 @@
 
 
 def hash_change(change: ChangeDescription) -> str:
-    """What makes two changes the same one, whenever they were checked. The leader's own is taken where it is told."""
+    """A hash over the content of a change; two changes with the same hash are the same, whenever they were checked.
+
+    If the leader stored its hash in the change, that one is returned.
+    """
     if change.content_hash:
         return change.content_hash
     change_hash = hashlib.blake2b(change.document, digest_size=16)
@@ -94,6 +103,7 @@
 
 
 def strip_sources(value: Any) -> Any:
+    """An item, or the items of a list, without their `source`; other values are returned as they are."""
     if isinstance(value, list):
         return [strip_sources(item) for item in value]
     if isinstance(value, dict) and "source" in value:
@@ -102,9 +112,12 @@
 
 
 def extract_routes(change: ChangeDescription, document: Json) -> None:
-    """Routes that came inside the document go apart from it; a second call finds none left."""
-    holder = document.get("put", {}) if change.by_name else document
-    routes = holder.pop("routes", None)
+    """Moves the routes inside the document to `change.route`, encoded; a second call changes nothing.
+
+    Raises what `encode_route` raises if a route is malformed.
+    """
+    container = document.get("put", {}) if change.by_name else document
+    routes = container.pop("routes", None)
     if routes:
         change.route.extend(encode_route(item) for item in routes)
     if routes is not None:
@@ -112,8 +125,11 @@
 
 
 def merge_routes(held: EncodedRoutes, change: ChangeDescription, document: Json) -> EncodedRoutes:
-    """The routes that come of a change: what is put replaces the route of its name in its place, or is added at the
-    end; what is removed goes first."""
+    """The routes after a change.
+
+    In a change by name, the removals come first; then each given route replaces the one of its name in place, or is
+    appended. Otherwise the given routes replace all others.
+    """
     merged = dict(held) if change.by_name else {}
     if change.by_name:
         for name in document.get("remove", {}).get("routes", []):
@@ -124,7 +140,10 @@
 
 
 def merge_document(present: Json, document: Json, by_name: bool) -> Json:
-    """All else than the routes of the description that comes of a change, likewise."""
+    """The description after a change, without its routes; items are merged as in `merge_routes`.
+
+    A line that no service names any more is removed if a service named it before.
+    """
     if not by_name:
         return {**document, "lines": _with_service_lines(document.get("lines", []), document.get("services", []))}
     merged = dict(present)
@@ -133,39 +152,47 @@
         removed = set(document.get("remove", {}).get(kind, []))
         if not put and not removed:
             continue
-        held = [item for item in present.get(kind, []) if item["name"] not in removed]
-        held_names = {item["name"] for item in held}
-        merged[kind] = [put.get(item["name"], item) for item in held]
-        merged[kind].extend(item for name, item in put.items() if name not in held_names)
+        remaining = [item for item in present.get(kind, []) if item["name"] not in removed]
+        remaining_names = {item["name"] for item in remaining}
+        merged[kind] = [put.get(item["name"], item) for item in remaining]
+        merged[kind].extend(item for name, item in put.items() if name not in remaining_names)
     if "put_limits" in document:
         merged["limits"] = document["put_limits"]
     if "source" in document:
         merged["source"] = document["source"]
-    before = {name for service in present.get("services", []) for name in service.get("lines", [])}
-    after = {name for service in merged.get("services", []) for name in service.get("lines", [])}
-    kept = [line for line in present.get("lines", []) if line["name"] in after or line["name"] not in before]
-    merged["lines"] = _with_service_lines(kept, merged.get("services", []))
+    names_before = {name for service in present.get("services", []) for name in service.get("lines", [])}
+    names_after = {name for service in merged.get("services", []) for name in service.get("lines", [])}
+    remaining_lines = [
+        line for line in present.get("lines", []) if line["name"] in names_after or line["name"] not in names_before
+    ]
+    merged["lines"] = _with_service_lines(remaining_lines, merged.get("services", []))
     return merged
 
 
 def _with_service_lines(lines: list[Json], services: list[Json]) -> list[Json]:
-    """A line that a service names needs no word of its own: it begins with the first weights."""
-    found = {line["name"]: line for line in lines}
+    """Adds the lines that only services name: such a line needs no entry of its own, and has the initial weights."""
+    lines_by_name = {line["name"]: line for line in lines}
     for service in services:
         for name in service.get("lines", []):
-            found.setdefault(name, {"name": name, "weights": INITIAL_WEIGHTS})
-    return list(found.values())
+            lines_by_name.setdefault(name, {"name": name, "weights": INITIAL_WEIGHTS})
+    return list(lines_by_name.values())
 
 
 class ChangeChecker:
-    """Looks at a change in pieces, as the leader does before it goes into the log."""
+    """Checks a change on the leader, before it goes into the log.
+
+    A large change is checked in chunks; between them `yield_to_loop` is awaited, so that the leader keeps running.
+    """
 
     def __init__(self, yield_to_loop: YieldToLoop) -> None:
         self.yield_to_loop = yield_to_loop
 
     async def check(self, change: ChangeDescription, present: Json, held: EncodedRoutes) -> Result[None, list[str]]:
-        """Every fault of the description that would come of the change, each with its path. Routes inside the
-        document are moved out of it."""
+        """Lists the faults that the description would have after the change, each with its path.
+
+        `present` and `held` are the description without its routes, and the routes. Faults of the schema are returned
+        before any others are looked for. Routes inside the change's document are moved out of it.
+        """
         if change.ByteSize() > MAX_CHANGE_BYTES:
             return Err([f"document: over {MAX_CHANGE_BYTES} bytes"])
         try:
@@ -190,25 +217,25 @@
     def _find_schema_errors(self, document: Any, by_name: bool) -> list[str]:
         if not isinstance(document, dict):
             return ["document: must be an object"]
-        holder = document.get("put", {}) if by_name else document
-        if not isinstance(holder, dict):
+        container = document.get("put", {}) if by_name else document
+        if not isinstance(container, dict):
             return ["put: must be an object"]
-        if not isinstance(holder.get("routes", []), list):
+        if not isinstance(container.get("routes", []), list):
             return ["routes: must be a list"]
-        rest = {kind: items for kind, items in holder.items() if kind != "routes"}
+        without_routes = {kind: items for kind, items in container.items() if kind != "routes"}
         dataclass_type: type[Any] = _PartialChange if by_name else Description
-        checked = parse_dataclass(dataclass_type, {**document, "put": rest} if by_name else rest)
-        if isinstance(checked, Err):
-            return checked.err_value
+        parsed = parse_dataclass(dataclass_type, {**document, "put": without_routes} if by_name else without_routes)
+        if isinstance(parsed, Err):
+            return parsed.err_value
         faults: list[str] = []
         for kind in MERGED_ITEM_KINDS if by_name else ():
-            names = [item["name"] for item in rest.get(kind, [])]
-            faults.extend(f"put.{kind}: {name!r} is named twice" for name in _find_doubles(names))
+            names = [item["name"] for item in without_routes.get(kind, [])]
+            faults.extend(f"put.{kind}: {name!r} is named twice" for name in _find_duplicates(names))
         return faults
 
     async def _find_route_errors(self, change: ChangeDescription, routes: EncodedRoutes, merged: Json) -> list[str]:
-        faults = [f"routes: {name!r} is named twice" for name in _find_doubles([item.name for item in change.route])]
-        put = {item.name for item in change.route}
+        faults = [f"routes: {name!r} is named twice" for name in _find_duplicates([item.name for item in change.route])]
+        names_in_change = {item.name for item in change.route}
         route_validator = RouteValidator({s["name"]: s["role"] for s in merged.get("services", [])})
         for position, (name, (shown, _)) in enumerate(routes.items()):
             path = f"routes[{position}]"
@@ -219,7 +246,7 @@
             except (ValueError, RecursionError):
                 faults.append(f"{path}: can't be read")
                 continue
-            if name in put:
+            if name in names_in_change:
                 schema_errors = parse_dataclass(Route, data)
                 if isinstance(schema_errors, Err):
                     faults.extend(f"{path}.{fault}" for fault in schema_errors.err_value)
@@ -231,5 +258,5 @@
         return faults
 
 
-def _find_doubles(names: list[str]) -> list[str]:
+def _find_duplicates(names: list[str]) -> list[str]:
     return [name for name, count in Counter(names).items() if count > 1]
--- a/src/pearhead/control_plane/event_publisher.py
+++ b/src/pearhead/control_plane/event_publisher.py
@@ -1,4 +1,4 @@
-"""EventPublisher (§10.5): CloudEvents for changes, by the library, bounded, best-effort, in nobody's way."""
+"""Best-effort CloudEvents about changes (§10.5), sent from a bounded queue so that a slow sink blocks nothing."""
 
 from __future__ import annotations
 
@@ -21,6 +21,8 @@
 
 
 def http_post(sink_url: str) -> Post:
+    """Returns a function that posts headers and body to the sink, and tells whether the sink took them."""
+
     async def post(headers: dict[str, str], body: bytes) -> bool:
         request = HTTPRequest(
             sink_url,
@@ -40,7 +42,10 @@
 
 
 class EventPublisher:
-    """The oldest events go first when the sink is slow; each is tried once."""
+    """Queues events and sends each of them once; when the queue is full, the oldest event is dropped.
+
+    `lost_count` counts the dropped events and those that the sink did not take.
+    """
 
     def __init__(self, post: Post) -> None:
         self.post = post
@@ -50,6 +55,7 @@
         self.lost_count = 0
 
     def publish(self, type_name: str, index: int, data: dict[str, Any]) -> None:
+        """Queues an event; `index` is the log index of the change and makes the event's id unique."""
         if len(self.waiting) == QUEUE_LIMIT:
             self.lost_count += 1
         attributes = {"id": f"{type_name}-{index}", "type": f"pearhead.{type_name}", "source": SOURCE}
@@ -57,6 +63,7 @@
         self.wake.set()
 
     async def run(self) -> None:
+        """Sends queued events one after the other, until cancelled."""
         while True:
             await self.wake.wait()
             self.wake.clear()
--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -1,4 +1,7 @@
-"""FleetState (§4.2): the state that the cores agree on. It sees no clock and no chance."""
+"""The replicated state of the fleet (§4.2); it uses neither a clock nor random numbers, so all cores compute the same.
+
+Outcomes, snapshots and the keys in them are stored or sent as they are written here.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,7 @@
 TAKEN_LIMIT = 4_096
 SESSION_LIMIT = 16_384
 SNAPSHOT_MAGIC = b"\xa7PHF"
-# The key in a digest and in what operators read, and the attribute that it stands for.
+# Keys in snapshots and in what operators read, each with the attribute that it stands for.
 SNAPSHOT_FIELDS = {
     "index": "index",
     "description": "description",
@@ -61,20 +64,28 @@
     "volumeIndexes": "volume_indexes",
     "visibleIndex": "visible_index",
 }
+# Nodes get what these commands change by other ways than the view.
 COMMANDS_OUTSIDE_VIEW = ("bump", "hold")
 
 Outcome = dict[str, Any]
 
 
 def encode_canonical_json(value: Any) -> bytes:
+    """Compact JSON with sorted keys: equal values have equal bytes on every core."""
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
 class UnknownCommandError(Exception):
-    """The log holds what only a later release can apply: this core must stop."""
+    """The log holds a command that only a later release can apply, so this core must stop."""
 
 
 class FleetState:
+    """Description, workers, weights, holds, loads and part revisions, with the outcomes kept to recognize repeats.
+
+    Each section has the index of its last change, from which a node's delta is made. `taken` has the last changes under
+    operators' numbers, `parts` the part revisions by volume, "owner/line".
+    """
+
     def __init__(self) -> None:
         self.index = 0
         self.description: Outcome = {}
@@ -82,7 +93,7 @@
         self.description_number = 0
         self.routes: EncodedRoutes = {}
         self.taken: OrderedDict[str, Outcome] = OrderedDict()
-        self._digests: SectionDigests = {}
+        self._section_digests: SectionDigests = {}
         self.history: list[Outcome] = []
         self.workers: dict[str, Outcome] = {}
         self.weights: dict[str, Outcome] = {}
@@ -91,22 +102,26 @@
         self.parts: dict[str, dict[int, int]] = {}
         self.volume_indexes: dict[str, int] = {}
         self.transactions: OrderedDict[str, Outcome] = OrderedDict()
-        # The last command of each session that was run: its number and its outcome (§4.2).
+        # Number and outcome of the last command of each session, least recently used first (§4.2).
         self.sessions: OrderedDict[str, tuple[int, Outcome]] = OrderedDict()
         self.sections: dict[str, tuple[int, bytes]] = {name: (0, EMPTY_BODY) for name in SECTION_NAMES}
         self.visible_index = 0
 
-    # ---- Machine ---------------------------------------------------------------------------------
+    # ---- StateMachine ----------------------------------------------------------------------------
 
     def apply(self, index: int, command_bytes: bytes) -> Outcome:
+        """Applies the command of a log entry and returns its outcome, or that of its first run if it is a repeat.
+
+        Raises UnknownCommandError, without any change, if this release does not know the command.
+        """
         command = Command.FromString(command_bytes)
         body_name = command.WhichOneof("body")
         if body_name is None:
-            # Going on without it would make this core's state another than the others' (§4.7).
-            raise UnknownCommandError(f"entry {index} is of a later release than {PEARHEAD_RELEASE}")
+            # Skipping the command would make this core's state differ from that of the others (§4.7).
+            raise UnknownCommandError(f"log entry {index} has a command of a later release than {PEARHEAD_RELEASE}")
         self.index = index
         if body_name not in COMMANDS_OUTSIDE_VIEW:
-            # Refused ones count as well, so that nodes come level with the last index of the log (§5.2).
+            # Refused commands count as well, so that nodes can catch up with the last index in the log (§5.2).
             self.visible_index = index
         transaction = command.transaction.hex()
         if transaction and transaction in self.transactions:
@@ -135,8 +150,10 @@
             self.sessions.popitem(last=False)
 
     def take_digest(self) -> bytes:
-        """A head in JSON behind its length, then the routes' bytes one after another. What nodes are shown of routes
-        is made of these, so it is not kept twice."""
+        """The state for a snapshot: magic bytes, the length of a JSON head, the head, then the routes' bytes in order.
+
+        The sections with routes are rebuilt from these bytes on loading, so their bodies are left out.
+        """
         sections = {
             name: [index, "" if name in ROUTE_SECTIONS else base64.b64encode(body).decode()]
             for name, (index, body) in self.sections.items()
@@ -144,7 +161,7 @@
         head = encode_canonical_json(
             {
                 **{key: getattr(self, name) for key, name in SNAPSHOT_FIELDS.items()},
-                "parts": {v: sorted(p.items()) for v, p in self.parts.items()},
+                "parts": {volume: sorted(revisions.items()) for volume, revisions in self.parts.items()},
                 "transactions": list(self.transactions.items()),
                 "taken": list(self.taken.items()),
                 "sessions": [(session, *last) for session, last in self.sessions.items()],
@@ -156,35 +173,43 @@
         return b"".join([SNAPSHOT_MAGIC, len(head).to_bytes(8, "big"), head, *route_bytes])
 
     def load_digest(self, digest_bytes: bytes) -> None:
+        """Replaces the whole state by that of a snapshot, also of an earlier release."""
         start = len(SNAPSHOT_MAGIC) + 8
-        is_marked = digest_bytes.startswith(SNAPSHOT_MAGIC)
+        has_magic = digest_bytes.startswith(SNAPSHOT_MAGIC)
         end = start + int.from_bytes(digest_bytes[len(SNAPSHOT_MAGIC) : start], "big")
-        # A release before this one wrote the head alone, and kept neither numbers nor routes.
-        data = json.loads(digest_bytes[start:end] if is_marked else digest_bytes)
+        # An earlier release wrote only the head, without magic bytes, numbers and routes.
+        data = json.loads(digest_bytes[start:end] if has_magic else digest_bytes)
         for key, name in SNAPSHOT_FIELDS.items():
             setattr(self, name, data.get(key, 0))
-        self.parts = {v: {p: r for p, r in pairs} for v, pairs in data["parts"].items()}
-        self.transactions = OrderedDict((t, o) for t, o in data["transactions"])
-        self.taken = OrderedDict((n, o) for n, o in data.get("taken", []))
-        self.sessions = OrderedDict((session, (n, o)) for session, n, o in data.get("sessions", []))
+        self.parts = {volume: {part: revision for part, revision in pairs} for volume, pairs in data["parts"].items()}
+        self.transactions = OrderedDict((transaction, outcome) for transaction, outcome in data["transactions"])
+        self.taken = OrderedDict((number, change) for number, change in data.get("taken", []))
+        self.sessions = OrderedDict(
+            (session, (number, outcome)) for session, number, outcome in data.get("sessions", [])
+        )
         self.routes = {}
         for name, shown_size, source_size in data.get("routes", []):
             shown = digest_bytes[end : end + shown_size]
             end += shown_size + source_size
             self.routes[name] = (shown, digest_bytes[end - source_size : end])
         self.sections = {name: (0, EMPTY_BODY) for name in SECTION_NAMES}
-        self.sections.update((n, (i, base64.b64decode(b))) for n, (i, b) in data["sections"].items())
+        self.sections.update(
+            (name, (index, base64.b64decode(body))) for name, (index, body) in data["sections"].items()
+        )
         for name, body in self._route_bodies().items():
             self.sections[name] = (self.sections[name][0], body or EMPTY_BODY)
 
     # ---- reading ---------------------------------------------------------------------------------
 
     def delta_since(self, have_index: int, have_hash: str) -> ViewDelta | None:
-        """Only the sections changed since a node's index; whole when its hash is unknown (§5.2)."""
+        """The sections that changed since a node's index, or all if the node gives no hash of its view (§5.2).
+
+        None if the node has the latest visible index.
+        """
         if have_index >= self.visible_index:
             return None
         base_index = have_index if have_hash else 0
-        view_hash = hash_sections(self.sections, self._digests)
+        view_hash = hash_sections(self.sections, self._section_digests)
         delta = ViewDelta(base_index=base_index, index=self.visible_index, hash=view_hash)
         for name, (section_index, body) in sorted(self.sections.items()):
             if section_index > base_index:
@@ -192,22 +217,23 @@
         return delta
 
     def read(self) -> Json:
-        """The state as operators read it, with every source."""
+        """The state as operators read it, with all sources."""
         state = {key: getattr(self, name) for key, name in SNAPSHOT_FIELDS.items()}
         return {**state, "description": self.full_description()}
 
     def full_description(self) -> Json:
+        """The description with its routes and all sources."""
         if not self.routes:
             return self.description
         return {**self.description, "routes": [decode_route(*pieces) for pieces in self.routes.values()]}
 
     def raised_part_revisions(self, volume: str) -> list[tuple[int, int]]:
-        """The table's pairs; revision one is the default and left out (§6.4)."""
-        return sorted((p, r) for p, r in self.parts.get(volume, {}).items() if r > 1)
+        """Pairs of part and revision for the revision table of a volume, without the default revision one (§6.4)."""
+        return sorted((part, revision) for part, revision in self.parts.get(volume, {}).items() if revision > 1)
 
     @staticmethod
     def changes_view(command_bytes: bytes) -> bool:
-        """Whether nodes can see what a command changes: part revisions and holds travel otherwise."""
+        """Whether a command changes the view of the nodes; part revisions and holds reach them by other ways."""
         return Command.FromString(command_bytes).WhichOneof("body") not in COMMANDS_OUTSIDE_VIEW
 
     # ---- commands --------------------------------------------------------------------------------
@@ -215,7 +241,7 @@
     def _apply_apply(self, index: int, command: ApplyDescription) -> Outcome:
         if command.base_revision != self.description_revision:
             return {"status": "conflict", "revision": self.description_revision}
-        # The leader checked it before it went into the log (§4.2).
+        # The leader checked the description before it proposed the command (§4.2).
         self.description = json.loads(command.description)
         items = [encode_route(route) for route in self.description.pop("routes", [])]
         self.routes = {item.name: (item.shown, item.source) for item in items}
@@ -224,22 +250,22 @@
         self.history.append({"revision": index, "by": command.by, "hash": description_hash})
         del self.history[:-HISTORY_LIMIT]
         for line in self.description.get("lines", []):
-            # The file names the weights that a line begins with; later ones are named apart (§7.1).
+            # The description gives the initial weights of a line; later ones are set by their own command (§7.1).
             self.weights.setdefault(line["name"], {"weights": line["weights"], "revision": index})
         self._set_description_sections(index)
         self._set_section("weights", index, self.weights)
         return {"status": "done", "revision": index}
 
     def _apply_change(self, index: int, command: ChangeDescription) -> Outcome:
-        """Under operators' own numbers (§5.4). The leader checked the whole that comes of it."""
+        """A change under the operators' own numbers (§5.4); the leader has checked the resulting description."""
         number = str(command.number)
         change_hash = hash_change(command)
         if self.has_applied_change(command):
             return {"status": "done", "revision": self.taken[number]["revision"], "number": command.number}
         if self.is_beyond_retained_changes(command):
             return {"status": "unknown", "why": "too old to tell whether it was taken"}
-        is_base = command.base_number == self.description_number
-        if not is_base or command.checked_revision != self.description_revision:
+        has_present_base = command.base_number == self.description_number
+        if not has_present_base or command.checked_revision != self.description_revision:
             return {"status": "conflict", "number": self.description_number}
         if command.number <= self.description_number:
             return {"status": "refused", "faults": [f"number: must be above {self.description_number}"]}
@@ -260,12 +286,15 @@
         return {"status": "done", "revision": index, "number": command.number}
 
     def has_applied_change(self, command: ChangeDescription) -> bool:
-        """Whether this very change was taken, as far back as the last 4,096 of them."""
+        """Whether this very change is among the last `TAKEN_LIMIT` applied ones."""
         held = self.taken.get(str(command.number))
         return held is not None and bool(held["hash"] == hash_change(command))
 
     def is_beyond_retained_changes(self, command: ChangeDescription) -> bool:
-        """Whether a change is so old that nobody can tell whether it was taken: then it is not refused either."""
+        """Whether a change is older than all retained ones.
+
+        It may have been applied, so it must not be answered as refused.
+        """
         return len(self.taken) >= TAKEN_LIMIT and command.number < int(next(iter(self.taken)))
 
     def _apply_workers(self, index: int, command: SetWorkers) -> Outcome:
@@ -279,22 +308,23 @@
         before = self.workers
         self.workers = dict(before) if command.partial else {}
         for worker in command.worker:
-            # Who lists the workers does not know what operators marked: a mark stays with its machine (§7.6).
-            held = before.get(worker.name, {})
-            is_marked = held.get("address") == worker.address and held.get("leaving", False)
+            # The list of workers does not have the operators' `leaving` marks, so a mark stays while the worker keeps
+            # its address, that is, while it is the same machine (§7.6).
+            previous = before.get(worker.name, {})
+            is_marked = previous.get("address") == worker.address and previous.get("leaving", False)
             self.workers[worker.name] = {
                 "address": worker.address,
                 "area": worker.area,
                 "service": worker.service,
                 "leaving": worker.leaving or is_marked,
             }
-        for gone_name in command.removed:
-            self.workers.pop(gone_name, None)
+        for removed_name in command.removed:
+            self.workers.pop(removed_name, None)
         for names, is_leaving in ((command.leaving, True), (command.staying, False)):
             for name in names:
                 self.workers[name] = {**self.workers[name], "leaving": is_leaving}
-        for gone_name in set(self.loads) - set(self.workers):
-            del self.loads[gone_name]
+        for removed_name in set(self.loads) - set(self.workers):
+            del self.loads[removed_name]
         self._set_section("workers", index, self.workers)
         self._set_section("loads", index, self.loads)
         return {"status": "done", "revision": index}
@@ -325,11 +355,11 @@
             return {"status": "refused", "faults": [f"no worker {command.worker!r}"]}
         if held is not None and held["holder"] == command.holder and held["fence"] == command.renew_fence:
             return {"status": "done", "fence": held["fence"]}
-        # Another holder comes in only if the leader judged this very fence waited out (§7.2); the same
-        # one, which let its own term run out, comes back with a later fence.
-        is_free = held is None or held["holder"] == command.holder
+        # Another holder gets the worker only if the leader found the hold with this very fence expired (§7.2). The same
+        # holder, which let its hold run out, gets it again with a later fence.
+        is_available = held is None or held["holder"] == command.holder
         is_expired = held is not None and command.expired and held["fence"] == command.renew_fence
-        if held is not None and not is_free and not is_expired:
+        if held is not None and not is_available and not is_expired:
             return {"status": "held", "holder": held["holder"], "fence": held["fence"]}
         self.holds[command.worker] = {"holder": command.holder, "fence": index}
         return {"status": "done", "fence": index}
@@ -350,7 +380,7 @@
         return {"status": "done", "revision": index}
 
     def _set_description_sections(self, index: int) -> None:
-        # Sources are the operators' own text: nodes do without (§5.4).
+        # Sources are the operators' own text, which nodes do not need (§5.4).
         head = {
             name: strip_sources(value) for name, value in self.description.items() if name not in ("entries", "source")
         }
@@ -369,6 +399,7 @@
                 self._set_section_body(name, index, body or b"[]")
 
     def _route_bodies(self) -> dict[str, bytes | None]:
+        """The body of each section of routes, without sources; None for a section without routes."""
         buckets: list[list[bytes]] = [[] for _ in ROUTE_SECTIONS]
         for name, (shown, _) in self.routes.items():
             buckets[bucket_index(name)].append(shown)
--- a/src/pearhead/control_plane/main.py
+++ b/src/pearhead/control_plane/main.py
@@ -1,4 +1,4 @@
-"""The `control_plane` command (§3.4)."""
+"""The `control_plane` command (§3.4): runs a core, and checks, inspects or repairs what it starts from."""
 
 from __future__ import annotations
 
@@ -76,10 +76,10 @@
 
 
 class ControlPlaneCommand:
-    """A core process of pearhead."""
+    """Runs a control-plane process of pearhead, called a core, or looks after its files."""
 
     def run(self, startup: str = "", **flags: Any) -> None:
-        """Serves until SIGTERM. Flags are startup fields, such as --address=127.0.0.1:7001."""
+        """Serves until SIGTERM. Flags are fields of the startup file, such as --address=127.0.0.1:7001."""
         if "help" in flags:
             print(startup_help("control_plane"))
             return None
@@ -90,13 +90,13 @@
         raise SystemExit(asyncio.run(_serve(checked.ok_value)))
 
     def inspect(self, folder: str) -> None:
-        """Looks at a data folder, read-only: log, digests, epochs, members. Non-zero if it is damaged."""
+        """Inspects a data folder, read-only: log, snapshots, epochs, members. Exits with 3 if it finds faults."""
         folder_path = Path(folder)
         if not folder_path.is_dir():
             return exit_with_errors("control_plane", [f"{folder}: no such folder"])
-        reader = DataFolderInspector(folder_path)
-        report = asyncio.run(reader.read())
-        print(reader.text(report))
+        inspector = DataFolderInspector(folder_path)
+        report = asyncio.run(inspector.read())
+        print(inspector.text(report))
         if report.faults:
             raise SystemExit(3)
 
@@ -112,7 +112,7 @@
         print(f"control_plane: core {identity} is the only voter from entry {outcome.ok_value} on")
 
     def check(self, startup: str = "", **flags: Any) -> None:
-        """Checks a startup file and flags, and lists every fault."""
+        """Checks a startup file and flags, and lists all faults."""
         if "help" in flags:
             print(startup_help("control_plane"))
             return None
@@ -123,6 +123,7 @@
 
 
 def main() -> None:
+    """Runs the command line."""
     run_command(ControlPlaneCommand, "control_plane")
 
 
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -1,4 +1,4 @@
-"""MembershipController (§4.9): founds the core, takes machines in, and decides who votes."""
+"""Membership of the core group (§4.9): its bootstrap, joining and leaving, and which members vote."""
 
 from __future__ import annotations
 
@@ -33,8 +33,10 @@
 JOIN_REQUEST_TIMEOUT_MICROS = 600 * MILLI
 MAX_LEADER_SILENCE_MICROS = 2 * SECOND
 RESPONSIVE_WITHIN_MICROS = 400 * MILLI
+# How long a new leader acknowledges nothing because other founders may still join: in any case, and while it knows of
+# cores that have no vote yet although voters are missing.
 FOUNDING_GRACE_MICROS = (1_500 * MILLI, 8 * SECOND)
-# A silent voter is exchanged for a level learner after this; the other way round it costs nothing but two entries.
+# A voter that was silent for this long is replaced by a caught-up learner; undoing that costs only two log entries.
 EXCHANGE_MICROS = 1_500 * MILLI
 LEAVE_TIMEOUT_MICROS = 1_500 * MILLI
 VOTER_EXCLUSION_MICROS = 10 * SECOND
@@ -45,14 +47,17 @@
 
 @dataclass(frozen=True)
 class VoterReplacement:
-    """A voter that becomes a learner, and the learner that takes its vote."""
+    """Identities of a voter that becomes a learner, and of the learner that becomes a voter in its place."""
 
     outgoing: str
     incoming: str
 
 
 class MembershipController:
-    """Keeps as many voters as the deployment's promise needs, 2 f + 1; other level members stand by as learners."""
+    """Keeps 2 f + 1 voters for the f losses that the deployment must tolerate; other members stand by as learners.
+
+    `fail` is called with a reason when the process must stop.
+    """
 
     def __init__(
         self,
@@ -78,25 +83,31 @@
         self.is_leaving = False
         self.leaving_until: dict[str, int] = {}
 
-    # ---- founding and joining ----------------------------------------------------------------------
+    # ---- bootstrap and joining ---------------------------------------------------------------------
 
     async def run(self) -> None:
-        """An empty member founds if it is first and all founders are empty; else it asks to join."""
+        """Bootstraps the core group or asks to join it, whenever this core has no leader.
+
+        An empty core bootstraps if it is the first of the founders and all others are empty as well.
+        """
         while True:
             if not self.is_leaving and not self._has_current_leader():
                 if self.raft.is_empty() and await self._may_bootstrap():
-                    LOGGER.info("control_plane: Founds the core.")
+                    LOGGER.info("control_plane: Bootstraps the core group.")
                     await self._bootstrap_cluster()
                 else:
                     await self._request_join()
             await sleep_for(self.clock, JOIN_RETRY_MICROS)
 
     def _has_current_leader(self) -> bool:
-        """A member by its own log may have been let go since: then nobody leads it any more."""
+        """Whether this core leads, or is a member by its own log and has heard from the leader recently.
+
+        Its own log is not enough: it may have been removed since, and then no leader contacts it any more.
+        """
         if self.raft.is_leader():
             return True
-        was_heard = self.clock.now() - self.raft.heard_leader_micros <= MAX_LEADER_SILENCE_MICROS
-        return was_heard and self.identity in self.raft.membership().addresses
+        was_leader_heard = self.clock.now() - self.raft.heard_leader_micros <= MAX_LEADER_SILENCE_MICROS
+        return was_leader_heard and self.identity in self.raft.membership().addresses
 
     async def _bootstrap_cluster(self) -> None:
         try:
@@ -104,86 +115,95 @@
         except OSError as disk_error:
             if disk_error.errno != errno.ENOSPC:
                 self.fail(f"the disk failed: {disk_error}")
-            LOGGER.error("control_plane: The disk is full, so nothing is founded yet.")
+            LOGGER.error("control_plane: The disk is full, so the bootstrap is tried again later.")
 
     async def _may_bootstrap(self) -> bool:
         founders = self.founders
         if not founders or founders[0] != self.startup.address:
             return False
-        given_results = await asyncio.gather(
-            *(self.rpc_endpoint.call(a, "found_ask", FoundAsk(), JOIN_REQUEST_TIMEOUT_MICROS) for a in founders[1:])
+        replies = await asyncio.gather(
+            *(
+                self.rpc_endpoint.call(address, "found_ask", FoundAsk(), JOIN_REQUEST_TIMEOUT_MICROS)
+                for address in founders[1:]
+            )
         )
-        return all(not isinstance(a, Err) and a.ok_value.empty for a in given_results)
+        return all(not isinstance(reply, Err) and reply.ok_value.empty for reply in replies)
 
     async def _request_join(self) -> None:
-        """All that may know the leader are asked at once, so that one in the dark holds nothing up."""
-        known = [r.address for r in self.directory.members("control_plane")]
-        known += self.raft.voters().values()
-        addresses = {*known, *self.startup.seeds} - {self.startup.address}
+        """Asks all cores that may know the leader at the same time, so that an unreachable one delays nothing."""
+        known_addresses = [record.address for record in self.directory.members("control_plane")]
+        known_addresses += self.raft.voters().values()
+        addresses = {*known_addresses, *self.startup.seeds} - {self.startup.address}
         join_ask = JoinAsk(address=self.startup.address, zone=self.startup.area)
-        given_results = await asyncio.gather(
-            *(self.rpc_endpoint.call(a, "join_ask", join_ask, JOIN_REQUEST_TIMEOUT_MICROS) for a in sorted(addresses))
+        replies = await asyncio.gather(
+            *(
+                self.rpc_endpoint.call(address, "join_ask", join_ask, JOIN_REQUEST_TIMEOUT_MICROS)
+                for address in sorted(addresses)
+            )
         )
-        leaders = {r.ok_value.leader_address for r in given_results if not isinstance(r, Err)}
+        leaders = {reply.ok_value.leader_address for reply in replies if not isinstance(reply, Err)}
         for leader in sorted(leaders - addresses - {"", self.startup.address}):
             await self.rpc_endpoint.call(leader, "join_ask", join_ask, JOIN_REQUEST_TIMEOUT_MICROS)
 
     async def make_found_result(self, identity: str, address: str, ask: FoundAsk) -> FoundResult:
-        """Whether this core knows of nothing founded yet."""
+        """Tells a founder whether this core's log is still empty."""
         return FoundResult(empty=self.raft.is_empty())
 
     async def make_join_result(self, identity: str, address: str, ask: JoinAsk) -> JoinResult:
-        """Takes a machine in as a learner, if this core leads; else it names the leader that it knows."""
+        """Adds the calling core as a learner if this core leads; otherwise names the leader that this core knows."""
         end_micros = self.clock.now() + JOIN_REQUEST_TIMEOUT_MICROS
         while self.raft.is_leader() and self.clock.now() < end_micros:
             members = self.raft.members()
             if any(m.identity == identity for m in members.member):
                 return JoinResult(taken=True)
-            # Who else was at this address is gone for good, and its disk with it.
-            staying = [m for m in members.member if m.address != ask.address]
+            # A member that had this address before is gone for good, together with its disk.
+            remaining = [m for m in members.member if m.address != ask.address]
             learner = Member(identity=identity, address=ask.address, zone=ask.zone)
-            if await self._submit_membership([*staying, learner]):
-                LOGGER.info("control_plane: Takes in a core as a learner. core=%s", identity[:8])
+            if await self._submit_membership([*remaining, learner]):
+                LOGGER.info("control_plane: Added a core as a learner. core=%s", identity[:8])
                 return JoinResult(taken=True)
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
         return JoinResult(leader_address=self.raft.leader_address())
 
-    # ---- how many vote, and whether enough do --------------------------------------------------------
+    # ---- number of voters ----------------------------------------------------------------------------
 
     def target_voter_count(self) -> int:
-        """2 f + 1 for the losses f that the deployment promises to bear; as founded where it does not say."""
+        """2 f + 1 for the f losses that the startup file tolerates; if it does not say, as many as at the bootstrap."""
         if self.startup.toleratedLosses:
             return 2 * self.startup.toleratedLosses + 1
         members = self.raft.members()
         return members.wanted or max(sum(m.voter for m in members.member), len(self.founders) or MIN_VOTERS)
 
     def is_bootstrap_complete(self) -> bool:
-        """Nothing is acknowledged before so many vote that a loss does not matter, nor while more come in."""
+        """Whether enough members vote for commands to be acknowledged.
+
+        They are not before a loss can be tolerated, nor while more founders may join.
+        """
         return (
             len(self.raft.voters()) >= min(self.target_voter_count(), MIN_VOTERS) and not self._is_awaiting_founders()
         )
 
     def _is_awaiting_founders(self) -> bool:
-        """Other empty cores may be on their way in: what is acknowledged must be theirs as well."""
+        """Whether other empty cores may still be joining: acknowledged commands must reach them as well."""
         if len(self.founders) == 1:
             return False
         leading_micros = self.clock.now() - self.leader_since
         voters = self.raft.voters()
-        is_known = any(r.identity not in voters for r in self.directory.members("control_plane"))
-        is_awaiting_members = is_known and len(voters) < self.target_voter_count()
+        has_known_nonvoter = any(record.identity not in voters for record in self.directory.members("control_plane"))
+        is_awaiting_members = has_known_nonvoter and len(voters) < self.target_voter_count()
         return leading_micros < FOUNDING_GRACE_MICROS[0] or (
             is_awaiting_members and leading_micros < FOUNDING_GRACE_MICROS[1]
         )
 
     def on_leadership_change(self, leads: bool) -> None:
-        """What a former leader knew of others counts no more."""
+        """Discards what this core knew about the progress of other members under an earlier leadership."""
         self.leader_since = self.clock.now()
         self.caught_up_index = NEVER_CAUGHT_UP_INDEX
 
     # ---- leaving ---------------------------------------------------------------------------------------
 
     async def leave(self) -> None:
-        """Before a planned end: gives the vote to a member that stands by, then leadership to another."""
+        """Before a planned stop: hands the vote to a learner that stands by, then the leadership to another voter."""
         self.is_leaving = True
         if self.raft.is_leader():
             await self._release_vote(self.identity)
@@ -197,7 +217,10 @@
                 await sleep_for(self.clock, 20 * MILLI)
 
     async def make_leave_result(self, identity: str, address: str, ask: LeaveAsk) -> LeaveResult:
-        """Whether the asker votes no more. A mere restart, with nobody standing by, keeps its vote."""
+        """Hands the vote of the calling core to a learner, and tells whether the caller has no vote any more.
+
+        Without a learner to replace it, as in a plain restart, the caller keeps its vote.
+        """
         return LeaveResult(left=await self._release_vote(identity))
 
     async def _release_vote(self, identity: str) -> bool:
@@ -217,10 +240,10 @@
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
         return False
 
-    # ---- looking after the members -----------------------------------------------------------------------
+    # ---- reconciliation ----------------------------------------------------------------------------------
 
     async def reconcile(self) -> None:
-        """As long as this core leads: one agreed change after the other until nothing is left to do."""
+        """While this core leads, brings the membership to its target, by one committed change after the other."""
         while True:
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
             if self.raft.settled():
@@ -234,16 +257,16 @@
         if members.joint:
             return False
         voters = [m for m in members.member if m.voter]
-        target = self.target_voter_count()
-        lost = [m.identity for m in voters if self._micros_since_heard(m.identity) > EXCHANGE_MICROS]
-        if len(voters) > target:
-            excess_voter = lost[0] if lost else self._most_dispensable_voter(voters)
+        target_count = self.target_voter_count()
+        silent_voters = [m.identity for m in voters if self._micros_since_heard(m.identity) > EXCHANGE_MICROS]
+        if len(voters) > target_count:
+            excess_voter = silent_voters[0] if silent_voters else self._most_dispensable_voter(voters)
             return await self._set_votes({excess_voter: False})
-        replacement_voter = self._choose_replacement_voter(lost[0] if lost else "")
-        if replacement_voter is not None and len(voters) < target:
+        replacement_voter = self._choose_replacement_voter(silent_voters[0] if silent_voters else "")
+        if replacement_voter is not None and len(voters) < target_count:
             return await self._set_votes({replacement_voter: True})
-        if replacement_voter is not None and lost:
-            return await self._replace_voter(VoterReplacement(lost[0], replacement_voter))
+        if replacement_voter is not None and silent_voters:
+            return await self._replace_voter(VoterReplacement(silent_voters[0], replacement_voter))
         if replacement_voter is not None and (
             overrepresented := self._overrepresented_voter(voters, replacement_voter)
         ):
@@ -251,12 +274,12 @@
         return await self._remove_unresponsive_member(voters)
 
     async def _remove_unresponsive_member(self, voters: list[Member]) -> bool:
-        """A learner that was silent for long goes; so does a voter, while more than three vote."""
+        """Removes a learner that was silent for too long, or a voter while more than three vote."""
         limit_micros = MEMBER_REMOVAL_FACTOR * self.startup.lostAfterMicros
         for member in self.raft.members().member:
-            may_go = not member.voter or len(voters) > MIN_VOTERS
-            if may_go and self._micros_since_heard(member.identity) > limit_micros:
-                LOGGER.info("control_plane: Lets go of a core. core=%s", member.identity[:8])
+            is_removable = not member.voter or len(voters) > MIN_VOTERS
+            if is_removable and self._micros_since_heard(member.identity) > limit_micros:
+                LOGGER.info("control_plane: Removes an unresponsive core. core=%s", member.identity[:8])
                 return await self._submit_membership([m for m in self.raft.members().member if m != member])
         return False
 
@@ -271,7 +294,7 @@
         )
 
     async def _replace_voter(self, replacement: VoterReplacement) -> bool:
-        """One joint change: at no moment are more members needed than before it (§4.1)."""
+        """One joint change: at no point of it are more members needed than before (§4.1)."""
         return await self._set_votes({replacement.outgoing: False, replacement.incoming: True})
 
     async def _submit_membership(self, changed: Iterable[Member]) -> bool:
@@ -279,7 +302,7 @@
         return not isinstance(outcome, Err)
 
     def _choose_replacement_voter(self, outgoing: str) -> str | None:
-        """A level learner, from the zone where the fewest of the other voters are."""
+        """A caught-up learner from the zone with the fewest voters, not counting `outgoing`; None if there is none."""
         members = self.raft.members().member
         voters_by_zone = Counter(m.zone for m in members if m.voter and m.identity != outgoing)
         replacement_candidates = [
@@ -289,26 +312,28 @@
         return chosen.identity if chosen is not None else None
 
     def _may_vote(self, member: Member) -> bool:
+        """Whether a member may get a vote: not soon after it asked to leave, as it is about to stop."""
         return self.leaving_until.get(member.identity, 0) <= self.clock.now()
 
     def _overrepresented_voter(self, voters: list[Member], replacement_voter: str) -> str:
-        """A voter whose zone has at least two more than that of the member that stands by; empty if there is none."""
+        """A voter whose zone has at least two more voters than that of the replacement; empty if there is none."""
         voters_by_zone = Counter(m.zone for m in voters)
         replacement_zone = next(m.zone for m in self.raft.members().member if m.identity == replacement_voter)
         overrepresented = [m for m in voters if voters_by_zone[m.zone] >= voters_by_zone[replacement_zone] + 2]
         return self._most_dispensable_voter(overrepresented) if overrepresented else ""
 
     def _most_dispensable_voter(self, voters: list[Member]) -> str:
+        """A voter from the zone with the most voters; this core itself only if there is no other."""
         voters_by_zone = Counter(m.zone for m in voters)
         return max(voters, key=lambda m: (m.identity != self.identity, voters_by_zone[m.zone], m.address)).identity
 
     def _micros_since_heard(self, identity: str) -> int:
-        """How long nothing was heard of a member, in microseconds; at most since this core leads."""
+        """Microseconds since a member was last heard, or since this core became the leader if that is less."""
         follower = self.raft.followers.get(identity)
         return self.clock.now() - follower.heard_micros if follower is not None else 0
 
     def _is_caught_up(self, identity: str) -> bool:
-        """Has all that was committed when members were last looked after, and answers."""
+        """Whether a member answers and has all entries that were committed when the last reconciliation began."""
         return self._is_responsive(identity) and self.raft.followers[identity].match_index >= self.caught_up_index
 
     def _is_responsive(self, identity: str) -> bool:
--- a/src/pearhead/control_plane/metrics.py
+++ b/src/pearhead/control_plane/metrics.py
@@ -1,4 +1,4 @@
-"""CoreCollector (§3.4): a core's part in consensus."""
+"""Metrics of a core (§3.4): its state in Raft and the messages that it sent."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class CoreCollector(Collector):
-    """Reads the member of the consensus group and the messages that it sent."""
+    """Reads the Raft member and the endpoint of a core whenever metrics are requested."""
 
     def __init__(self, core: CoreProcess) -> None:
         self.core = core
 
     def collect(self) -> Iterable[Metric]:
-        """Role, term, log and members."""
+        """Yields role, term, log positions, members, disk state and message counts."""
         raft = self.core.raft
         yield labelled_gauge(
             "raft_role", "1 for the present role.", "role", {role.value: raft.role == role for role in Role}
@@ -42,10 +42,11 @@
         yield from MessageCollector(self.core.rpc_endpoint).collect()
 
     def _flush_seconds(self) -> float:
+        """How long the present write of the log has been under way; 0 if there is none."""
         started_micros = self.core.raft.writer.flush_started
         return 0.0 if started_micros is None else (self.core.clock.now() - started_micros) / SECOND
 
 
 def build_core_registry(core: CoreProcess, net: SocketNet) -> CollectorRegistry:
-    """All figures of a core; they can be asked for once it has started."""
+    """The registry with all metrics of a core; they can be read once the core has started."""
     return build_registry([CoreCollector(core), LinkCollector(net)])
--- a/src/pearhead/control_plane/operator_api.py
+++ b/src/pearhead/control_plane/operator_api.py
@@ -1,4 +1,4 @@
-"""OperatorApi (§4.5): the HTTP edge of a core towards operators and the platform."""
+"""HTTP API of a core (§4.5) for operators and the platform."""
 
 from __future__ import annotations
 
@@ -18,16 +18,21 @@
 
 
 class OperatorHandler(RequestHandler):
+    """Base of the handlers that need the operator key."""
+
     def initialize(self, core: CoreProcess, startup: StartupConfig) -> None:
+        """Takes the arguments of the route."""
         self.core = core
         self.startup = startup
 
     def prepare(self) -> None:
+        """Ends the request with status 401 if it does not have the operator key."""
         if not has_operator_key(self.startup, self.request.headers.get("Authorization", "")):
             self.set_status(401)
             self.finish({"status": "refused", "faults": ["a wrong operator key"]})
 
     def read_body(self) -> dict[str, Any] | None:
+        """The JSON object in the body; None, after a reply with status 400, if there is none."""
         try:
             data = json.loads(self.request.body)
         except (ValueError, RecursionError):
@@ -39,18 +44,23 @@
         return data
 
     async def execute(self, command: Command) -> None:
+        """Runs a command and replies with its outcome, under the HTTP status in `STATUS_CODES`."""
         result: CommandResult = await self.core.execute(command)
         self.set_status(STATUS_CODES.get(result.status, 500))
         body = json.loads(result.body or b"{}")
         self.finish({**body, "status": result.status})
 
     def refuse(self, fault: str) -> None:
+        """Replies with status 400 and one fault."""
         self.set_status(400)
         self.finish({"status": "refused", "faults": [fault]})
 
 
 class ApplyHandler(OperatorHandler):
+    """Replaces the whole description, under a revision assigned by the core."""
+
     async def post(self) -> None:
+        """Applies `description` if `base` is the present revision; a repeat of `applyId` gives the first outcome."""
         data = self.read_body()
         if data is None:
             return
@@ -65,35 +75,48 @@
 
 
 class ChangeHandler(OperatorHandler):
-    """A description under the operators' own number (§5.4): whole, or by name what to put and to remove."""
+    """Changes the description under the operators' own number (§5.4), as a whole or by the names of items."""
 
     async def post(self) -> None:
+        """Applies change `number` if `base` is the present number.
+
+        The body has either a whole `description`, or by name what to `put` and `remove`, with limits and source.
+        """
         data = self.read_body()
         if data is None:
             return
         command = Command()
-        by_name = {name: data[name] for name in ("put", "remove", "put_limits", "source") if name in data}
-        if ("description" in data) == bool(by_name):
+        partial_change = {name: data[name] for name in ("put", "remove", "put_limits", "source") if name in data}
+        if ("description" in data) == bool(partial_change):
             return self.refuse("description, or put and remove, are needed")
         try:
             command.change.base_number, command.change.number = int(data["base"]), int(data["number"])
-            command.change.document = to_json(by_name or data["description"])
+            command.change.document = to_json(partial_change or data["description"])
         except (KeyError, ValueError, TypeError) as fault:
             return self.refuse(f"number and base are needed: {fault!r}")
-        command.change.by_name = bool(by_name)
+        command.change.by_name = bool(partial_change)
         await self.execute(command)
 
 
 class DescriptionHandler(OperatorHandler):
+    """Reads the description, on any core."""
+
     async def get(self) -> None:
-        held = await self.core.read_description()
-        if held is None:
+        """Replies with number and description as of now; status 503 if no leader with a majority is in reach."""
+        current = await self.core.read_description()
+        if current is None:
             self.set_status(503)
-        self.finish(held or {"status": "unavailable"})
+        self.finish(current or {"status": "unavailable"})
 
 
 class WorkersHandler(OperatorHandler):
+    """Changes the list of workers and the marks of those that leave."""
+
     async def post(self) -> None:
+        """Replaces the list of workers, or with `partial` only adds, removes and marks some.
+
+        `base`, if given, must be the present revision of the list.
+        """
         data = self.read_body()
         if data is None:
             return
@@ -113,7 +136,10 @@
 
 
 class WeightsHandler(OperatorHandler):
+    """Sets the weights of a model line."""
+
     async def post(self) -> None:
+        """Sets `weights` for `line`; `base`, if given, must be the present revision of the line's weights."""
         data = self.read_body()
         if data is None:
             return
@@ -128,7 +154,10 @@
 
 
 class FleetHandler(OperatorHandler):
+    """Reads the state of the fleet, on the leader only."""
+
     async def get(self) -> None:
+        """Replies with the state as of now; on other cores with status 503 and the leader's HTTP address, if known."""
         state = await self.core.read_fleet()
         if state is None:
             self.set_status(503)
@@ -143,8 +172,13 @@
 
 
 class OutcomeHandler(OperatorHandler):
+    """Looks up the outcome of an earlier command, on the leader only."""
+
     async def get(self, apply_id: str) -> None:
-        """An apply whose acknowledgement was lost is asked after by its id (§4.5)."""
+        """Replies with the outcome of the command with this id, for a client that got no acknowledgement (§4.5).
+
+        Status 404 if the command is not known, 503 if this core can't confirm that it leads.
+        """
         if not await self.core.confirm():
             self.set_status(503)
             self.finish({"status": "unavailable"})
@@ -156,35 +190,41 @@
 
 
 class InspectHandler(OperatorHandler):
+    """Reads the health of this core."""
+
     def get(self) -> None:
+        """Replies with health and Raft state as this core alone sees them."""
         self.finish(self.core.soundness())
 
 
 class SoundnessHandler(RequestHandler):
-    """Open to the platform, which asks whether a core lives."""
+    """Health check for the platform; it needs no operator key."""
 
     def initialize(self, core: CoreProcess, startup: StartupConfig) -> None:
+        """Takes the arguments of the route."""
         self.core = core
 
     def get(self) -> None:
+        """Replies with the same as `/inspect`."""
         self.finish(self.core.soundness())
 
 
 def build_operator_api(
     core: CoreProcess, startup: StartupConfig, registry: CollectorRegistry | None = None
 ) -> Application:
-    parts = {"core": core, "startup": startup}
+    """The routes of a core, with `/metrics` if a registry is given."""
+    handler_arguments = {"core": core, "startup": startup}
     return Application(
         [
-            ("/apply", ApplyHandler, parts),
-            ("/outcome/([A-Za-z0-9_.-]{1,64})", OutcomeHandler, parts),
-            ("/change", ChangeHandler, parts),
-            ("/description", DescriptionHandler, parts),
-            ("/workers", WorkersHandler, parts),
-            ("/weights", WeightsHandler, parts),
-            ("/fleet", FleetHandler, parts),
-            ("/inspect", InspectHandler, parts),
-            ("/soundness", SoundnessHandler, parts),
+            ("/apply", ApplyHandler, handler_arguments),
+            ("/outcome/([A-Za-z0-9_.-]{1,64})", OutcomeHandler, handler_arguments),
+            ("/change", ChangeHandler, handler_arguments),
+            ("/description", DescriptionHandler, handler_arguments),
+            ("/workers", WorkersHandler, handler_arguments),
+            ("/weights", WeightsHandler, handler_arguments),
+            ("/fleet", FleetHandler, handler_arguments),
+            ("/inspect", InspectHandler, handler_arguments),
+            ("/soundness", SoundnessHandler, handler_arguments),
             *(metrics_routes(registry) if registry is not None else []),
         ],
         log_function=lambda handler: None,
--- a/src/pearhead/control_plane/quorum_loss_recovery.py
+++ b/src/pearhead/control_plane/quorum_loss_recovery.py
@@ -1,4 +1,4 @@
-"""QuorumLossRecovery (§4.6): the last resort after two of three cores are lost. It can't be run by accident."""
+"""Last resort after a majority, such as two of three cores, is lost (§4.6); it requires explicit consent."""
 
 from __future__ import annotations
 
@@ -13,12 +13,17 @@
 
 
 class QuorumLossRecovery:
-    """Makes the one core that is left the only voter; empty machines then join it as usual."""
+    """Makes the one remaining core the only voter, so that cores with empty disks can join it as usual."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
 
     async def run(self, identity: str, address: str, consent: str) -> Result[int, str]:
+        """Appends a membership with this core alone to its log, and returns the index of that entry.
+
+        Entries that only the lost cores held are lost, so the exact consent text and the core's identity are required.
+        Raises WalCorruptError if the log is damaged.
+        """
         if consent != REQUIRED_CONSENT:
             return Err(f"say --consent '{REQUIRED_CONSENT}', and mean it")
         if "identity" not in self.disk.names():
@@ -31,10 +36,10 @@
         last_index = recovered.entries[-1].index if recovered.entries else digest_index
         if not last_index:
             return Err("this core's log is empty: there is nothing to rescue")
-        held = [recovered.digest.members] if recovered.digest else []
-        held += [Members.FromString(e.payload) for e in recovered.entries if e.kind == KIND_MEMBERS]
-        wanted = held[-1].wanted if held else 0
-        # Two epochs up, so that nothing of the old membership can match it.
+        memberships = [recovered.digest.members] if recovered.digest else []
+        memberships += [Members.FromString(e.payload) for e in recovered.entries if e.kind == KIND_MEMBERS]
+        wanted = memberships[-1].wanted if memberships else 0
+        # The epoch rises by two, so that nothing of the old membership can match it.
         epoch = recovered.mark.epoch + 2
         sole_voter = Members(member=[Member(identity=identity, address=address, voter=True)], wanted=wanted)
         entry = Entry(index=last_index + 1, epoch=epoch, kind=KIND_MEMBERS, payload=sole_voter.SerializeToString())
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -1,4 +1,7 @@
-"""ViewService (§5.2, §5.3): tells nodes what is in force, and the last index that a majority must have told them."""
+"""A core's answers to nodes (§5.2, §5.3): the view, and the last index of this core's log that changes the view.
+
+Nodes learn from such answers of a majority of cores whether the view that they have is current.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class ViewService:
-    """Answers nodes from this core's log and state alone; that the answer is current, a majority of cores shows."""
+    """Answers nodes from this core's log and state alone; only the answers of a majority show what is current."""
 
     def __init__(self, identity: str, raft: RaftMember, fleet: FleetState) -> None:
         self.identity = identity
@@ -20,29 +23,34 @@
         self.view_changes_by_position: dict[tuple[int, int], bool] = {}
 
     def on_leadership_change(self, leads: bool) -> None:
-        """What was packed for an earlier leader's nodes goes."""
+        """Drops the delta that was cached under the earlier leadership."""
         self.packer = DeltaCompressor()
 
     def last_visible_index(self) -> int:
-        """The last index in this log that touches what nodes see, committed or not."""
+        """The last index in this log that changes the view of the nodes, committed or not."""
         for index in range(self.raft.last_index(), self.raft.applied_index, -1):
             entry = self.raft.entry_at(index)
-            if entry is not None and entry.kind == KIND_COMMAND and self._touches_view(entry):
+            if entry is not None and entry.kind == KIND_COMMAND and self._changes_view(entry):
                 return index
         return self.fleet.visible_index
 
-    def _touches_view(self, entry: Entry) -> bool:
-        """Each node asks three times a second, and a command may be large: it is read once."""
+    def _changes_view(self, entry: Entry) -> bool:
+        """Whether an entry changes the view; each entry is parsed only once.
+
+        Every node asks three times a second, and commands may be large.
+        """
         position = (entry.epoch, entry.index)
         if position not in self.view_changes_by_position:
             self.view_changes_by_position = {
-                p: t for p, t in self.view_changes_by_position.items() if p[1] > self.raft.applied_index
+                known_position: is_change
+                for known_position, is_change in self.view_changes_by_position.items()
+                if known_position[1] > self.raft.applied_index
             }
             self.view_changes_by_position[position] = FleetState.changes_view(entry.payload)
         return self.view_changes_by_position[position]
 
     async def make_term_result(self, identity: str, address: str, ask: TermAsk) -> TermResult:
-        """The members, the last visible index, and what the node lacks, where it asks for that."""
+        """The members, the last visible index, and the changes that the node's view lacks, if it asks for them."""
         membership = self.raft.membership()
         result = TermResult(
             member=self.identity in membership.voters,
