--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -1,4 +1,7 @@
-"""Descriptions under operators' numbers (§5.4): faults, races, repeats, merges, what nodes see, the log's bytes."""
+"""Changes of the description under operators' numbers (§5.4).
+
+Faulty, racing and repeated changes, merging by name, what nodes see of routes, and the size of log and snapshots.
+"""
 
 from __future__ import annotations
 
@@ -32,11 +35,13 @@
 
 
 def route(name: str, prefix: str, service: str = "s", **more: Any) -> Json:
+    """A valid route that sends everything to one service."""
     splits = [{"service": service, "share": 1}]
     return {"name": name, "host": "a.example", "prefix": prefix, "splits": splits, "deadline_micros": 5, **more}
 
 
 def whole(**more: Any) -> Json:
+    """A valid whole description, with some fields replaced or added."""
     return {
         "routes": [route("r1", "/a/", source="one"), route("r2", "/a/b/", source="two")],
         "services": [
@@ -51,8 +56,8 @@
     }
 
 
-class OnlyCore:
-    """Stands in for the agreement of one core: what is proposed is applied at once."""
+class SingleCoreRaft:
+    """Replaces the Raft member of a single core: a proposed command is applied at once."""
 
     def __init__(self, core: CoreProcess) -> None:
         self.core = core
@@ -80,21 +85,23 @@
 
 
 def build_core() -> CoreProcess:
+    """A core without disk and network that leads alone."""
     startup = StartupConfig(
         address="127.0.0.1:1", httpAddress="127.0.0.1:2", area="z", seeds=["127.0.0.1:1"], founders=["127.0.0.1:1"]
     )
     disk: Any = None
     core = CoreProcess(startup, BootClock(), FakeRuntime(), disk, random.Random(1), lambda reason: None)
-    only: Any = OnlyCore(core)
-    core.raft = only
+    raft: Any = SingleCoreRaft(core)
+    core.raft = raft
     unused: Any = None
     core.membership = MembershipController(
-        "one", startup, startup.founders, only, unused, unused, core.clock, lambda reason: None
+        "one", startup, startup.founders, raft, unused, unused, core.clock, lambda reason: None
     )
     return core
 
 
 def change(base: int, number: int, document: object, by_name: bool = False) -> Command:
+    """A command that changes the description; bytes are taken as the document as they are."""
     command = Command()
     command.change.base_number, command.change.number, command.change.by_name = base, number, by_name
     command.change.document = document if isinstance(document, bytes) else json.dumps(document).encode()
@@ -110,8 +117,8 @@
         return result.status, json.loads(result.body)
 
     async def test_every_fault_is_told_and_nothing_of_it_is_in_force(self) -> None:
-        two_splits = [{"service": "s", "share": 0}, {"service": "t", "share": 0}]
-        minus = [{"service": "s", "share": 2}, {"service": "t", "share": -1}]
+        zero_splits = [{"service": "s", "share": 0}, {"service": "t", "share": 0}]
+        negative_splits = [{"service": "s", "share": 2}, {"service": "t", "share": -1}]
         cases: list[tuple[str, object]] = [
             ("can't be read", b"{"),
             ("must be an object", b"[]"),
@@ -122,9 +129,9 @@
             ("no service 'z'", whole(routes=[route("r", "/", "z")])),
             ("is a store", whole(routes=[route("r", "/", "k")])),
             ("is matched by 'r1' too", whole(routes=[route("r1", "/"), route("r2", "/", host="A.EXAMPLE:80")])),
-            ("add up to 0", whole(routes=[route("r", "/", splits=two_splits)])),
+            ("add up to 0", whole(routes=[route("r", "/", splits=zero_splits)])),
             ("add up to 0", whole(routes=[route("r", "/", splits=[])])),
-            ("below zero", whole(routes=[route("r", "/", splits=minus)])),
+            ("below zero", whole(routes=[route("r", "/", splits=negative_splits)])),
             ("deadline_micros: must be above zero", whole(routes=[{**route("r", "/"), "deadline_micros": 0}])),
             ("deadline_micros: must be int", whole(routes=[{**route("r", "/"), "deadline_micros": "5"}])),
             ("deadline_micros: missing", whole(routes=[{"name": "r", "host": "a", "prefix": "/", "splits": []}])),
@@ -142,11 +149,11 @@
         ]
         await self.run_change(0, 1, whole())
         before = self.core.fleet.take_digest()
-        for wanted, document in cases:
+        for expected_fault, document in cases:
             status, body = await self.run_change(1, 2, document)
-            self.assertEqual(status, "refused", (wanted, body))
-            self.assertIn(wanted, " | ".join(body["faults"]))
-        for wanted, put in (
+            self.assertEqual(status, "refused", (expected_fault, body))
+            self.assertIn(expected_fault, " | ".join(body["faults"]))
+        for expected_fault, partial_change in (
             ("no service 's'", {"remove": {"services": ["s"]}}),
             ("matched by", {"put": {"routes": [route("n", "/a/")]}}),
             ("named twice", {"put": {"services": [{"name": "n", "role": "model"}] * 2}}),
@@ -155,17 +162,17 @@
             ("put: must be", {"put": []}),
             ("must be list", {"remove": {"routes": [1]}}),
         ):
-            status, body = await self.run_change(1, 2, put, by_name=True)
-            self.assertEqual(status, "refused", (wanted, body))
-            self.assertIn(wanted, " | ".join(body["faults"]))
+            status, body = await self.run_change(1, 2, partial_change, by_name=True)
+            self.assertEqual(status, "refused", (expected_fault, body))
+            self.assertIn(expected_fault, " | ".join(body["faults"]))
         for number in (0, 1):
             self.assertEqual((await self.run_change(1, number, whole(source="other")))[0], "refused")
         self.assertEqual(self.core.fleet.take_digest(), before)
 
     async def test_what_the_pages_call_valid_is_taken(self) -> None:
-        twice = [{"service": "s", "share": 90}, {"service": "s", "share": 10}, {"service": "t", "share": 0}]
+        splits = [{"service": "s", "share": 90}, {"service": "s", "share": 10}, {"service": "t", "share": 0}]
         document = whole(
-            routes=[route("r/1 *", "/", splits=twice), route("r2", "/", host="b.example")],
+            routes=[route("r/1 *", "/", splits=splits), route("r2", "/", host="b.example")],
             tenants=[{"name": "*", "keyHashes": []}, {"name": "y/z", "keyHashes": [KEY + "2"] * 2}],
         )
         self.assertEqual((await self.run_change(0, 5, document))[0], "done")
@@ -173,12 +180,12 @@
 
     async def test_of_two_on_one_base_one_wins_also_when_both_were_checked(self) -> None:
         await self.run_change(0, 3, whole())
-        pair = [change(3, number, whole(source=str(number))) for number in (5, 6)]
-        results = await asyncio.gather(*(self.core.execute(command) for command in pair))
+        commands = [change(3, number, whole(source=str(number))) for number in (5, 6)]
+        results = await asyncio.gather(*(self.core.execute(command) for command in commands))
         self.assertEqual(sorted(result.status for result in results), ["conflict", "done"])
         number = self.core.fleet.description_number
-        lost = next(json.loads(result.body) for result in results if result.status == "conflict")
-        self.assertEqual(lost, {"status": "conflict", "number": number})
+        conflict = next(json.loads(result.body) for result in results if result.status == "conflict")
+        self.assertEqual(conflict, {"status": "conflict", "number": number})
         self.assertEqual((await self.run_change(3, 9, b"{"))[1]["number"], number)
 
     async def test_a_description_applied_in_between_makes_it_a_conflict(self) -> None:
@@ -200,10 +207,12 @@
         self.assertEqual(await self.run_change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True), second)
         self.assertEqual((await self.run_change(0, 3, whole(source="E")))[0], "conflict")
         self.assertEqual((await self.run_change(4, 4, whole()))[0], "refused")
-        self.assertEqual(len(self.core.fleet.routes), 1, "a repeat changed something")
+        self.assertEqual(len(self.core.fleet.routes), 1, "a repeat changed the state")
         for number in range(5, 5 + TAKEN_LIMIT):
             await self.run_change(number - 1, number, {}, by_name=True)
-        self.assertEqual((await self.run_change(0, 3, whole()))[0], "unknown", "a repeat is never refused, however old")
+        self.assertEqual(
+            (await self.run_change(0, 3, whole()))[0], "unknown", "a repeat must not be refused, however old it is"
+        )
 
     async def test_by_name_replaces_in_place_appends_and_removes(self) -> None:
         await self.run_change(0, 1, whole())
@@ -213,10 +222,10 @@
         }
         document = {"put": put, "remove": {"routes": ["r2", "none"], "tenants": ["x"]}, "put_limits": {"body_bytes": 9}}
         self.assertEqual((await self.run_change(1, 8, document, by_name=True))[0], "done")
-        held = await self.core.read_description()
-        assert held is not None
-        description = held["description"]
-        self.assertEqual(held["number"], 8)
+        current = await self.core.read_description()
+        assert current is not None
+        description = current["description"]
+        self.assertEqual(current["number"], 8)
         self.assertEqual([(r["name"], r["prefix"]) for r in description["routes"]], [("r1", "/z/"), ("r3", "/c/")])
         self.assertEqual(description["routes"][0]["source"], "anew")
         self.assertEqual([s["name"] for s in description["services"]], ["s", "t", "k", "u"])
@@ -226,20 +235,20 @@
     async def test_lines_keep_their_weights_and_versions_never_fall(self) -> None:
         await self.run_change(0, 1, whole())
 
-        async def name(weights: str, rising: bool = True) -> str:
-            naming = NameWeights(line="m", weights=weights, rising=rising)
-            return str((await self.core.execute(Command(weights=naming))).status)
+        async def set_weights(weights: str, rising: bool = True) -> str:
+            name_weights = NameWeights(line="m", weights=weights, rising=rising)
+            return str((await self.core.execute(Command(weights=name_weights))).status)
 
         self.assertEqual(self.core.fleet.weights["m"]["weights"], "1")
-        self.assertEqual([await name(w) for w in ("3", "2", "3", "10", "9")], ["done"] * 5)
+        self.assertEqual([await set_weights(weights) for weights in ("3", "2", "3", "10", "9")], ["done"] * 5)
         self.assertEqual(self.core.fleet.weights["m"]["weights"], "10")
         await self.run_change(1, 2, {"routes": [], "services": []})
         await self.run_change(2, 3, whole())
         self.assertEqual(self.core.fleet.weights["m"]["weights"], "10")
-        await name("2", rising=False)
-        self.assertEqual(self.core.fleet.weights["m"]["weights"], "2", "an operator who takes weights back")
-        unknown = await self.core.execute(Command(weights=NameWeights(line="z", weights="1")))
-        self.assertEqual(unknown.status, "refused")
+        await set_weights("2", rising=False)
+        self.assertEqual(self.core.fleet.weights["m"]["weights"], "2", "an operator can go back to older weights")
+        unknown_line_result = await self.core.execute(Command(weights=NameWeights(line="z", weights="1")))
+        self.assertEqual(unknown_line_result.status, "refused")
 
     async def test_a_core_that_does_not_lead_and_knows_no_leader_tells_so(self) -> None:
         raft: Any = self.core.raft
@@ -257,7 +266,7 @@
         view = View().with_delta(delta)
         assert view is not None
         self.assertEqual((view.number, view.services["s"].lines, view.tenant_by_hash[KEY + "1"].name), (1, ["m"], "x"))
-        for host, path, wanted in (
+        for host, path, expected_name in (
             ("a.example", "/a/b/c", "r2"),
             ("A.Example:8080", "/a/b", "r1"),
             ("a.example", "/a/", "r1"),
@@ -268,46 +277,50 @@
             ("a.example", "/a/b/", "r2"),
             ("a.example", "/A/b/", ""),
         ):
-            found = view.route_of(host, path)
-            self.assertEqual(found.name if found else "", wanted, (host, path))
+            matched = view.route_of(host, path)
+            self.assertEqual(matched.name if matched else "", expected_name, (host, path))
         await self.run_change(1, 2, {"put": {"routes": [route("r1", "/z/")]}}, by_name=True)
-        small = fleet.delta_since(view.index, view.hash)
-        assert small is not None
-        self.assertEqual(sum(section.name in ROUTE_SECTIONS for section in small.section), 1)
-        changed = view.with_delta(small)
+        partial_delta = fleet.delta_since(view.index, view.hash)
+        assert partial_delta is not None
+        self.assertEqual(sum(section.name in ROUTE_SECTIONS for section in partial_delta.section), 1)
+        changed = view.with_delta(partial_delta)
         assert changed is not None
-        is_gone = [changed.route_of("a.example", path) is None for path in ("/a/", "/z/", "/a/b/")]
-        self.assertEqual(is_gone, [True, False, False])
-        self.assertIs(changed.route_of("a.example", "/a/b/"), view.route_of("a.example", "/a/b/"), "read anew")
-        copy = FleetState()
-        copy.load_digest(fleet.take_digest())
-        self.assertEqual((copy.sections, copy.take_digest()), (fleet.sections, fleet.take_digest()))
+        is_unrouted = [changed.route_of("a.example", path) is None for path in ("/a/", "/z/", "/a/b/")]
+        self.assertEqual(is_unrouted, [True, False, False])
+        self.assertIs(
+            changed.route_of("a.example", "/a/b/"),
+            view.route_of("a.example", "/a/b/"),
+            "an unchanged route was parsed again",
+        )
+        restored = FleetState()
+        restored.load_digest(fleet.take_digest())
+        self.assertEqual((restored.sections, restored.take_digest()), (fleet.sections, fleet.take_digest()))
 
     async def test_an_older_releases_digest_and_description_are_read(self) -> None:
         data = {"routes": [route("r1", "/a/", source="one")], "services": whole()["services"]}
         await self.core.execute(Command(apply=ApplyDescription(description=json.dumps(data).encode())))
         fleet = self.core.fleet
         self.assertEqual(fleet.full_description(), {"services": data["services"], "routes": data["routes"]})
-        old = {name: value for name, value in fleet.read().items() if name != "description_number"}
-        old.update(parts={}, transactions=[], sections={}, description={})
-        copy = FleetState()
-        copy.load_digest(to_json(old))
-        self.assertEqual((copy.description_revision, copy.description_number, copy.routes), (1, 0, {}))
+        older_digest = {name: value for name, value in fleet.read().items() if name != "description_number"}
+        older_digest.update(parts={}, transactions=[], sections={}, description={})
+        restored = FleetState()
+        restored.load_digest(to_json(older_digest))
+        self.assertEqual((restored.description_revision, restored.description_number, restored.routes), (1, 0, {}))
 
     async def test_a_large_description_is_checked_in_pieces(self) -> None:
         command = change(0, 1, {"services": whole()["services"]})
         for number in range(1_000):
             command.change.route.append(encode_route(route(f"r{number}", f"/{number}/")))
-        breaths = 0
+        yield_count = 0
 
         async def yield_to_loop() -> None:
-            nonlocal breaths
-            breaths += 1
+            nonlocal yield_count
+            yield_count += 1
 
         checked = await ChangeChecker(yield_to_loop).check(command.change, {}, {})
-        self.assertEqual((checked, breaths), (Ok(None), 8))
-        over = change(0, 1, b" " * (16 << 20))
-        self.assertIn("over", (await ChangeChecker(yield_to_loop).check(over.change, {}, {})).unwrap_err()[0])
+        self.assertEqual((checked, yield_count), (Ok(None), 8))
+        too_large = change(0, 1, b" " * (16 << 20))
+        self.assertIn("over", (await ChangeChecker(yield_to_loop).check(too_large.change, {}, {})).unwrap_err()[0])
 
 
 class OperatorCallsTest(AsyncHTTPTestCase):
@@ -316,34 +329,36 @@
         return build_operator_api(self.core, self.core.startup)
 
     def call(self, body: Json) -> tuple[int, Json]:
-        answer = self.fetch("/change", method="POST", body=json.dumps(body))
-        return answer.code, json.loads(answer.body)
+        response = self.fetch("/change", method="POST", body=json.dumps(body))
+        return response.code, json.loads(response.body)
 
     def test_a_change_is_made_and_read_back(self) -> None:
         self.assertEqual(self.call({"number": 4, "base": 0, "description": whole()})[0], 200)
         self.assertEqual(self.call({"number": 5, "base": 4, "put": {"routes": [route("n", "/n/")]}})[0], 200)
         self.assertEqual(self.call({"number": 6, "base": 4, "remove": {"routes": ["n"]}})[0], 409)
         self.assertEqual(self.call({"number": 6, "base": 5, "remove": {"services": ["s"]}})[0], 422)
-        bad: list[Json] = [
+        malformed_bodies: list[Json] = [
             {"number": 6, "base": 5},
             {"number": 6, "description": {}},
             {"number": -1, "base": 5, "put": {}},
             {"number": 6, "base": 5, "put": {}, "description": {}},
         ]
-        self.assertEqual([self.call(body)[0] for body in bad], [400] * 4)
-        held = json.loads(self.fetch("/description").body)
-        self.assertEqual((held["number"], [r["name"] for r in held["description"]["routes"]]), (5, ["r1", "r2", "n"]))
+        self.assertEqual([self.call(body)[0] for body in malformed_bodies], [400] * 4)
+        current = json.loads(self.fetch("/description").body)
+        self.assertEqual(
+            (current["number"], [r["name"] for r in current["description"]["routes"]]), (5, ["r1", "r2", "n"])
+        )
         raft: Any = self.core.raft
         raft.leads = False
         self.assertEqual(self.fetch("/description").code, 503)
 
 
-class CountedDisk:
-    """A disk that syncs at once and knows the most that it ever held, with what a replacement is written beside."""
+class SizeTrackingDisk:
+    """A disk in memory that records the most bytes it ever held, with old and new content while a file is replaced."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
-        self.most = 0
+        self.peak_bytes = 0
 
     def names(self) -> list[str]:
         return sorted(self.files)
@@ -351,15 +366,15 @@
     def read(self, file_name: str) -> bytes:
         return self.files[file_name]
 
-    def _note(self, beside: int) -> None:
-        self.most = max(self.most, beside + sum(map(len, self.files.values())))
+    def _record_size(self, temporary_bytes: int) -> None:
+        self.peak_bytes = max(self.peak_bytes, temporary_bytes + sum(map(len, self.files.values())))
 
     async def append(self, file_name: str, content_bytes: bytes) -> None:
         self.files[file_name] = self.files.get(file_name, b"") + content_bytes
-        self._note(0)
+        self._record_size(0)
 
     async def replace(self, file_name: str, content_bytes: bytes) -> None:
-        self._note(len(content_bytes))
+        self._record_size(len(content_bytes))
         self.files[file_name] = content_bytes
 
     async def remove(self, file_name: str) -> None:
@@ -371,7 +386,7 @@
 
 class LogBytesTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_storm_of_large_changes_leaves_a_small_folder(self) -> None:
-        disk = CountedDisk()
+        disk = SizeTrackingDisk()
         fleet = FleetState()
         task_group = BackgroundTaskGroup("test")
         member = RaftMember(
@@ -398,8 +413,9 @@
                 await asyncio.sleep(0)
             self.assertEqual(proposal.result().unwrap()[1]["status"], "done")
         task_group.stop()
-        # Two digests and one beside them, what leads to the next one, and what came while it was written.
-        self.assertLess(disk.most, 900_000)
+        # Two snapshots and one being written, the log up to the next snapshot, and the entries that came while it was
+        # written.
+        self.assertLess(disk.peak_bytes, 900_000)
         self.assertLess(sum(len(entry.payload) for entry in member.log.entries), 700_000)
         recovered = RaftMember(
             "one",
@@ -417,7 +433,7 @@
     async def test_one_batch_fits_a_frame_and_one_entry_always_goes(self) -> None:
         member = RaftMember(
             "one",
-            Wal(CountedDisk()),
+            Wal(SizeTrackingDisk()),
             FleetState(),
             lambda address, name, body: None,
             BootClock(),
--- a/tests/test_control_plane_events.py
+++ b/tests/test_control_plane_events.py
@@ -1,4 +1,4 @@
-"""EventPublisher: a slow sink loses the oldest events and blocks nobody."""
+"""EventPublisher: with a slow sink the oldest events are lost, and publishing never blocks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
             posted.append(body)
             return len(posted) != 1
 
-        async def tell() -> EventPublisher:
+        async def publish_and_run() -> EventPublisher:
             publisher = EventPublisher(post)
             for index in range(QUEUE_LIMIT + 5):
                 publisher.publish("weights.named", index, {"line": "l"})
@@ -27,7 +27,7 @@
             run_task.cancel()
             return publisher
 
-        publisher = asyncio.run(tell())
+        publisher = asyncio.run(publish_and_run())
         self.assertEqual((publisher.delivered_count, publisher.lost_count), (QUEUE_LIMIT - 1, 6))
         self.assertIn(b'"id": "weights.named-5"', posted[0])
         self.assertIn(b'"type": "pearhead.weights.named"', posted[0])
--- a/tests/test_control_plane_fleet.py
+++ b/tests/test_control_plane_fleet.py
@@ -1,4 +1,4 @@
-"""FleetState: repeated, concurrent and unknown commands, and its digests."""
+"""FleetState: repeated, concurrent and unknown commands, and its snapshots."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 class FleetTest(unittest.TestCase):
     def test_a_later_releases_field_is_kept_and_its_command_stops_the_core(self) -> None:
         fleet = FleetState()
-        weights = Command(transaction=b"a")
-        weights.workers.SetInParent()
+        command = Command(transaction=b"a")
+        command.workers.SetInParent()
         later_field = b"\xfa\x3f\x03new"  # Field 1023, which this release does not know.
-        self.assertEqual(fleet.apply(1, weights.SerializeToString() + later_field)["status"], "done")
-        self.assertIn(later_field, Command.FromString(weights.SerializeToString() + later_field).SerializeToString())
+        self.assertEqual(fleet.apply(1, command.SerializeToString() + later_field)["status"], "done")
+        self.assertIn(later_field, Command.FromString(command.SerializeToString() + later_field).SerializeToString())
         before = fleet.take_digest()
         with self.assertRaises(UnknownCommandError):
             fleet.apply(2, later_field)
-        self.assertEqual(fleet.take_digest(), before, "nothing was applied")
+        self.assertEqual(fleet.take_digest(), before, "an unknown command changed the state")
 
     def test_a_mark_outlasts_the_platforms_list_and_a_base_tells_of_races(self) -> None:
         fleet = FleetState()
@@ -40,22 +40,24 @@
             index += 1
             return fleet.apply(index, Command(transaction=transaction, **body).SerializeToString())
 
-        def listed(address: str = "a:1") -> SetWorkers:
+        def worker_list(address: str = "a:1") -> SetWorkers:
             return SetWorkers(worker=[Worker(name="w", address=address, service="s")])
 
-        run(workers=listed())
+        run(workers=worker_list())
         marked = run(b"t", workers=SetWorkers(partial=True, leaving=["w"]))
-        run(workers=listed())
-        self.assertTrue(fleet.workers["w"]["leaving"], "the platform's list took the operator's mark away")
+        run(workers=worker_list())
+        self.assertTrue(fleet.workers["w"]["leaving"], "the platform's list removed the operator's mark")
         run(workers=SetWorkers(partial=True, staying=["w"]))
-        self.assertEqual(run(b"t", workers=SetWorkers(partial=True, leaving=["w"])), marked, "a repeat")
-        self.assertFalse(fleet.workers["w"]["leaving"], "a repeat marked again")
+        self.assertEqual(
+            run(b"t", workers=SetWorkers(partial=True, leaving=["w"])), marked, "a repeat must have the first outcome"
+        )
+        self.assertFalse(fleet.workers["w"]["leaving"], "a repeat set the mark again")
         run(workers=SetWorkers(partial=True, leaving=["w"]))
-        run(workers=listed("b:1"))
-        self.assertFalse(fleet.workers["w"]["leaving"], "another machine of that name")
+        run(workers=worker_list("b:1"))
+        self.assertFalse(fleet.workers["w"]["leaving"], "another machine of that name took over the mark")
         self.assertEqual(run(workers=SetWorkers(partial=True, leaving=["x"]))["status"], "refused")
-        late = SetWorkers(partial=True, leaving=["w"], base_revision=1)
-        self.assertEqual(run(workers=late)["status"], "conflict")
+        stale_command = SetWorkers(partial=True, leaving=["w"], base_revision=1)
+        self.assertEqual(run(workers=stale_command)["status"], "conflict")
         run(apply=ApplyDescription(base_revision=0, description=b'{"lines":[{"name":"l","weights":"w1"}]}'))
         base = fleet.weights["l"]["revision"]
         first = run(weights=NameWeights(line="l", weights="w2", base_revision=base))
@@ -70,10 +72,10 @@
             return fleet.apply(index, Command(transaction=transaction, **body).SerializeToString())
 
         first = run(1, b"a", apply=ApplyDescription(base_revision=0, description=b'{"lines":[]}'))
-        loser = run(2, b"b", apply=ApplyDescription(base_revision=0, description=b"{}"))
-        again = run(3, b"a", apply=ApplyDescription(base_revision=0, description=b'{"lines":[]}'))
-        self.assertEqual((first, again), ({"status": "done", "revision": 1},) * 2)
-        self.assertEqual(loser, {"status": "conflict", "revision": 1})
+        conflict = run(2, b"b", apply=ApplyDescription(base_revision=0, description=b"{}"))
+        repeat = run(3, b"a", apply=ApplyDescription(base_revision=0, description=b'{"lines":[]}'))
+        self.assertEqual((first, repeat), ({"status": "done", "revision": 1},) * 2)
+        self.assertEqual(conflict, {"status": "conflict", "revision": 1})
         bump = BumpPart(owner="tenant:t", line="l", part=7)
         self.assertEqual(run(4, b"c", bump=bump)["revision"], 2)
         self.assertEqual(run(5, b"c", bump=bump)["revision"], 2)
@@ -81,15 +83,19 @@
         run(7, b"", workers=SetWorkers(worker=[Worker(name="w", address="x", service="s")]))
         self.assertEqual(run(8, b"", hold=TakeHold(worker="w", holder="n1"))["fence"], 8)
         self.assertEqual(run(9, b"", hold=TakeHold(worker="w", holder="n2"))["status"], "held")
-        other = FleetState()
-        other.load_digest(fleet.take_digest())
-        anew = Command(hold=TakeHold(worker="w", holder="n1")).SerializeToString()
-        self.assertEqual(other.apply(10, anew), {"status": "done", "fence": 10}, "back with a later fence")
-        taken = run(10, b"", hold=TakeHold(worker="w", holder="n2", renew_fence=8, expired=True))
-        self.assertEqual(taken, {"status": "done", "fence": 10})
-        stale = ConfirmLoad(worker="w", fence=8, weights_revision=1)
-        self.assertEqual(run(11, b"", confirm=stale)["status"], "refused")
-        copy = FleetState()
-        copy.load_digest(fleet.take_digest())
-        self.assertEqual(copy.take_digest(), fleet.take_digest())
-        self.assertEqual(copy.raised_part_revisions("tenant:t/l"), [(7, 3)])
+        same_holder_state = FleetState()
+        same_holder_state.load_digest(fleet.take_digest())
+        same_holder = Command(hold=TakeHold(worker="w", holder="n1")).SerializeToString()
+        self.assertEqual(
+            same_holder_state.apply(10, same_holder),
+            {"status": "done", "fence": 10},
+            "the same holder gets its worker again, with a later fence",
+        )
+        takeover = run(10, b"", hold=TakeHold(worker="w", holder="n2", renew_fence=8, expired=True))
+        self.assertEqual(takeover, {"status": "done", "fence": 10})
+        stale_load = ConfirmLoad(worker="w", fence=8, weights_revision=1)
+        self.assertEqual(run(11, b"", confirm=stale_load)["status"], "refused")
+        restored = FleetState()
+        restored.load_digest(fleet.take_digest())
+        self.assertEqual(restored.take_digest(), fleet.take_digest())
+        self.assertEqual(restored.raised_part_revisions("tenant:t/l"), [(7, 3)])
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,7 @@
-"""Founding, joining and replacing where founders are told once (§4.9), on virtual time."""
+"""Bootstrap, joining and replacement of cores whose founders are configured for the first start only (§4.9).
+
+The simulated fleets run on virtual time.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +18,17 @@
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time
 
-Play = Callable[[SimFleet], Awaitable[None]]
+Scenario = Callable[[SimFleet], Awaitable[None]]
 
 
 def told_once(fleet: SimFleet) -> None:
-    """From here on no core is told of founders any more."""
+    """Removes the founders from the startup files: from here on no core is told of them any more."""
     for name in list(fleet.startups):
         fleet.startups[name] = dataclasses.replace(fleet.startups[name], founders=[])
 
 
 def build_fleet(world: World, core_count: int) -> SimFleet:
-    """Seeds and founders are the first three, however many cores there are."""
+    """A fleet whose seeds and founders are the first three cores, however many there are."""
     fleet = SimFleet(world, dataclasses.replace(KLIPPVIK, core_count=core_count), 1)
     seeds = [f"core-{n + 1}:1" for n in range(3)]
     for name in [n for n in fleet.startups if n.startswith("core-")]:
@@ -34,39 +37,42 @@
 
 
 def voters_of(fleet: SimFleet) -> list[str]:
-    """The voters by the leader's log, if one leads."""
+    """Addresses of the voters by the leader's log; none if no core leads."""
     leader = fleet.leader()
     return sorted(fleet.cores[leader].raft.voters().values()) if leader else []
 
 
 def all_agree(fleet: SimFleet, names: list[str]) -> bool:
-    """Each of these cores knows that exactly these vote."""
+    """Whether a core leads and each of these cores knows that exactly these vote."""
     cores = [fleet.cores[n] for n in names]
-    wanted = {c.identity for c in cores}
-    return bool(fleet.leader()) and all(hasattr(c, "raft") and set(c.raft.voters()) == wanted for c in cores)
+    identities = {c.identity for c in cores}
+    return bool(fleet.leader()) and all(hasattr(c, "raft") and set(c.raft.voters()) == identities for c in cores)
 
 
 async def seconds_until(fleet: SimFleet, is_reached: Callable[[], bool], limit_seconds: float = 20.0) -> float:
+    """Waits until a condition holds, and returns how long it took; at `limit_seconds` it gives up."""
     start_micros = fleet.world.now()
     while not is_reached() and fleet.world.now() - start_micros < limit_seconds * SECOND:
         await pause(fleet.world, 20 * MILLI)
     return (fleet.world.now() - start_micros) / SECOND
 
 
-def run_cores(core_count: int, seed: int, play: Play) -> None:
-    async def play_all(world: World) -> None:
-        await play(build_fleet(world, core_count))
+def run_cores(core_count: int, seed: int, scenario: Scenario) -> None:
+    """Runs a scenario with a simulated fleet of this many cores."""
+
+    async def run_scenario(world: World) -> None:
+        await scenario(build_fleet(world, core_count))
 
-    run_in_virtual_time(seed, play_all)
+    run_in_virtual_time(seed, run_scenario)
 
 
 class MembersTest(unittest.TestCase):
-    async def found(self, fleet: SimFleet) -> list[str]:
-        """Machines start within a second, in any order."""
+    async def bootstrap(self, fleet: SimFleet) -> list[str]:
+        """Starts the cores within a second, in any order, and waits until all vote; returns their names."""
         names = [n for n in fleet.startups if n.startswith("core-")]
-        order = list(names)
-        fleet.world.chance.shuffle(order)
-        for name in order:
+        start_order = list(names)
+        fleet.world.chance.shuffle(start_order)
+        for name in start_order:
             fleet.start(name)
             await pause(fleet.world, fleet.world.chance.randrange(1_000 * MILLI // len(names)))
         took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names))
@@ -75,6 +81,7 @@
         return names
 
     async def apply(self, fleet: SimFleet, mark: str, limit_seconds: float) -> None:
+        """Applies a description with this mark, and checks that it is acknowledged in time."""
         start_micros = fleet.world.now()
         self.assertEqual(await fleet.apply(fleet.marked_description(mark)), "done")
         self.assertLess((fleet.world.now() - start_micros) / SECOND, limit_seconds)
@@ -83,8 +90,8 @@
         for core_count in (3, 5):
             for seed in range(4):
 
-                async def play(fleet: SimFleet) -> None:
-                    names = await self.found(fleet)
+                async def scenario(fleet: SimFleet) -> None:
+                    names = await self.bootstrap(fleet)
                     await self.apply(fleet, "a", 2.0)
                     lost_count = len(names) // 2
                     for name in names:
@@ -98,34 +105,34 @@
                     self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, names)), 2.0)
 
                 with self.subTest(cores=core_count, seed=seed):
-                    run_cores(core_count, seed, play)
+                    run_cores(core_count, seed, scenario)
 
     def test_nothing_is_acknowledged_before_all_that_are_known_vote(self) -> None:
         for seed in range(4):
 
-            async def play(fleet: SimFleet) -> None:
+            async def scenario(fleet: SimFleet) -> None:
                 names = [n for n in fleet.startups if n.startswith("core-")]
                 for name in names:
                     fleet.start(name)
-                applied = fleet.world.loop.create_task(fleet.apply(fleet.marked_description("a")))
-                await seconds_until(fleet, applied.done)
+                apply_task = fleet.world.loop.create_task(fleet.apply(fleet.marked_description("a")))
+                await seconds_until(fleet, apply_task.done)
                 self.assertEqual(len(voters_of(fleet)), 5)
 
             with self.subTest(seed=seed):
-                run_cores(5, seed, play)
+                run_cores(5, seed, scenario)
 
     def test_an_empty_disk_without_founders_never_founds(self) -> None:
-        async def play(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             told_once(fleet)
             for name in [n for n in fleet.startups if n.startswith("core-")]:
                 fleet.start(name)
             await pause(fleet.world, 10 * SECOND)
             self.assertEqual(voters_of(fleet), [])
 
-        run_cores(3, 1, play)
+        run_cores(3, 1, scenario)
 
     def test_founders_killed_before_they_founded_found_in_their_next_life(self) -> None:
-        async def play(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             names = [n for n in fleet.startups if n.startswith("core-")]
             fleet.start(names[0])
             await pause(fleet.world, 100 * MILLI)
@@ -136,10 +143,10 @@
             fleet.start(names[0])
             self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, names)), 3.0)
 
-        run_cores(3, 1, play)
+        run_cores(3, 1, scenario)
 
     def test_founders_that_lost_power_before_they_had_an_identity_still_know_the_founders(self) -> None:
-        async def play(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             names = [n for n in fleet.startups if n.startswith("core-")]
             founders = json.dumps(fleet.startups[names[0]].founders).encode()
             fleet.world.machine(names[0]).disk.files[FOUNDERS_FILE] = founders
@@ -148,14 +155,14 @@
                 fleet.start(name)
             self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, names)), 3.0)
 
-        run_cores(3, 1, play)
+        run_cores(3, 1, scenario)
 
     def test_a_machine_that_lost_its_disk_votes_again_soon_at_its_address(self) -> None:
         for core_count in (3, 5):
             for seed in range(4):
 
-                async def play(fleet: SimFleet) -> None:
-                    names = await self.found(fleet)
+                async def scenario(fleet: SimFleet) -> None:
+                    names = await self.bootstrap(fleet)
                     for number in range(6):
                         await self.apply(fleet, str(number), 2.0)
                         name = (fleet.leader() or names[0]) if number % 2 else names[number % len(names)]
@@ -168,13 +175,13 @@
                     self.assertEqual(len(fleet.cores[names[0]].fleet.history), 6)
 
                 with self.subTest(cores=core_count, seed=seed):
-                    run_cores(core_count, seed, play)
+                    run_cores(core_count, seed, scenario)
 
     def test_two_of_five_disks_lost_while_the_rest_lose_power(self) -> None:
         for seed in range(4):
 
-            async def play(fleet: SimFleet) -> None:
-                names = await self.found(fleet)
+            async def scenario(fleet: SimFleet) -> None:
+                names = await self.bootstrap(fleet)
                 await self.apply(fleet, "a", 2.0)
                 for name in names:
                     fleet.kill(name, loses_power=True)
@@ -186,15 +193,18 @@
                 self.assertEqual(len(fleet.cores[names[0]].fleet.history), 1)
 
             with self.subTest(seed=seed):
-                run_cores(5, seed, play)
+                run_cores(5, seed, scenario)
 
     def test_disks_lost_at_the_end_of_a_day_while_every_machine_loses_power(self) -> None:
-        """Right after an acknowledgement; the front nodes too, so nobody is left who knows any core by its identity."""
+        """Power is lost right after an acknowledgement, and no identity of a core is known any more.
+
+        The front nodes lose power as well, so no process is left that remembers the cores.
+        """
         for core_count, lost_count in ((3, 1), (5, 2)):
             for seed in range(3):
 
-                async def play(fleet: SimFleet, lost_count: int = lost_count) -> None:
-                    names = await self.found(fleet)
+                async def scenario(fleet: SimFleet, lost_count: int = lost_count) -> None:
+                    names = await self.bootstrap(fleet)
                     nodes = [name for name in fleet.startups if name.startswith("node-")]
                     for name in nodes:
                         fleet.start(name)
@@ -205,27 +215,27 @@
                         fleet.kill(name, loses_power=True)
                     for name in fleet.world.chance.sample(names, lost_count):
                         fleet.world.machine(name).disk.empty()
-                    machines = fleet.world.chance.sample(names + nodes, len(names + nodes))
-                    for name in machines:
+                    start_order = fleet.world.chance.sample(names + nodes, len(names + nodes))
+                    for name in start_order:
                         fleet.start(name)
-                        await pause(fleet.world, SECOND // len(machines))
+                        await pause(fleet.world, SECOND // len(start_order))
                     self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, names)), 4.0)
                     self.assertEqual(len(fleet.cores[names[0]].fleet.history), 2)
                     await self.apply(fleet, "c", 4.0)
-                    served = await seconds_until(
+                    took_seconds = await seconds_until(
                         fleet, lambda: all(fleet.nodes[n].view_replica.is_current() for n in nodes)
                     )
-                    self.assertLess(served, 4.0, "nodes know what is in force")
+                    self.assertLess(took_seconds, 4.0, "the nodes' views were not current in time")
 
                 with self.subTest(cores=core_count, seed=seed):
-                    run_cores(core_count, seed, play)
+                    run_cores(core_count, seed, scenario)
 
     def test_cores_move_to_new_addresses_one_by_one(self) -> None:
-        """The old one vanishes before or after the new one came, or never started again."""
+        """Each old core is lost for good, a little before or after its successor at a new address starts."""
         for seed in range(4):
 
-            async def play(fleet: SimFleet) -> None:
-                names = await self.found(fleet)
+            async def scenario(fleet: SimFleet) -> None:
+                names = await self.bootstrap(fleet)
                 for number in range(3):
                     new_name = f"core-{number + 6}"
                     fleet.startups[new_name] = dataclasses.replace(
@@ -236,48 +246,48 @@
                         founders=[],
                         lostAfterMicros=3 * SECOND,
                     )
-                    gone = names.pop(0)
-                    for is_first in fleet.world.chance.sample([True, False], 2):
-                        if is_first:
-                            fleet.kill(gone, loses_power=True)
+                    old_name = names.pop(0)
+                    for is_kill in fleet.world.chance.sample([True, False], 2):
+                        if is_kill:
+                            fleet.kill(old_name, loses_power=True)
                         else:
                             fleet.start(new_name)
                         await pause(fleet.world, fleet.world.chance.randrange(SECOND))
                     names.append(new_name)
-                    fleet.forget_core(gone)
+                    fleet.forget_core(old_name)
                     took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names), 30.0)
-                    self.assertLess(took_seconds, 20.0, f"{gone} to {new_name}: {voters_of(fleet)} vote")
+                    self.assertLess(took_seconds, 20.0, f"{old_name} to {new_name}: {voters_of(fleet)} vote")
                     await self.apply(fleet, str(number), 2.0)
 
             with self.subTest(seed=seed):
-                run_cores(3, seed, play)
+                run_cores(3, seed, scenario)
 
     def test_a_core_that_was_let_go_while_cut_off_comes_back_as_a_learner(self) -> None:
-        async def play(fleet: SimFleet) -> None:
-            names = await self.found(fleet)
-            gone = next(n for n in names if n != fleet.leader())
-            pairs = fleet.cut([gone], [n for n in names if n != gone])
+        async def scenario(fleet: SimFleet) -> None:
+            names = await self.bootstrap(fleet)
+            cut_name = next(n for n in names if n != fleet.leader())
+            cut_links = fleet.cut([cut_name], [n for n in names if n != cut_name])
             fleet.startups["core-9"] = dataclasses.replace(
-                fleet.startups[gone], address="core-9:1", httpAddress="core-9:2", founders=[]
+                fleet.startups[cut_name], address="core-9:1", httpAddress="core-9:2", founders=[]
             )
             await pause(fleet.world, SECOND)
             fleet.start("core-9")
-            now = [n for n in names if n != gone] + ["core-9"]
-            await seconds_until(fleet, lambda: all_agree(fleet, now))
-            fleet.restore_links(pairs)
+            voter_names = [n for n in names if n != cut_name] + ["core-9"]
+            await seconds_until(fleet, lambda: all_agree(fleet, voter_names))
+            fleet.restore_links(cut_links)
             await pause(fleet.world, 5 * SECOND)
             members = fleet.cores[fleet.leader()].raft.members()
-            self.assertEqual({m.address: m.voter for m in members.member}[f"{gone}:1"], False)
-            fleet.kill(next(n for n in now if n != fleet.leader()), loses_power=True)
-            self.assertLess(await seconds_until(fleet, lambda: f"{gone}:1" in voters_of(fleet)), 8.0)
+            self.assertEqual({m.address: m.voter for m in members.member}[f"{cut_name}:1"], False)
+            fleet.kill(next(n for n in voter_names if n != fleet.leader()), loses_power=True)
+            self.assertLess(await seconds_until(fleet, lambda: f"{cut_name}:1" in voters_of(fleet)), 8.0)
 
-        run_cores(3, 1, play)
+        run_cores(3, 1, scenario)
 
-    async def add_core(self, fleet: SimFleet, name: str, like: str, **changes: Any) -> None:
-        """An empty machine in the zone of another; seeds are the cores that live now."""
+    async def add_core(self, fleet: SimFleet, name: str, template_name: str, **changes: Any) -> None:
+        """Starts a core with an empty disk in the zone of another core; its seeds are cores that run now."""
         seeds = [f"{n}:1" for n in fleet.live_cores()][:3]
         fleet.startups[name] = dataclasses.replace(
-            fleet.startups[like],
+            fleet.startups[template_name],
             address=f"{name}:1",
             httpAddress=f"{name}:2",
             founders=[],
@@ -286,65 +296,68 @@
         )
         fleet.start(name)
 
-    async def replace_as_planned(self, fleet: SimFleet, gone: str, new_name: str) -> None:
-        """The new machine first, then the old one is told to end, and does so within its grace."""
-        await self.add_core(fleet, new_name, gone)
+    async def replace_as_planned(self, fleet: SimFleet, old_name: str, new_name: str) -> None:
+        """Starts the new core first, then drains the old one and stops it for good."""
+        await self.add_core(fleet, new_name, old_name)
         await pause(fleet.world, fleet.world.chance.randrange(3 * SECOND))
-        await fleet.cores[gone].drain()
-        fleet.kill(gone)
-        fleet.forget_core(gone)
+        await fleet.cores[old_name].drain()
+        fleet.kill(old_name)
+        fleet.forget_core(old_name)
 
     def test_a_planned_replacement_and_two_losses_after_it_leave_a_leader(self) -> None:
-        """Replaced as planned, 15 s later another lost and replaced, then a third loses its disk (issue 17, B0)."""
+        """One core is replaced as planned, 15 s later another is lost and replaced, then a third loses its disk.
+
+        A case from issue 17 (B0).
+        """
         for core_count in (3, 5):
             for seed in range(4):
 
-                async def play(fleet: SimFleet, core_count: int = core_count) -> None:
-                    names = await self.found(fleet)
+                async def scenario(fleet: SimFleet, core_count: int = core_count) -> None:
+                    names = await self.bootstrap(fleet)
                     await self.apply(fleet, "a", 2.0)
-                    planned = fleet.leader() if fleet.world.chance.random() < 0.5 else names[0]
-                    await self.replace_as_planned(fleet, planned, "core-6")
-                    names.remove(planned)
+                    replaced_name = fleet.leader() if fleet.world.chance.random() < 0.5 else names[0]
+                    await self.replace_as_planned(fleet, replaced_name, "core-6")
+                    names.remove(replaced_name)
                     await pause(fleet.world, 15 * SECOND)
-                    lost = fleet.world.chance.choice(names)
-                    names.remove(lost)
-                    fleet.kill(lost, loses_power=True)
-                    fleet.forget_core(lost)
+                    lost_name = fleet.world.chance.choice(names)
+                    names.remove(lost_name)
+                    fleet.kill(lost_name, loses_power=True)
+                    fleet.forget_core(lost_name)
                     await pause(fleet.world, fleet.world.chance.randrange(3 * SECOND))
-                    await self.add_core(fleet, "core-7", lost)
-                    # The promise: the next machine may be lost when the successor has run for this long.
+                    await self.add_core(fleet, "core-7", lost_name)
+                    # Another machine may be lost once the successor has run for this long: that is guaranteed.
                     await pause(fleet.world, fleet.startups["core-7"].lostAfterMicros - SECOND)
                     self.assertEqual(len(voters_of(fleet)), core_count)
-                    wiped = fleet.world.chance.choice([*names, "core-6"])
-                    fleet.kill(wiped, loses_power=True)
-                    fleet.world.machine(wiped).disk.empty()
+                    wiped_name = fleet.world.chance.choice([*names, "core-6"])
+                    fleet.kill(wiped_name, loses_power=True)
+                    fleet.world.machine(wiped_name).disk.empty()
                     self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 2.0)
                     await self.apply(fleet, "b", 2.0)
-                    fleet.start(wiped)
-                    now = [*names, "core-6", "core-7"]
-                    self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, now)), 4.0)
-                    for name in now:
+                    fleet.start(wiped_name)
+                    core_names = [*names, "core-6", "core-7"]
+                    self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, core_names)), 4.0)
+                    for name in core_names:
                         fleet.kill(name, loses_power=True)
-                    for name in now:
+                    for name in core_names:
                         fleet.start(name)
                     self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 2.0)
                     await self.apply(fleet, "c", 2.0)
 
                 with self.subTest(cores=core_count, seed=seed):
-                    run_cores(core_count, seed, play)
+                    run_cores(core_count, seed, scenario)
 
     def test_votes_are_spread_over_the_zones_again(self) -> None:
-        """A successor in another zone votes until a machine of the bare zone is back and level."""
-
-        async def play(fleet: SimFleet) -> None:
-            names = await self.found(fleet)
-            gone = next(n for n in names if n != fleet.leader())
-            stays = next(n for n in names if n not in (gone, fleet.leader()))
-            fleet.kill(gone)
-            await self.add_core(fleet, "core-9", stays)
-            now = [n for n in names if n != gone] + ["core-9"]
-            self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, now)), 4.0)
-            fleet.start(gone)
+        """A successor in another zone votes only until a core of the zone without a voter is back and caught up."""
+
+        async def scenario(fleet: SimFleet) -> None:
+            names = await self.bootstrap(fleet)
+            killed_name = next(n for n in names if n != fleet.leader())
+            remaining_name = next(n for n in names if n not in (killed_name, fleet.leader()))
+            fleet.kill(killed_name)
+            await self.add_core(fleet, "core-9", remaining_name)
+            voter_names = [n for n in names if n != killed_name] + ["core-9"]
+            self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, voter_names)), 4.0)
+            fleet.start(killed_name)
             zones = {fleet.startups[n].area for n in names}
             self.assertEqual(len(zones), 3)
 
@@ -354,16 +367,16 @@
 
             self.assertLess(await seconds_until(fleet, is_spread), 4.0)
 
-        run_cores(3, 1, play)
+        run_cores(3, 1, scenario)
 
 
 class LateTellTest(unittest.TestCase):
     def test_a_command_before_founding_is_told_as_not_run(self) -> None:
-        async def play(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             told_once(fleet)
             fleet.start("core-1")
             await pause(fleet.world, SECOND)
             result = await fleet.cores["core-1"].execute(Command(transaction=b"a"))
             self.assertEqual(result.status, "unavailable")
 
-        run_cores(3, 1, play)
+        run_cores(3, 1, scenario)
