--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -74,7 +74,7 @@
 
 
 class CoreProcess:
-    """A core: wires Raft, fleet state, membership, node views and part revisions to one disk and one endpoint.
+    """A core: connects Raft, fleet state, membership, node views and part revisions to one disk and one endpoint.
 
     It is the state machine that Raft applies commands to, and the store of the `RevisionSequencer`. `fail` is called
     with a reason when the process must stop. `hold_last_seen` has, for each worker, the fence of its hold and when this
@@ -294,10 +294,9 @@
     # ---- commands --------------------------------------------------------------------------------
 
     def is_bootstrap_complete(self) -> bool:
-        """Whether commands may be acknowledged.
+        """Whether commands may be acknowledged: as many members vote as founded the core.
 
-        They may not before as many members vote as founded the core: the loss of one disk must not lose an acknowledged
-        command.
+        With fewer voters, the loss of one disk could lose an acknowledged command.
         """
         return self.fleet.visible_index > 0 or self.membership.is_bootstrap_complete()
 
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -175,10 +175,7 @@
         return members.wanted or max(sum(m.voter for m in members.member), len(self.founders) or MIN_VOTERS)
 
     def is_bootstrap_complete(self) -> bool:
-        """Whether enough members vote for commands to be acknowledged.
-
-        They are not before a loss can be tolerated, nor while more founders may join.
-        """
+        """Whether commands may be acknowledged: enough members vote to bear a loss, and no founder may still join."""
         return (
             len(self.raft.voters()) >= min(self.target_voter_count(), MIN_VOTERS) and not self._is_awaiting_founders()
         )
