--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -296,7 +296,8 @@
     def is_bootstrap_complete(self) -> bool:
         """Whether commands may be acknowledged: as many members vote as founded the core.
 
-        With fewer voters, the loss of one disk could lose an acknowledged command.
+        With fewer voters, the loss of one disk could lose an acknowledged command. Once a command for the view has been
+        applied, the voters are not counted any more.
         """
         return self.fleet.visible_index > 0 or self.membership.is_bootstrap_complete()
 
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -33,8 +33,8 @@
 JOIN_REQUEST_TIMEOUT_MICROS = 600 * MILLI
 MAX_LEADER_SILENCE_MICROS = 2 * SECOND
 RESPONSIVE_WITHIN_MICROS = 400 * MILLI
-# How long a new leader acknowledges nothing because other founders may still join: in any case, and while it knows of
-# cores that have no vote yet although voters are missing.
+# How long a new leader refuses the first command of the core group because other founders may still join: in any case,
+# and while it knows of cores that have no vote yet although voters are missing.
 FOUNDING_GRACE_MICROS = (1_500 * MILLI, 8 * SECOND)
 # A voter that was silent for this long is replaced by a caught-up learner; undoing that costs only two log entries.
 EXCHANGE_MICROS = 1_500 * MILLI
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -297,7 +297,7 @@
         fleet.start(name)
 
     async def replace_as_planned(self, fleet: SimFleet, old_name: str, new_name: str) -> None:
-        """Starts the new core first, then drains the old one and stops it for good."""
+        """Starts the new core first, then stops the old one for good, which drains within its grace period."""
         await self.add_core(fleet, new_name, old_name)
         await pause(fleet.world, fleet.world.chance.randrange(3 * SECOND))
         await fleet.cores[old_name].drain()
