--- a/src/pearhead/testbed/simulator/fault_injector.py
+++ b/src/pearhead/testbed/simulator/fault_injector.py
@@ -1,4 +1,4 @@
-"""SimFaultInjector (§9.7): plays drawn strikes on a fleet, each a task of its own."""
+"""Injects the faults of a generated schedule into a simulated fleet, each in a task of its own (§9.7)."""
 
 from __future__ import annotations
 
@@ -14,6 +14,17 @@
 
 
 class SimFaultInjector:
+    """Injects the scheduled faults of the world's seed.
+
+    A fault of kind "some-kind" is carried out by the method `_play_some_kind`. Each of these begins the fault and ends
+    it after its duration, unless the fault is permanent.
+
+    Attributes:
+        weights_number: Number in the name of the latest weights.
+        mark_number: Number of marks handed out.
+        leaving: Workers that a fault has marked as leaving; no other fault chooses them.
+    """
+
     def __init__(self, fleet: SimFleet) -> None:
         self.fleet = fleet
         self.world = fleet.world
@@ -23,9 +34,9 @@
         self.leaving: set[str] = set()
 
     async def inject_all(self) -> None:
-        """All strikes that are not left out; ends when all but the last are over, and that one stands."""
+        """Injects all faults that are not excluded; returns when only the permanent one is still active."""
         sim_faults = [
-            s for s in SimFaultSchedule().generate(self.world.seed) if s.number not in self.fleet.excluded_faults
+            f for f in SimFaultSchedule().generate(self.world.seed) if f.number not in self.fleet.excluded_faults
         ]
         start_micros = self.world.now()
         tasks: list[asyncio.Task[None]] = []
@@ -35,38 +46,43 @@
             await pause(self.world, max(0, start_micros + sim_fault.at_micros - self.world.now()))
             self.world.note(sim_fault.text())
             method_name = f"_play_{sim_fault.kind.replace('-', '_')}"
-            work: Callable[[SimFault], Coroutine[Any, Any, None]] = getattr(self, method_name)
-            tasks.append(self.world.loop.create_task(work(sim_fault)))
+            inject: Callable[[SimFault], Coroutine[Any, Any, None]] = getattr(self, method_name)
+            tasks.append(self.world.loop.create_task(inject(sim_fault)))
         await asyncio.gather(*tasks)
 
-    async def _end_later(self, sim_fault: SimFault, end: Callable[[], None]) -> None:
+    async def _end_after_duration(self, sim_fault: SimFault, end: Callable[[], None]) -> None:
         if not sim_fault.is_permanent:
             await pause(self.world, sim_fault.fault_duration_micros)
             end()
 
     def _choose_machine(self, role: str, sim_fault: SimFault) -> str:
-        """Among those that stand, so that strikes do not hit the same machine twice at once."""
-        held = {
+        """Chooses a target by the fault's random number, among the healthy machines of a role.
+
+        This keeps two faults from hitting the same machine at once. If none is healthy, the first one is chosen.
+        """
+        names_by_role = {
             "core": sorted(self.fleet.cores),
             "node": sorted(self.fleet.nodes),
             "worker": self.fleet.current_workers(),
         }
         names = [
-            n for n in held[role] if self.fleet.fault_log.is_healthy(n, self.world.now()) and n not in self.leaving
+            n
+            for n in names_by_role[role]
+            if self.fleet.fault_log.is_healthy(n, self.world.now()) and n not in self.leaving
         ]
-        return names[sim_fault.target_index % len(names)] if names else held[role][0]
+        return names[sim_fault.target_index % len(names)] if names else names_by_role[role][0]
 
     async def _kill_and_restart(self, sim_fault: SimFault, names: list[str], loses_power: bool = False) -> None:
-        killed = [n for n in names if self.world.machine(n).is_alive]
-        for name in killed:
+        killed_names = [n for n in names if self.world.machine(n).is_alive]
+        for name in killed_names:
             self.fleet.kill(name, loses_power)
 
         def start() -> None:
-            for name in killed:
+            for name in killed_names:
                 if self._should_restart(name):
                     self.fleet.start(name)
 
-        await self._end_later(sim_fault, start)
+        await self._end_after_duration(sim_fault, start)
 
     def _should_restart(self, name: str) -> bool:
         return not self.world.machine(name).is_alive and (
@@ -78,18 +94,18 @@
     async def _freeze_and_wake(self, sim_fault: SimFault, name: str) -> None:
         self.world.machine(name).kernel_accepts_connections = sim_fault.target_index % 3 > 0
         self.fleet.freeze(name)
-        await self._end_later(sim_fault, lambda: self.fleet.wake(name))
+        await self._end_after_duration(sim_fault, lambda: self.fleet.wake(name))
 
     async def _cut_and_restore(
         self, sim_fault: SimFault, names: list[str], others: list[str], both_ways: bool = True
     ) -> None:
         pairs = self.fleet.cut(names, others, both_ways)
-        await self._end_later(sim_fault, lambda: self.fleet.restore_links(pairs))
+        await self._end_after_duration(sim_fault, lambda: self.fleet.restore_links(pairs))
 
     def _sorted_machine_names(self) -> list[str]:
         return sorted(self.world.machines)
 
-    # ---- the core ----------------------------------------------------------------------------------
+    # ---- cores ----------------------------------------------------------------------------------
 
     async def _play_core_killed(self, sim_fault: SimFault) -> None:
         await self._kill_and_restart(sim_fault, [self._choose_core(sim_fault)])
@@ -112,7 +128,7 @@
     async def _inject_disk_fault(self, sim_fault: SimFault, kind: str) -> None:
         name = self._choose_core(sim_fault)
         self.fleet.set_disk(name, kind, True)
-        await self._end_later(sim_fault, lambda: self.fleet.set_disk(name, kind, False))
+        await self._end_after_duration(sim_fault, lambda: self.fleet.set_disk(name, kind, False))
 
     async def _play_core_replaced(self, sim_fault: SimFault) -> None:
         name = self._choose_core(sim_fault)
@@ -130,7 +146,7 @@
         for name in sorted(self.fleet.cores):
             self.world.machine(name).disk.slowness = 10
         self.fleet.fault_log.record_disturbance(self.world.now())
-        await self._end_later(sim_fault, self._restore_disk_speed)
+        await self._end_after_duration(sim_fault, self._restore_disk_speed)
 
     def _restore_disk_speed(self) -> None:
         for name in sorted(self.fleet.cores):
@@ -150,7 +166,7 @@
         await self._cut_and_restore(sim_fault, names, [n for n in self._sorted_machine_names() if n not in names])
 
     def _choose_core(self, sim_fault: SimFault) -> str:
-        """The leader as often as not."""
+        """Chooses the leader in half of the cases."""
         leader = self.fleet.leader()
         return leader if leader and sim_fault.target_index % 2 else self._choose_machine("core", sim_fault)
 
@@ -184,19 +200,19 @@
 
     async def _freeze_on_connect(self, sim_fault: SimFault, purpose: str) -> None:
         name = self._choose_machine("node", sim_fault)
-        caught: list[str] = []
+        frozen_names: list[str] = []
 
         def freeze(_: object) -> None:
             self.fleet.freeze(name)
-            caught.append(name)
+            frozen_names.append(name)
 
         self.world.connect_hooks[name, purpose] = freeze
         end_micros = self.world.now() + 3 * SECOND
-        while not caught and self.world.now() < end_micros:
+        while not frozen_names and self.world.now() < end_micros:
             await pause(self.world, 20 * MILLI)
         self.world.connect_hooks.pop((name, purpose), None)
         await pause(self.world, sim_fault.fault_duration_micros)
-        if caught:
+        if frozen_names:
             self.fleet.wake(name)
 
     # ---- workers and the store -----------------------------------------------------------------------
@@ -214,11 +230,11 @@
 
     async def _play_worker_slow(self, sim_fault: SimFault) -> None:
         speed = self.fleet.worker_speeds[self._choose_machine("worker", sim_fault)]
-        held = (speed.prefill_micros, speed.line_micros, speed.long_line_micros)
-        speed.prefill_micros, speed.line_micros, speed.long_line_micros = (3 * micros for micros in held)
+        usual_speed = (speed.prefill_micros, speed.line_micros, speed.long_line_micros)
+        speed.prefill_micros, speed.line_micros, speed.long_line_micros = (3 * micros for micros in usual_speed)
         self.fleet.fault_log.record_disturbance(self.world.now())
         await pause(self.world, sim_fault.fault_duration_micros)
-        speed.prefill_micros, speed.line_micros, speed.long_line_micros = held
+        speed.prefill_micros, speed.line_micros, speed.long_line_micros = usual_speed
         self.fleet.fault_log.record_disturbance(self.world.now())
 
     async def _play_worker_hangs(self, sim_fault: SimFault) -> None:
@@ -242,7 +258,7 @@
         model.log.is_silent = False
 
     async def _play_worker_replaced(self, sim_fault: SimFault) -> None:
-        """Gone for good; another comes at a new address, and is listed."""
+        """Destroys a worker for good; after the fault's duration, another is started at a new address and listed."""
         name = self._choose_machine("worker", sim_fault)
         self.fleet.kill(name, loses_power=True)
         await pause(self.world, sim_fault.fault_duration_micros)
@@ -274,7 +290,7 @@
 
     async def _play_casts_lost(self, sim_fault: SimFault) -> None:
         self.fleet.set_datagram_loss(0.3, 0.1)
-        await self._end_later(sim_fault, lambda: self.fleet.set_datagram_loss(0.0))
+        await self._end_after_duration(sim_fault, lambda: self.fleet.set_datagram_loss(0.0))
 
     # ---- operators -----------------------------------------------------------------------------------
 
@@ -327,7 +343,7 @@
         await self._set_key_withdrawn(tenant_name, False)
 
     async def _set_key_withdrawn(self, tenant_name: str, is_key_withdrawn: bool) -> None:
-        """Tried with a fresh base until it is in force: other operators may come first."""
+        """Applies the change with the current base until it succeeds, as other operators' changes may come first."""
         (self.fleet.withdrawn_tenants.add if is_key_withdrawn else self.fleet.withdrawn_tenants.discard)(tenant_name)
         while await self.fleet.apply(self.fleet.marked_description(self._next_mark())) != "done":
             await pause(self.world, 50 * MILLI)
--- a/src/pearhead/testbed/simulator/fault_log.py
+++ b/src/pearhead/testbed/simulator/fault_log.py
@@ -1,4 +1,4 @@
-"""FaultLog (§9.6): which faults stand at which time, and whom the platform could know to be sound."""
+"""Records which faults are active at which time, and derives which machines count as healthy (§9.6)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,14 @@
 
 @dataclass
 class FaultInterval:
-    """`kind` is dead, frozen, cut, disk or burst; `names` is one machine, or the two ends of a cut one way."""
+    """One fault and the time it is active, from `start_micros` up to but not including `end_micros`.
+
+    Attributes:
+        kind: "dead", "frozen", "cut", "disk" or "burst".
+        names: The affected machine; for "cut" the sender and the receiver of the blocked direction.
+        start_micros: Virtual time at which the fault began.
+        end_micros: Virtual time at which it ended; NO_END_MICROS while it is active.
+    """
 
     kind: str
     names: tuple[str, ...]
@@ -18,58 +25,85 @@
 
 
 class FaultLog:
+    """The faults of one run, by which the checkers decide what they may demand at a given time.
+
+    Attributes:
+        intervals: All faults so far, in the order in which they began.
+        event_micros: Times at which a fault began or ended or another disturbance occurred.
+        machine_names: All machines of the run, against which isolation is measured.
+    """
+
     def __init__(self) -> None:
         self.intervals: list[FaultInterval] = []
         self.event_micros: list[int] = []
         self.machine_names: set[str] = set()
 
     def begin(self, kind: str, names: tuple[str, ...], at_micros: int) -> None:
+        """Records that a fault begins; see FaultInterval for `kind` and `names`."""
         self.intervals.append(FaultInterval(kind, names, at_micros))
         self.event_micros.append(at_micros)
 
     def end(self, kind: str, names: tuple[str, ...], at_micros: int) -> None:
+        """Ends all active faults of this kind and these names; does nothing if there are none."""
         for interval in self.intervals:
             if interval.kind == kind and interval.names == names and interval.end_micros == NO_END_MICROS:
                 interval.end_micros = at_micros
                 self.event_micros.append(at_micros)
 
     def record_disturbance(self, at_micros: int) -> None:
-        """What is no fault of a machine and yet asks for patience: lost datagrams, a slow disk, a swap."""
+        """Records an event that is no machine fault but after which service needs time to settle.
+
+        Examples are lost datagrams, a slow disk or worker, and a failed change of weights.
+        """
         self.event_micros.append(at_micros)
 
     def is_quiet(self, at_micros: int, quiet_period_micros: int) -> bool:
+        """Whether no fault or disturbance began or ended during the period that ends at `at_micros`."""
         return not any(at_micros - quiet_period_micros < event <= at_micros for event in self.event_micros)
 
     def is_healthy(self, name: str, at_micros: int) -> bool:
-        broken, cuts = self._state(at_micros)
+        """Whether the machine has no fault and takes part in cuts with at most half of the machines.
+
+        Each blocked direction counts as one cut.
+        """
+        broken, cuts = self._active_faults(at_micros)
         isolated = sum(name in pair for pair in cuts) > len(self.machine_names) // 2
         return name not in broken and not isolated
 
     def is_overloaded(self, at_micros: int) -> bool:
-        return any(s.kind == "burst" and s.start_micros <= at_micros < s.end_micros for s in self.intervals)
+        """Whether a burst of jobs is active."""
+        return any(i.kind == "burst" and i.start_micros <= at_micros < i.end_micros for i in self.intervals)
 
     def was_frozen_between(self, name: str, start_micros: int, end_micros: int) -> bool:
+        """Whether the machine was frozen at any time in the given span, both ends included."""
         return any(
-            s.kind == "frozen" and s.names == (name,) and s.start_micros <= end_micros and s.end_micros >= start_micros
-            for s in self.intervals
+            i.kind == "frozen" and i.names == (name,) and i.start_micros <= end_micros and i.end_micros >= start_micros
+            for i in self.intervals
         )
 
     def connected_cores(self, at_micros: int, core_names: set[str]) -> set[str]:
-        """Cores that stand, and reach all others of these both ways; largest by number, then by name."""
-        broken, cuts = self._state(at_micros)
-        good = core_names - broken
+        """Returns a large set of running cores that all reach one another in both directions.
+
+        Found by removing the core with the most cuts until none is left; of equals, the first by name is removed.
+        """
+        broken, cuts = self._active_faults(at_micros)
+        connected = core_names - broken
         while True:
-            cut_counts = {n: sum((n, o) in cuts or (o, n) in cuts for o in good) for n in sorted(good)}
-            worst = max(cut_counts, key=lambda n: cut_counts[n], default="")
-            if not worst or not cut_counts[worst]:
-                return good
-            good = good - {worst}
+            cut_counts = {n: sum((n, o) in cuts or (o, n) in cuts for o in connected) for n in sorted(connected)}
+            most_cut = max(cut_counts, key=lambda n: cut_counts[n], default="")
+            if not most_cut or not cut_counts[most_cut]:
+                return connected
+            connected = connected - {most_cut}
 
     def healthy_nodes(
         self, at_micros: int, node_names: set[str], core_names: set[str], worker_names: set[str]
     ) -> set[str]:
-        """Nodes at which a caller must be served: they stand, and reach a majority of cores and most workers."""
-        broken, cuts = self._state(at_micros)
+        """Returns the nodes at which a caller must be served.
+
+        Such a node runs and reaches a majority of the cores and most of the workers and of all machines. The set is
+        empty if no majority of the cores is connected, or fewer than half of the workers are.
+        """
+        broken, cuts = self._active_faults(at_micros)
         connected_cores = self.connected_cores(at_micros, core_names)
         connected_workers = {
             w
@@ -90,6 +124,9 @@
             and 2 * len(reaches(n, self.machine_names - {n})) > len(self.machine_names) - 1
         }
 
-    def _state(self, at_micros: int) -> tuple[set[str], set[tuple[str, ...]]]:
-        now = [s for s in self.intervals if s.start_micros <= at_micros < s.end_micros]
-        return {s.names[0] for s in now if s.kind != "cut"}, {s.names for s in now if s.kind == "cut"}
+    def _active_faults(self, at_micros: int) -> tuple[set[str], set[tuple[str, ...]]]:
+        """Returns the names affected by faults other than cuts, and the blocked (sender, receiver) pairs."""
+        active_intervals = [i for i in self.intervals if i.start_micros <= at_micros < i.end_micros]
+        return {i.names[0] for i in active_intervals if i.kind != "cut"}, {
+            i.names for i in active_intervals if i.kind == "cut"
+        }
--- a/src/pearhead/testbed/simulator/fault_schedule.py
+++ b/src/pearhead/testbed/simulator/fault_schedule.py
@@ -1,4 +1,8 @@
-"""Strikes (§9.7): overlapping faults, drawn from a seed by themselves so that any may be left out."""
+"""Generates schedules of overlapping faults (§9.7).
+
+A schedule is drawn from a random generator of its own, so that any fault may be left out of a run without changing the
+others.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 SIM_FAULT_COUNT = 14
 FAULT_WINDOW_MICROS = 30 * SECOND
-# Kinds that take a disk machine or the core's unity away: never two of these at a time.
+# Faults that take away a core, its disk or the connection between cores; two of these never overlap.
 CORE_FAULT_KINDS = (
     "core-killed",
     "core-power",
@@ -71,6 +75,17 @@
 
 @dataclass(frozen=True)
 class SimFault:
+    """One scheduled fault.
+
+    Attributes:
+        number: Identifies the fault within its schedule; `--without` takes these numbers.
+        kind: One of the kinds listed above.
+        at_micros: When it begins, counted from the start of the schedule.
+        fault_duration_micros: How long it lasts.
+        target_index: Random number from which the injector chooses the target, and variants of some kinds.
+        is_permanent: Whether it lasts until the end of the run.
+    """
+
     number: int
     kind: str
     at_micros: int
@@ -79,44 +94,46 @@
     is_permanent: bool = False
 
     def text(self) -> str:
+        """Returns the line that is noted in the trace when the fault begins."""
         duration_text = "for good" if self.is_permanent else f"for {self.fault_duration_micros / SECOND:.1f} s"
         start_text = f"{self.at_micros / SECOND:.1f} s"
         return f"strike {self.number}: {self.kind} ({self.target_index}) at {start_text} {duration_text}"
 
 
 class SimFaultSchedule:
-    """Draws strikes that overlap as they fall; core strikes wait for one another; the last one stays on."""
+    """Draws faults that may overlap, except that core faults follow one another; the last fault is permanent."""
 
     def generate(self, seed: int) -> list[SimFault]:
+        """Returns the faults of a seed, ordered by time and number; the same seed gives the same schedule."""
         chance = random.Random(f"strikes/{seed}")
         sim_faults: list[SimFault] = []
-        core_free_at = 0
+        next_core_fault_micros = 0
         for number in range(SIM_FAULT_COUNT):
             is_core = chance.random() < 0.35
             kind = chance.choice(CORE_FAULT_KINDS if is_core else OTHER_FAULT_KINDS)
             at_micros = chance.randrange(FAULT_WINDOW_MICROS)
             fault_duration_micros = chance.randrange(500 * MILLI, 7 * SECOND)
             if is_core:
-                at_micros = core_free_at + chance.randrange(2 * SECOND)
+                at_micros = next_core_fault_micros + chance.randrange(2 * SECOND)
                 if at_micros > FAULT_WINDOW_MICROS:
                     continue
-                # A replaced core has its vote some time after it came; a frozen one its log.
-                core_free_at = at_micros + (
+                # A new core becomes a voter only some time after it starts, and a frozen one first catches up its log.
+                next_core_fault_micros = at_micros + (
                     12 * SECOND if kind == "core-replaced" else fault_duration_micros + 2 * SECOND
                 )
             sim_faults.append(SimFault(number, kind, at_micros, fault_duration_micros, chance.randrange(1_000)))
-        last_micros = max(s.at_micros + s.fault_duration_micros for s in sim_faults) + chance.randrange(
+        permanent_at_micros = max(f.at_micros + f.fault_duration_micros for f in sim_faults) + chance.randrange(
             SECOND, 16 * SECOND
         )
-        last_micros = max(last_micros, core_free_at)
+        permanent_at_micros = max(permanent_at_micros, next_core_fault_micros)
         sim_faults.append(
             SimFault(
                 SIM_FAULT_COUNT,
                 chance.choice(FINAL_FAULT_KINDS),
-                last_micros,
+                permanent_at_micros,
                 0,
                 chance.randrange(1_000),
                 is_permanent=True,
             )
         )
-        return sorted(sim_faults, key=lambda s: (s.at_micros, s.number))
+        return sorted(sim_faults, key=lambda f: (f.at_micros, f.number))
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -1,4 +1,4 @@
-"""SimFleet (§9.5): a whole deployment on one world, with operators, platform and callers."""
+"""Simulates a whole deployment: control plane, nodes, workers, operators, platform and callers (§9.5)."""
 
 from __future__ import annotations
 
@@ -39,11 +39,12 @@
 
 
 async def discard_call_result(call: Coroutine[Any, Any, JobTrace]) -> None:
+    """Awaits a call, as a coroutine without a result that a task of the fleet can run."""
     await call
 
 
-class _TraceWriter:
-    """The caller's end of a stream: lines cross a link, and a gone caller is a closed pipe."""
+class _CallerStream:
+    """The caller's end of a response stream; lines are copied through JSON as if they crossed a connection."""
 
     def __init__(self, world: World, trace: JobTrace) -> None:
         self.world = world
@@ -54,6 +55,31 @@
 
 
 class SimFleet:
+    """A deployment in one world, with methods for what operators, the platform and callers do to it.
+
+    Faults go through its methods rather than the world's, so that the fault log and the recording see them.
+
+    Attributes:
+        digest_every: Number of log entries after which a core writes a digest.
+        ledger: What the run did, for the checkers.
+        fault_log: The active and past faults.
+        cores: Core processes by name, also of machines that are down.
+        nodes: Node processes by name, also of machines that are down.
+        back_ends: Workers, the store and the application by address.
+        worker_speeds: Speed of each worker; it outlives restarts.
+        startups: Start-up configuration of each core and node.
+        detected_dead: Machines that the platform knows to be down or draining; it gives such nodes no connections.
+        removed_workers: Workers that are gone for good.
+        withdrawn_tenants: Tenants that marked_description() leaves out.
+        excluded_faults: Numbers of the scheduled faults that are left out.
+        actions: Time, kind and details of each fault and operator action that a recording contains.
+        leaving_since: When the leaving or removal of each worker was acknowledged.
+        open_jobs: Tasks of the calls that have not ended.
+        description_revision: Latest acknowledged revision of the description.
+        node_patch: Applied to each node process before it starts; mutations set it.
+        core_patch: Applied to each core process before it starts; mutations set it.
+    """
+
     def __init__(
         self, world: World, deployment: Deployment, node_count: int = 0, worker_count: int = 0, digest_every: int = 400
     ) -> None:
@@ -93,7 +119,7 @@
             self.startups[name] = self._build_startup(name, founders=[])
 
     def area_of(self, name: str) -> str:
-        """Machines of each role go round the areas by their numbers; those that are single are in the last."""
+        """Returns the area of a machine: round-robin by its number, and the last area for machines without one."""
         _, _, number_text = name.partition("-")
         return self.deployment.areas[(int(number_text) - 1) % 3 if number_text else 2]
 
@@ -113,6 +139,7 @@
     # ---- the platform ------------------------------------------------------------------------------
 
     def start_core(self, name: str) -> None:
+        """Boots the machine of a core and starts its process; the process is killed if it reports a fatal error."""
         machine = self.world.machine(name)
         machine.boot()
         startup = self.startups[name]
@@ -138,6 +165,7 @@
         self.world.note(f"starts {name}")
 
     def start_node(self, name: str) -> None:
+        """Boots the machine of a node and starts its process."""
         machine = self.world.machine(name)
         machine.boot()
         startup = self.startups[name]
@@ -151,7 +179,7 @@
             SimWorkerClient(machine, self.back_ends, self._record_worker_command),
             machine.chance,
         )
-        # The machine's task_group is what a crash ends.
+        # A crash cancels the tasks in the machine's task group, so all parts must use that one.
         for part in (node, node.view_replica, node.listener, node.lease_controller):
             part.task_group = machine.task_group
         self.node_patch(node)
@@ -161,6 +189,7 @@
         self.world.note(f"starts {name}")
 
     def start_back_end(self, name: str) -> None:
+        """Boots the machine of a worker, the store ("store") or the application ("desk") with an empty model."""
         machine = self.world.machine(name)
         machine.boot()
         address = f"{name}:2"
@@ -183,11 +212,12 @@
         self.world.note(f"starts {name}")
 
     def current_workers(self) -> list[str]:
+        """Returns the names of all workers except those that are gone for good; some may be down."""
         names = [b.machine.name for a, b in sorted(self.back_ends.items()) if a.startswith("worker-")]
         return [n for n in names if n not in self.removed_workers]
 
     def _random_worker_speed(self) -> WorkerSpeed:
-        """Workers of unlike speed; long results stream for one to three seconds."""
+        """Draws the speed of a worker; long results take between one and three seconds to stream."""
         chance = self.world.chance
         return WorkerSpeed(
             chance.randrange(40, 120),
@@ -198,6 +228,7 @@
         )
 
     def worker(self, name: str) -> WorkerModel:
+        """Returns the model of a worker."""
         model = self.back_ends[f"{name}:2"].model
         assert isinstance(model, WorkerModel)
         return model
@@ -206,6 +237,7 @@
         self.actions.append((self.world.now(), kind, more))
 
     def cut(self, first_names: list[str], second_names: list[str], both_ways: bool = True) -> list[tuple[str, str]]:
+        """Blocks messages between two sets of machines; returns the newly blocked (sender, receiver) pairs."""
         before = set(self.world.cuts)
         self.world.cut(first_names, second_names, both_ways)
         pairs = sorted(self.world.cuts - before)
@@ -215,7 +247,7 @@
         return pairs
 
     def restore_links(self, pairs: list[tuple[str, str]]) -> None:
-        """Heals only these, while other cuts stand."""
+        """Ends the cuts of these pairs only; others stay."""
         self._record_action("mend", pairs=[list(pair) for pair in pairs])
         self.world.note(f"mends {len(pairs)} links")
         for pair in pairs:
@@ -223,11 +255,12 @@
             self.world.cuts.discard(pair)
 
     async def replace_worker(self, name: str) -> None:
-        """A machine of another name and address comes for one that is gone for good."""
+        """Adds a worker of a new name and address in place of one that is gone for good."""
         self.removed_workers.add(name)
         await self.add_worker()
 
     async def add_worker(self) -> str:
+        """Starts a worker under the next free name, adds it to the platform's list and returns its name."""
         self.worker_number += 1
         new_name = f"worker-{self.worker_number}"
         self.start_back_end(new_name)
@@ -236,18 +269,20 @@
         return new_name
 
     def is_loaded(self, worker_name: str) -> bool:
-        """Whether all nodes that stand know it to be loaded."""
+        """Whether all running nodes know the worker to have loaded a model."""
         return all(
             worker_name in n.view_replica.view.loads for name, n in self.nodes.items() if self._is_machine_alive(name)
         )
 
     def heal(self) -> None:
+        """Ends all cuts."""
         self._record_action("heal")
         for pair in sorted(self.world.cuts):
             self.fault_log.end("cut", pair, self.world.now())
         self.world.heal()
 
     def start(self, name: str) -> None:
+        """Starts a machine of any role and ends its "dead" and "frozen" faults."""
         self._record_action("start", name=name)
         self.detected_dead.discard(name)
         self.fault_log.end("dead", (name,), self.world.now())
@@ -262,6 +297,7 @@
             self.start_back_end(name)
 
     def kill(self, name: str, loses_power: bool = False) -> None:
+        """Kills the process of a machine, or cuts the machine's power, which may lose unsynced writes."""
         self._record_action("power" if loses_power else "kill", name=name)
         self.world.note(f"{'cuts the power of' if loses_power else 'kills'} {name}")
         if self._is_machine_alive(name):
@@ -270,13 +306,13 @@
         process = self.cores.get(name) or self.nodes.get(name)
         if process is not None and hasattr(process, "rpc_endpoint"):
             process.rpc_endpoint.stop()
-        # The platform notices a dead node after a while, and hands no connections to it.
+        # The platform detects a dead node after one second and then gives it no connections.
         self.world.loop.call_later(
             1.0, lambda: self.detected_dead.add(name) if not self._is_machine_alive(name) else None
         )
 
     async def stop_planned(self, name: str) -> None:
-        """As the platform does planned work: hand out no more connections, drain, then stop."""
+        """Stops a machine as the platform does for planned work: no new connections or jobs, drain, then stop."""
         self.world.note(f"stops {name} as planned")
         self.ledger.planned_count += 1
         machine = self.world.machine(name)
@@ -291,6 +327,7 @@
         self.kill(name)
 
     def freeze(self, name: str) -> None:
+        """Freezes a machine until wake()."""
         self._record_action("freeze", name=name)
         self.world.note(f"freezes {name}")
         if not self.world.machine(name).is_frozen:
@@ -298,13 +335,14 @@
         self.world.machine(name).freeze()
 
     def wake(self, name: str) -> None:
+        """Ends the freeze of a machine."""
         self._record_action("wake", name=name)
         self.world.note(f"wakes {name}")
         self.fault_log.end("frozen", (name,), self.world.now())
         self.world.machine(name).wake()
 
     def set_disk(self, name: str, kind: str, is_fault_active: bool) -> None:
-        """Stalls or fills a disk, or ends it."""
+        """Begins or ends a disk fault; `kind` is "stalled" or "full"."""
         self.world.note(f"the disk of {name} is {kind if is_fault_active else 'well again'}")
         disk = self.world.machine(name).disk
         if kind == "stalled":
@@ -317,27 +355,32 @@
             self.fault_log.end("disk", (name,), self.world.now())
 
     def set_datagram_loss(self, loss: float, double: float = 0.0) -> None:
+        """Sets the shares of datagrams that are lost and duplicated."""
         self.world.datagram_loss, self.world.datagram_duplication = loss, double
         self.fault_log.record_disturbance(self.world.now())
 
     def destroy_core(self, name: str) -> None:
-        """Power and disk are gone for good."""
+        """Cuts the power of a core for good and empties its disk."""
         self.kill(name, loses_power=True)
         self.world.machine(name).disk.empty()
         self.forget_core(name)
 
     def forget_core(self, name: str) -> None:
+        """Removes a core from the fleet's lists, so that no operator contacts it any more."""
         self.cores.pop(name)
         self._update_machine_names()
 
     def add_node(self, name: str) -> None:
-        """A node that is given only the cores of now for seeds."""
+        """Starts a new node whose seeds are the cores running now."""
         live_addresses = [self.startups[n].address for n in self.live_cores()]
         self.startups[name] = dataclasses.replace(self._build_startup(name, founders=[]), seeds=live_addresses)
         self.start(name)
 
     def add_core(self, name: str, like: str = "") -> None:
-        """An empty machine at a new address, in the area of another if that is named; seeds are the cores that live."""
+        """Starts a new core with an empty disk, whose seeds are the running cores, or the first ones if none runs.
+
+        It is in the area of the machine `like`, if given, otherwise in the one that follows from its name.
+        """
         live_addresses = [self.startups[n].address for n in self.live_cores()]
         self.startups[name] = StartupConfig(
             address=f"{name}:1",
@@ -356,10 +399,11 @@
         return self.world.machine(name).is_alive
 
     def live_cores(self) -> list[str]:
+        """Returns the names of the cores whose machines are up; they may be frozen."""
         return [n for n in sorted(self.cores) if self._is_machine_alive(n)]
 
     def leader(self) -> str:
-        """The core that leads the highest epoch, if any."""
+        """Returns the core that leads in the highest epoch, or an empty string."""
         leaders = [
             (self.cores[n].raft.term, n)
             for n in self.live_cores()
@@ -370,6 +414,7 @@
     # ---- start -------------------------------------------------------------------------------------
 
     async def up(self) -> None:
+        """Starts everything, applies the deployment's description and waits until all workers are loaded."""
         names = [*self.startups, "store", "desk", *(f"worker-{n + 1}" for n in range(self.worker_count))]
         for name in names:
             self.start(name)
@@ -400,6 +445,7 @@
     async def wait_until(
         self, is_reached: Callable[[], bool], what: str, limit_micros: int = CONDITION_TIMEOUT_MICROS
     ) -> None:
+        """Polls until a condition holds; records a breach that names it if that takes too long."""
         end_micros = self.world.now() + limit_micros
         while not is_reached():
             if self.world.now() > end_micros:
@@ -410,19 +456,19 @@
     # ---- operators -----------------------------------------------------------------------------------
 
     async def command(self, command: Command, core_name: str = "") -> CommandResult | None:
-        """One try at one core, as an operator's request; None if no answer came back."""
+        """Sends an operator's command once, to the named core or a random one; None if no answer came."""
         core_name = core_name or self.world.chance.choice(sorted(self.cores))
         machine = self.world.machine(core_name)
 
         async def work() -> CommandResult:
-            # Whichever process listens there by then.
+            # Looked up on arrival: the core may have been restarted in the meantime.
             return await self.cores[core_name].execute(command)
 
-        given_result = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, COMMAND_MICROS)
-        return None if isinstance(given_result, Err) else given_result.ok_value
+        answer = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, COMMAND_MICROS)
+        return None if isinstance(answer, Err) else answer.ok_value
 
     async def retry_until_decided(self, command: Command) -> CommandResult:
-        """Asks core after core, by the same transaction, until an outcome is known."""
+        """Sends a command to random cores, with the same transaction id, until its outcome is known."""
         while True:
             result = await self.command(command)
             if result is not None and result.status not in ("unavailable", "unknown"):
@@ -430,7 +476,7 @@
             await pause(self.world, 200 * MILLI)
 
     def start_burst(self, tenant: str, jobs_per_second: float, kind: str) -> None:
-        """One tenant sends far more than the others."""
+        """Starts a background load of one tenant, in addition to the usual one, until end_bursts()."""
 
         async def burst() -> None:
             while True:
@@ -454,16 +500,18 @@
         self.burst_tasks.append(self.world.loop.create_task(burst()))
 
     def end_bursts(self) -> None:
+        """Ends all bursts; jobs already sent go on."""
         for burst_task in self.burst_tasks:
             burst_task.cancel()
         self.burst_tasks.clear()
         self.fault_log.end("burst", ("callers",), self.world.now())
 
     def new_transaction_id(self) -> bytes:
+        """Returns a random transaction id, by which the cores recognize a repeated command."""
         return self.world.chance.randbytes(8)
 
     async def set_workers(self, removed: tuple[str, ...] = ()) -> None:
-        """The platform's whole list: what there is, without what operators marked."""
+        """Sends the platform's complete list of workers, without `removed`. Operators' marks are not part of it."""
         command = Command(transaction=self.new_transaction_id())
         for address, back_end in sorted(self.back_ends.items()):
             name = back_end.machine.name
@@ -477,6 +525,7 @@
         self.world.note(f"the worker list is acknowledged, removed {removed}")
 
     async def mark_leaving(self, *names: str) -> None:
+        """Marks workers as leaving, so that they get no new jobs."""
         command = Command(transaction=self.new_transaction_id())
         command.workers.partial = True
         command.workers.leaving.extend(names)
@@ -486,6 +535,7 @@
         self.world.note(f"leaving {names}: {result.status}")
 
     async def clear_leaving(self, *names: str) -> None:
+        """Clears the marks that mark_leaving() set."""
         start_micros = self.world.now()
         command = Command(transaction=self.new_transaction_id())
         command.workers.partial = True
@@ -496,6 +546,7 @@
         self.world.note(f"staying {names}: {result.status}")
 
     async def apply(self, description: dict[str, Any], base: int | None = None) -> str:
+        """Applies a description on a base revision, by default the latest acknowledged; returns the final status."""
         command = Command(transaction=self.new_transaction_id())
         command.apply.base_revision = self.description_revision if base is None else base
         command.apply.description = json.dumps(description).encode()
@@ -515,7 +566,7 @@
         return result.status
 
     def start_state_reads(self) -> None:
-        """An operator who reads the state again and again, at whichever core answers."""
+        """Starts background reads of the state, at random cores."""
         self.background_tasks.append(self.world.loop.create_task(self._read_periodically()))
 
     async def _read_periodically(self) -> None:
@@ -526,18 +577,19 @@
                 continue
             start_micros = self.world.now()
             machine = self.world.machine(core.startup.address.split(":")[0])
-            found = await self.world.run_on_machine(machine, EXTERNAL_HOST, core.read_fleet, SECOND)
-            if not isinstance(found, Err) and found.ok_value is not None:
-                self.ledger.reads.append((start_micros, self.world.now(), found.ok_value["descriptionRevision"]))
+            answer = await self.world.run_on_machine(machine, EXTERNAL_HOST, core.read_fleet, SECOND)
+            if not isinstance(answer, Err) and answer.ok_value is not None:
+                self.ledger.reads.append((start_micros, self.world.now(), answer.ok_value["descriptionRevision"]))
 
     def marked_description(self, mark: str) -> dict[str, Any]:
-        """A description told apart by one more tenant, which no caller uses."""
+        """Returns the deployment's description plus an unused tenant that identifies it, without withdrawn tenants."""
         description = build_description(self.deployment)
         description["tenants"] = [t for t in description["tenants"] if t["name"] not in self.withdrawn_tenants]
         description["tenants"].append({"name": f"mark-{mark}", "keyHashes": []})
         return description
 
     async def name_weights(self, name: str, base: int = 0) -> str:
+        """Names new weights for the model line, optionally on a base revision; returns the final status."""
         command = Command(transaction=self.new_transaction_id())
         command.weights.line, command.weights.weights = self.deployment.line, name
         command.weights.base_revision = base
@@ -549,7 +601,7 @@
         return result.status
 
     async def weights_revision(self) -> int:
-        """As an operator reads it, at whichever core leads."""
+        """Returns the revision of the model line's weights, as the first core that can confirm it reports it."""
         while True:
             for core in self.cores.values():
                 state = await core.read_fleet() if hasattr(core, "raft") else None
@@ -560,10 +612,12 @@
     # ---- callers -------------------------------------------------------------------------------------
 
     def start_load(self, jobs_per_second: float) -> None:
+        """Starts random jobs of all tenants, with exponentially distributed intervals, until end_load()."""
         self.ledger.is_loaded = True
         self.background_tasks.append(self.world.loop.create_task(self._generate_load(jobs_per_second)))
 
     async def end_load(self) -> None:
+        """Ends all load and background reads, waits for open jobs, and copies the final state to the ledger."""
         for load_task in self.background_tasks + self.burst_tasks:
             load_task.cancel()
         end_micros = self.world.now() + JOB_TIMEOUT_MICROS + SECOND
@@ -592,42 +646,46 @@
     async def _send_random_job(self) -> None:
         self.job_number += 1
         tenant, job = generate_job(self.deployment, self.world.chance, self.job_number)
-        choices = [n for n in sorted(self.nodes) if n not in self.detected_dead and self._is_open(n)]
-        if not choices:
-            # Nobody takes connections: the caller is not served either.
+        open_nodes = [n for n in sorted(self.nodes) if n not in self.detected_dead and self._accepts_connections(n)]
+        if not open_nodes:
+            # No node accepts connections, so the job counts as refused.
             self.ledger.jobs[job["jobId"]] = JobTrace(
                 job, tenant, "", self.world.now(), outcome="unreached", is_refused=True, end_micros=self.world.now()
             )
             return
-        await self.call(self.world.chance.choice(choices), tenant, job)
+        await self.call(self.world.chance.choice(open_nodes), tenant, job)
+
+    def _accepts_connections(self, node_name: str) -> bool:
+        """Whether the platform gives connections to a node: one that is starting gets them only once it is open.
 
-    def _is_open(self, node_name: str) -> bool:
-        """The platform tries a node that starts, and hands it connections once it takes them."""
+        A dead node counts as accepting, as its death is known only through `detected_dead`.
+        """
         return self.nodes[node_name].is_open or not self._is_machine_alive(node_name)
 
     async def call(self, node_name: str, tenant: str, job: dict[str, Any]) -> JobTrace:
+        """Sends a job to a node as a caller and returns its trace, which is in the ledger from the start."""
         trace = self.ledger.jobs[job["jobId"]] = JobTrace(job, tenant, node_name, self.world.now())
         machine = self.world.machine(node_name)
-        pen = _TraceWriter(self.world, trace)
+        trace_writer = _CallerStream(self.world, trace)
 
         async def work() -> Any:
-            # Whichever process listens there by then; one that is not open yet takes no connections.
+            # Looked up on arrival, as the node may have restarted; one that is not open yet accepts no connections.
             node = self.nodes[node_name]
             if not node.is_open:
                 return NOT_ACCEPTING
             request = parse_job(json.dumps(job).encode()).unwrap()
-            return await node.run_job(tenant_key(self.deployment, tenant), request, pen)
+            return await node.run_job(tenant_key(self.deployment, tenant), request, trace_writer)
 
-        given_result: Any = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, JOB_TIMEOUT_MICROS)
-        if given_result == Ok(NOT_ACCEPTING):
-            given_result = Err("refused")
+        answer: Any = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, JOB_TIMEOUT_MICROS)
+        if answer == Ok(NOT_ACCEPTING):
+            answer = Err("refused")
         trace.end_micros = self.world.now()
-        if isinstance(given_result, Err):
-            # No answer at all: the caller can't tell, unless it never reached the node.
-            trace.outcome = "unreached" if given_result.err_value == "refused" else "no answer"
-            trace.is_refused = given_result.err_value == "refused"
-        elif isinstance(given_result.ok_value, Err):
-            refusal: Refusal = given_result.ok_value.err_value
+        if isinstance(answer, Err):
+            # Without an answer the caller can't tell whether the job ran, unless the connection was refused.
+            trace.outcome = "unreached" if answer.err_value == "refused" else "no answer"
+            trace.is_refused = answer.err_value == "refused"
+        elif isinstance(answer.ok_value, Err):
+            refusal: Refusal = answer.ok_value.err_value
             trace.outcome = refusal.kind.value
             trace.is_refused = ERROR_TABLE[refusal.kind].ran == NOT_RUN
             trace.come_back_seconds = refusal.retry_after_seconds()
@@ -637,10 +695,10 @@
             trace.outcome = "done"
         return trace
 
-    # ---- watching -------------------------------------------------------------------------------------
+    # ---- observation -------------------------------------------------------------------------------------
 
     def _record_send(self, node_name: str, upstream_id: str, worker: str) -> None:
-        """The first byte of a job leaves its node."""
+        """Records that the first byte of a job leaves its node, with the view that the node has then."""
         view = self.nodes[node_name].view_replica.view
         self.ledger.sends[upstream_id] = SentJob(
             node_name,
@@ -656,7 +714,7 @@
         self.ledger.commands.append(WorkerCommand(node_name, worker_name, fence, sent_micros, self.world.now()))
 
     def _record_grants(self, core: CoreProcess) -> None:
-        """When a hold was first applied by any core: it was committed no later."""
+        """Records when a hold is first applied by any core; it was committed then or before."""
         real_apply = core.apply
 
         def apply(index: int, command_bytes: bytes) -> dict[str, Any]:
@@ -670,14 +728,15 @@
         core.apply = apply  # type: ignore[method-assign]
 
     def _record_bumps(self, core: CoreProcess) -> None:
+        """Records each successful bump of a part's revision, with the number that it was given."""
         real_bump = core.bump
 
         async def bump(note: PurgeNote) -> tuple[int, int] | None:
-            numbered = await real_bump(note)
-            if numbered is not None:
+            bump_result = await real_bump(note)
+            if bump_result is not None:
                 self.ledger.bumps.append(
-                    (f"{note.owner}/{note.line}", note.part, note.revision_request.transaction.hex(), numbered[0])
+                    (f"{note.owner}/{note.line}", note.part, note.revision_request.transaction.hex(), bump_result[0])
                 )
-            return numbered
+            return bump_result
 
         core.bump = bump  # type: ignore[method-assign]
--- a/src/pearhead/testbed/simulator/history.py
+++ b/src/pearhead/testbed/simulator/history.py
@@ -1,4 +1,4 @@
-"""History (§9.6): what concurrent operators saw of changes under their numbers, and whether one order explains it."""
+"""Records what concurrent operators observed of numbered changes, and checks that one order explains it (§9.6)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,14 @@
 
 @dataclass(frozen=True)
 class Change:
-    """`content` tells changes apart; a marked one also leaves a tenant of that name, which stays for good."""
+    """A change of the description that an operator asks for.
+
+    Attributes:
+        base: Number of the change that it builds on.
+        number: Its own number.
+        content: Identifies the content of the change.
+        is_marked: Whether it also adds a tenant named after its content, which no later change removes.
+    """
 
     base: int
     number: int
@@ -29,7 +36,16 @@
 
 @dataclass
 class ChangeAttempt:
-    """One attempt of an operator at one core. An open one has seen no answer yet."""
+    """One request of an operator for a change, at one core.
+
+    Attributes:
+        change: The requested change.
+        core: Name of the core.
+        start_micros: When the request was sent.
+        end_micros: When the answer came or the operator gave up; 0 until then.
+        status: The answer; NO_ANSWER until it comes, and if none comes.
+        reported_number: The change number in the answer; 0 without one.
+    """
 
     change: Change
     core: str
@@ -41,7 +57,16 @@
 
 @dataclass(frozen=True)
 class Read:
-    """A description that a core told as the one of now."""
+    """A description that a core returned as the current one.
+
+    Attributes:
+        core: Name of the core.
+        start_micros: When the request was sent.
+        end_micros: When the answer came.
+        number: Number of the latest change in it; 0 before the first.
+        content: Content of that change.
+        marks: Contents of all marked changes in it.
+    """
 
     core: str
     start_micros: int
@@ -53,10 +78,13 @@
 
 @dataclass
 class History:
+    """All attempts and reads of a run, and the checks on them."""
+
     change_attempts: list[ChangeAttempt] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
 
     def find_faults(self) -> list[str]:
+        """Returns a description of each contradiction between the observations; empty for a consistent history."""
         return [
             *self._find_conflicting_contents(),
             *self._find_wrong_answers(),
@@ -67,45 +95,52 @@
         ]
 
     def first_contents(self) -> dict[int, str]:
-        """The content under each number, by the first that told of it."""
+        """Returns the content under each number, as the first observation of that number gives it."""
         found: dict[int, str] = {}
         for number, content, _ in self._observations():
             found.setdefault(number, content)
         return found
 
     def taken(self) -> set[Change]:
-        """Those acknowledged; and those read, where number and content were asked for on one base only."""
+        """Returns the changes that are known to have been accepted.
+
+        These are the acknowledged ones, and those seen in a read if only one requested change has their number and
+        content; with several bases, a read can't tell which of them was accepted.
+        """
         found = {attempt.change for attempt in self.change_attempts if attempt.status == DONE}
-        asked: dict[tuple[int, str], set[Change]] = {}
+        requested: dict[tuple[int, str], set[Change]] = {}
         for attempt in self.change_attempts:
-            asked.setdefault((attempt.change.number, attempt.change.content), set()).add(attempt.change)
+            requested.setdefault((attempt.change.number, attempt.change.content), set()).add(attempt.change)
         for read in self.reads:
-            changes = asked.get((read.number, read.content), set())
+            changes = requested.get((read.number, read.content), set())
             if len(changes) == 1:
                 found |= changes
         return found
 
     def _observations(self) -> Iterator[tuple[int, str, str]]:
+        """Yields number, content and source of each observation: acknowledgements first, then reads."""
         for attempt in self.change_attempts:
             if attempt.status == DONE:
                 yield (
                     attempt.change.number,
                     attempt.change.content,
-                    f"an answer of {attempt.core} at {attempt.end_micros}",
+                    f"an answer from {attempt.core} at {attempt.end_micros}",
                 )
         for read in self.reads:
             if read.number:
                 yield read.number, read.content, f"a read at {read.core} at {read.end_micros}"
 
     def _find_conflicting_contents(self) -> list[str]:
+        """Finds numbers under which two contents were observed."""
         first_contents = self.first_contents()
         return [
-            f"number {number} holds {first_contents[number]!r}, and {content!r} by {source}"
+            f"number {number} holds {first_contents[number]!r}, and {content!r} according to {source}"
             for number, content, source in self._observations()
             if content != first_contents[number]
         ]
 
     def _find_wrong_answers(self) -> list[str]:
+        """Finds acknowledgements that report another number than the requested one."""
         return [
             f"{attempt.core} acknowledged {attempt.reported_number} where {attempt.change.number} was asked"
             for attempt in self.change_attempts
@@ -113,7 +148,7 @@
         ]
 
     def _find_wrong_refusals(self) -> list[str]:
-        """A clear refusal, before or after, of what was taken; or nothing but answers that it was not run."""
+        """Finds accepted changes that were definitely refused at any time, or did not run according to every answer."""
         taken = self.taken()
         faults = []
         attempts: dict[Change, list[ChangeAttempt]] = {}
@@ -121,8 +156,8 @@
             is_taken = attempt.change in taken
             if is_taken and attempt.status in DEFINITE_REFUSALS:
                 faults.append(
-                    f"{attempt.core} told {attempt.status} of {attempt.change.number} {attempt.change.content!r} at "
-                    f"{attempt.end_micros}, which is taken"
+                    f"{attempt.core} answered {attempt.status} to {attempt.change.number} {attempt.change.content!r} "
+                    f"at {attempt.end_micros}, which is taken"
                 )
             if is_taken:
                 attempts.setdefault(attempt.change, []).append(attempt)
@@ -132,7 +167,8 @@
         return faults
 
     def _find_lost_changes(self) -> list[str]:
-        acknowledged = sorted((o for o in self.change_attempts if o.status == DONE), key=lambda o: o.end_micros)
+        """Finds reads that lack a change which was acknowledged before they began."""
+        acknowledged = sorted((a for a in self.change_attempts if a.status == DONE), key=lambda a: a.end_micros)
         faults = []
         for read in self.reads:
             for attempt in acknowledged:
@@ -149,23 +185,23 @@
         return faults
 
     def _find_regressions(self) -> list[str]:
-        """Reads that follow one another never go back, and those of one number are alike."""
+        """Finds reads whose number is lower than that of a read that ended earlier, and unequal reads of one number."""
         faults = []
         marks: dict[int, frozenset[str]] = {}
         by_end = sorted(self.reads, key=lambda read: read.end_micros)
-        before, passed_count = 0, 0
+        highest_number, ended_count = 0, 0
         for read in sorted(self.reads, key=lambda read: read.start_micros):
-            while by_end[passed_count].end_micros < read.start_micros:
-                before = max(before, by_end[passed_count].number)
-                passed_count += 1
-            if read.number < before:
-                faults.append(f"a read at {read.core} at {read.start_micros} saw {read.number} after {before}")
+            while by_end[ended_count].end_micros < read.start_micros:
+                highest_number = max(highest_number, by_end[ended_count].number)
+                ended_count += 1
+            if read.number < highest_number:
+                faults.append(f"a read at {read.core} at {read.start_micros} saw {read.number} after {highest_number}")
             if marks.setdefault(read.number, read.marks) != read.marks:
                 faults.append(f"two reads of number {read.number} differ")
         return faults
 
     def _find_unrequested(self) -> list[str]:
-        """Nothing is in force that nobody had asked for by then."""
+        """Finds reads of a change that nobody had requested before the read ended."""
         first_request_micros: dict[tuple[int, str], int] = {}
         for attempt in self.change_attempts:
             key = (attempt.change.number, attempt.change.content)
--- a/src/pearhead/testbed/simulator/interleaving_explorer.py
+++ b/src/pearhead/testbed/simulator/interleaving_explorer.py
@@ -1,7 +1,7 @@
-"""InterleavingExplorer (§9.10): runs all interleavings of a few tasks over the real code, under a checker.
+"""Runs the real code under every interleaving of a few asyncio tasks and collects the failures (§9.10).
 
-A task gives way where it awaits. The explorer owns the loop's ready queue: at each step it picks which
-of the ready callbacks runs next, and goes through every order of picks, depth first.
+Tasks switch only where they await. The explorer controls the ready queue of the loop: at each step it chooses which
+ready callback runs next, and it enumerates all sequences of choices depth first.
 """
 
 from __future__ import annotations
@@ -20,16 +20,24 @@
 
 
 class EndlessScheduleError(Exception):
-    """A task waits by spinning, so its schedules have no end."""
+    """A schedule exceeded SCHEDULE_STEP_LIMIT steps: a task waits in a busy loop, so its schedules have no end."""
 
 
 class _NoWaitSelector(selectors.SelectSelector):
+    """Reports no I/O and never waits."""
+
     def select(self, timeout: float | None = None) -> list[Any]:
         return []
 
 
 class _ScheduledLoop(asyncio.SelectorEventLoop):
-    """Runs one ready callback a turn, the one that the schedule picks."""
+    """Runs one ready callback per iteration, chosen by the schedule.
+
+    Attributes:
+        schedule_choices: For each step the position of the callback to run; steps beyond its end take the first.
+        ready_counts: For each step so far how many callbacks were ready.
+        step_index: Number of steps taken.
+    """
 
     def __init__(self, schedule_choices: list[int]) -> None:
         super().__init__(_NoWaitSelector())
@@ -41,41 +49,43 @@
         ready: Any = self._ready  # type: ignore[attr-defined]
         timers: Any = self._scheduled  # type: ignore[attr-defined]
         if not ready and timers:
-            # Time only moves when nothing else can: the earliest timer fires.
+            # A timer fires only when no callback is ready, the earliest first.
             timers.sort()
             ready.append(timers.pop(0))
         if not ready:
-            raise RuntimeError("every task waits for ever")
+            raise RuntimeError("deadlock: no callback is ready and no timer is pending")
         if self.step_index > SCHEDULE_STEP_LIMIT:
-            raise EndlessScheduleError("a schedule does not end: a task spins")
+            raise EndlessScheduleError("schedule exceeds the step limit: a task waits in a busy loop")
         for position, handle in enumerate(ready):
             if not _is_task_step(handle):
-                # What is told of an ended task is bookkeeping: it runs at once, in order, and opens no branch.
+                # Callbacks other than task steps, such as done callbacks, run at once and in order, without a choice.
                 del ready[position]
                 if not handle.cancelled():
                     handle._run()
                 return
-        width = len(ready)
-        pick = self.schedule_choices[self.step_index] if self.step_index < len(self.schedule_choices) else 0
-        self.ready_counts.append(width)
+        ready_count = len(ready)
+        choice = self.schedule_choices[self.step_index] if self.step_index < len(self.schedule_choices) else 0
+        self.ready_counts.append(ready_count)
         self.step_index += 1
-        ready.rotate(-pick)
+        ready.rotate(-choice)
         handle = ready.popleft()
-        ready.rotate(pick)
+        ready.rotate(choice)
         if not handle.cancelled():
             handle._run()
 
 
 class TimerDrivenClock:
-    """A clock for stories: it moves only when a timer fires, as nothing else could happen before."""
+    """A clock for explored scenarios: it advances only when a timer fires, and then to the time the timer is due."""
 
     def __init__(self) -> None:
         self.now_micros = 0
 
     def now(self) -> int:
+        """Returns the time in microseconds since the clock was made."""
         return self.now_micros
 
     def after(self, delay_micros: int, callback: Callable[[], None]) -> Timer:
+        """Calls `callback` after the delay, on the running loop."""
         due_micros = self.now_micros + delay_micros
 
         def fire() -> None:
@@ -86,6 +96,7 @@
 
 
 def _is_task_step(handle: Any) -> bool:
+    """Whether the handle starts or resumes a task, by either form in which asyncio schedules this."""
     callback = handle._callback
     is_wakeup = isinstance(getattr(callback, "__self__", None), asyncio.Task)
     return is_wakeup or type(callback).__name__ == "TaskStepMethWrapper"
@@ -93,14 +104,28 @@
 
 @dataclass
 class ExplorationResult:
+    """What an exploration found.
+
+    Attributes:
+        schedule_count: Number of schedules that were run.
+        faults: For each failed schedule its exception and its choices.
+        is_whole: Whether all schedules were run, rather than only as many as the limit allows.
+    """
+
     schedule_count: int = 0
     faults: list[str] = field(default_factory=list)
     is_whole: bool = True
 
 
 class InterleavingExplorer:
+    """Enumerates the schedules of a scenario by rerunning it from its start."""
+
     def explore(self, task_scenario: TaskScenario, schedule_limit: int = SCHEDULE_LIMIT) -> ExplorationResult:
-        """Runs the story under every schedule; it raises where its checker finds a fault."""
+        """Runs the scenario under every schedule, up to `schedule_limit` of them.
+
+        The scenario checks itself: an exception that it raises is a fault of the schedule. Raises EndlessScheduleError
+        if a schedule does not end.
+        """
         exploration = ExplorationResult()
         schedule_choices: list[int] = []
         while True:
@@ -110,7 +135,7 @@
                 loop.run_until_complete(task_scenario())
             except EndlessScheduleError:
                 raise
-            except Exception as fault:  # noqa: BLE001 - whatever ends a story early is a fault of that schedule
+            except Exception as fault:  # noqa: BLE001 - any exception of the scenario is a fault of its schedule
                 exploration.faults.append(f"{fault!r} under {schedule_choices}")
             finally:
                 ready_counts = list(loop.ready_counts)
@@ -121,18 +146,21 @@
                 loop.close()
                 asyncio.set_event_loop(None)
             exploration.schedule_count += 1
-            next_schedule_choices = self._next(schedule_choices, ready_counts)
-            if next_schedule_choices is None:
+            next_choices = self._next_schedule(schedule_choices, ready_counts)
+            if next_choices is None:
                 return exploration
             if exploration.schedule_count >= schedule_limit:
                 exploration.is_whole = False
                 return exploration
-            schedule_choices = next_schedule_choices
+            schedule_choices = next_choices
+
+    def _next_schedule(self, schedule_choices: list[int], ready_counts: list[int]) -> list[int] | None:
+        """Returns the choices of the next schedule, depth first; None after the last.
 
-    def _next(self, schedule_choices: list[int], ready_counts: list[int]) -> list[int] | None:
-        """The last pick that can still move moves; those after it begin anew."""
-        taken = schedule_choices + [0] * (len(ready_counts) - len(schedule_choices))
+        The last step that has another alternative takes it, and all steps after it start again at the first.
+        """
+        choices = schedule_choices + [0] * (len(ready_counts) - len(schedule_choices))
         for step_index in range(len(ready_counts) - 1, -1, -1):
-            if taken[step_index] + 1 < ready_counts[step_index]:
-                return [*taken[:step_index], taken[step_index] + 1]
+            if choices[step_index] + 1 < ready_counts[step_index]:
+                return [*choices[:step_index], choices[step_index] + 1]
         return None
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -1,4 +1,7 @@
-"""Operators (§9.5): orders and reads of many at once, at any core, each attempt written into the history."""
+"""Simulates operators that change and read the description concurrently, at any core (§9.5).
+
+Each attempt and each read is recorded in the run's history.
+"""
 
 from __future__ import annotations
 
@@ -29,6 +32,7 @@
 
 
 def build_command(change: Change) -> Command:
+    """Builds the command for a change; that of a marked change also adds a tenant named after its content."""
     command = Command()
     command.change.base_number, command.change.number = change.base, change.number
     document: dict[str, Any] = {"source": change.content}
@@ -40,6 +44,13 @@
 
 
 class Operators:
+    """Several operators of one fleet.
+
+    Attributes:
+        number: The highest change number that an answer or a read has shown.
+        content_number: Number of contents handed out.
+    """
+
     def __init__(self, fleet: SimFleet) -> None:
         self.fleet = fleet
         self.world = fleet.world
@@ -48,25 +59,29 @@
         self.content_number = 0
 
     def next_content(self) -> str:
+        """Returns a content that no other change has."""
         self.content_number += 1
         return f"c{self.content_number}"
 
     async def ask(
         self, change: Change, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS
     ) -> ChangeAttempt:
-        """One attempt. Without an answer in time the operator goes on, and the order may yet be run."""
+        """Sends a change once, to one core, and records the attempt.
+
+        After a timeout the status stays NO_ANSWER, and the change may still be applied later.
+        """
         attempt = ChangeAttempt(change, core_name, self.world.now())
         self.history.change_attempts.append(attempt)
 
         async def work() -> CommandResult:
             return await self.fleet.cores[core_name].execute(build_command(change))
 
-        given = await self.world.run_on_machine(
+        answer = await self.world.run_on_machine(
             self.world.machine(core_name), EXTERNAL_HOST, work, request_timeout_micros
         )
         attempt.end_micros = self.world.now()
-        if not isinstance(given, Err):
-            result: CommandResult = given.ok_value
+        if not isinstance(answer, Err):
+            result: CommandResult = answer.ok_value
             attempt.status = result.status
             body = json.loads(result.body or b"{}")
             attempt.reported_number = body.get("number", 0)
@@ -78,7 +93,11 @@
     async def retry_until_decided(
         self, change: Change, limit_micros: int = 30 * SECOND, first_timeout_micros: int = 0
     ) -> str:
-        """Core after core, until one answers clearly; the first answer may be given up early."""
+        """Sends a change to randomly chosen cores until one accepts or definitely refuses it; returns that status.
+
+        Returns NO_ANSWER after `limit_micros`. `first_timeout_micros` shortens the timeout of the first attempt, so
+        that its answer may be lost; 0 keeps the usual one.
+        """
         end_micros = self.world.now() + limit_micros
         request_timeout_micros = first_timeout_micros or REQUEST_TIMEOUT_MICROS
         while self.world.now() < end_micros:
@@ -91,7 +110,10 @@
         return NO_ANSWER
 
     async def submit_next_change(self, limit_micros: int = 30 * SECOND, is_marked: bool = True) -> Change | None:
-        """The next change of one operator: read again and numbered anew as long as others come first."""
+        """Makes a change of new content and returns it; None if it was not accepted in time.
+
+        When another operator's change came first, it reads the current number and retries with the next.
+        """
         end_micros = self.world.now() + limit_micros
         content = self.next_content()
         while self.world.now() < end_micros:
@@ -103,30 +125,32 @@
         return None
 
     async def refresh_number(self) -> None:
+        """Reads the description at every core and keeps the highest change number."""
         for core_name in sorted(self.fleet.cores):
             read = await self.read(core_name)
             if read is not None:
                 self.number = max(self.number, read.number)
 
     async def read(self, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS) -> Read | None:
+        """Reads the description at a core and records the read; None without an answer that the core could confirm."""
         start_micros = self.world.now()
 
         async def work() -> dict[str, Any] | None:
             core = self.fleet.cores[core_name]
             return await core.read_description() if hasattr(core, "raft") else None
 
-        given = await self.world.run_on_machine(
+        answer = await self.world.run_on_machine(
             self.world.machine(core_name), EXTERNAL_HOST, work, request_timeout_micros
         )
-        if isinstance(given, Err) or given.ok_value is None:
+        if isinstance(answer, Err) or answer.ok_value is None:
             return None
-        description = given.ok_value["description"]
+        description = answer.ok_value["description"]
         names = [tenant["name"] for tenant in description.get("tenants", [])]
         read = Read(
             core_name,
             start_micros,
             self.world.now(),
-            given.ok_value["number"],
+            answer.ok_value["number"],
             description.get("source", ""),
             frozenset(
                 name.removeprefix(MARKER_TENANT_PREFIX) for name in names if name.startswith(MARKER_TENANT_PREFIX)
@@ -136,7 +160,7 @@
         return read
 
     def start_periodic_reads(self) -> None:
-        """Someone reads again and again, at any core, also at one that is cut off."""
+        """Starts background reads at randomly chosen cores, including those that are cut off."""
         self.fleet.background_tasks.extend(
             self.world.loop.create_task(self._read_periodically()) for _ in range(READER_COUNT)
         )
@@ -147,27 +171,34 @@
             await self.read(self.world.chance.choice(sorted(self.fleet.cores)))
 
     async def submit_conflicting_changes(self, count: int = 8) -> None:
-        """As many orders at once on one base: of unlike content under one number, and one of these under another.
-        Some answers are lost, and the orders repeated to other members."""
+        """Sends `count` conflicting changes concurrently, all on one base.
+
+        Most have the same number and different contents. One repeats a content under another number, and one repeats a
+        change. Some of the first timeouts are too short for an answer, so that the change is sent again to other cores.
+        """
         base = self.number
         contents = [self.next_content() for _ in range(count - 2)]
         changes = [Change(base, base + 1, content) for content in contents]
         changes += [Change(base, base + 2, contents[0]), Change(base, base + 1, contents[1])]
         chance = self.world.chance
         first_timeouts = [chance.randrange(1 * MILLI, 15 * MILLI) if chance.random() < 0.5 else 0 for _ in changes]
-        pairs = zip(changes, first_timeouts, strict=True)
+        changes_and_timeouts = zip(changes, first_timeouts, strict=True)
         await asyncio.gather(
-            *(self.retry_until_decided(change, first_timeout_micros=patience) for change, patience in pairs)
+            *(
+                self.retry_until_decided(change, first_timeout_micros=first_timeout)
+                for change, first_timeout in changes_and_timeouts
+            )
         )
         await self.refresh_number()
 
     async def resend_to_all_cores(self, change: Change) -> None:
-        """What was taken is sent again to each member; another content under its number is, too."""
+        """Sends an accepted change again to each core, each time followed by another content under its number."""
         for core_name in sorted(self.fleet.cores):
             await self.ask(change, core_name)
             await self.ask(Change(change.base, change.number, f"not-{change.content}"), core_name)
 
     def taken(self) -> list[Change]:
+        """Returns the acknowledged changes, ordered by number."""
         return sorted(
             {attempt.change for attempt in self.history.change_attempts if attempt.status == DONE},
             key=lambda change: change.number,
--- a/src/pearhead/testbed/simulator/recording.py
+++ b/src/pearhead/testbed/simulator/recording.py
@@ -1,4 +1,4 @@
-"""Recording (§9.11): a run's jobs and faults in a file, played again on another description or build."""
+"""Records the jobs and faults of a run in a file, and replays them with another description or build (§9.11)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,14 @@
 
 @dataclass
 class Recording:
-    """One JSON object a line: a head, then jobs with their outcomes and faults, by time since the start."""
+    """A recorded run. Its file has one JSON object per line: a header, then the events.
+
+    Attributes:
+        deployment: Name of the simulated deployment.
+        seed: Seed of the run.
+        node_count: Number of router nodes.
+        events: Jobs with their outcomes, and faults, ordered by `at`: microseconds since the recording began.
+    """
 
     deployment: str
     seed: int = 1
@@ -28,6 +35,7 @@
     events: list[dict[str, Any]] = field(default_factory=list)
 
     def write(self, file_path: str) -> None:
+        """Writes the recording to a file, which is replaced if it exists."""
         head = {
             "format": RECORDING_FORMAT,
             "deployment": self.deployment,
@@ -38,10 +46,12 @@
         Path(file_path).write_text("\n".join(lines) + "\n", encoding="utf-8")
 
     def outcomes(self) -> dict[str, str]:
+        """Returns the recorded outcome of each job, by job id."""
         return {e["job"]["jobId"]: e["outcome"] for e in self.events if e["kind"] == "job"}
 
 
 def read_recording(file_path: str) -> Recording:
+    """Reads a recording. Raises ValueError if it has another format, OSError if the file can't be read."""
     lines = Path(file_path).read_text(encoding="utf-8").splitlines()
     head = json.loads(lines[0])
     if head.get("format") != RECORDING_FORMAT:
@@ -50,7 +60,7 @@
 
 
 def build_recording(fleet: SimFleet, start_micros: int) -> Recording:
-    """What a finished run did, in order of time."""
+    """Builds the recording of a finished run, from `start_micros` on for its faults."""
     events: list[dict[str, Any]] = [
         {
             "at": trace.sent_micros - start_micros,
@@ -71,6 +81,15 @@
 
 @dataclass
 class Replay:
+    """What a replay did.
+
+    Attributes:
+        ledger: Everything that was observed, for the checkers.
+        outcomes: Outcome of each job, by job id.
+        placements: Number of jobs that ran on each worker.
+        reused_share: Share of the prefix tokens of all jobs that were reused from a cache.
+    """
+
     ledger: Ledger
     outcomes: dict[str, str]
     placements: Counter[str]
@@ -78,13 +97,19 @@
 
 
 def replay(recording: Recording, description: dict[str, Any] | None, with_faults: bool) -> Replay:
+    """Runs the recorded jobs again in a new simulation, at their recorded times.
+
+    `description` replaces the deployment's own unless it is None. `with_faults` also repeats the recorded faults and
+    operator actions. Raises ValueError if the description is rejected.
+    """
+
     async def play(world: World) -> Replay:
         fleet = SimFleet(world, DEPLOYMENTS[recording.deployment], recording.node_count)
         await fleet.up()
         if description is not None:
             status = await fleet.apply(description)
             if status != "done":
-                raise ValueError(f"the description was not taken: {status}")
+                raise ValueError(f"the description was rejected: {status}")
             await pause(world, 3 * SECOND)
         start_micros = world.now()
         for event in recording.events:
@@ -99,7 +124,7 @@
         nodes = fleet.nodes.values()
         return Replay(
             fleet.ledger,
-            {j: t.outcome for j, t in fleet.ledger.jobs.items()},
+            {job_id: trace.outcome for job_id, trace in fleet.ledger.jobs.items()},
             Counter(worker for worker, _ in fleet.ledger.runs),
             sum(n.reused_tokens for n in nodes) / max(1, sum(n.prefix_tokens for n in nodes)),
         )
@@ -113,6 +138,7 @@
 
 
 async def _apply_action(fleet: SimFleet, event: dict[str, Any]) -> None:
+    """Repeats a recorded fault or operator action."""
     kind, name = event["kind"], event.get("name", "")
     if kind in ("kill", "power"):
         fleet.kill(name, loses_power=kind == "power")
@@ -137,20 +163,23 @@
 
 
 def compare_replay(recording: Recording, replay_result: Replay) -> list[str]:
-    """The difference, in counts and then job by job."""
+    """Returns a report of how a replay differs from its recording: jobs by outcome, then the first 20 changed jobs."""
     before, after = recording.outcomes(), replay_result.outcomes
     lines = [f"{'outcome':<18} {'recorded':>9} {'replayed':>9}"]
     counts = Counter(before.values()), Counter(after.values())
     for outcome in sorted(set(counts[0]) | set(counts[1])):
         lines.append(f"{outcome:<18} {counts[0][outcome]:>9} {counts[1][outcome]:>9}")
     changed = [j for j in before if before[j] != after.get(j)]
-    lines.append(f"{len(changed)} of {len(before)} jobs ended otherwise")
+    lines.append(f"{len(changed)} of {len(before)} jobs have another outcome")
     lines += [f"  {j}: {before[j]} -> {after.get(j, 'not sent')}" for j in changed[:20]]
     return lines
 
 
 def preview_description(recording: Recording, description: dict[str, Any]) -> list[str]:
-    """What a description would do with a recorded load, beside the one that the example ships."""
+    """Returns a report that compares a description with the deployment's own on a recorded load, without its faults.
+
+    It shows the outcomes by tenant and kind, the share of reused prefix tokens, and the jobs by worker.
+    """
     present = replay(recording, build_description(DEPLOYMENTS[recording.deployment]), with_faults=False)
     planned = replay(recording, description, with_faults=False)
     rows: dict[tuple[str, str], list[Counter[str]]] = {}
@@ -162,12 +191,12 @@
             row[1][planned.outcomes.get(event["job"]["jobId"], "not sent")] += 1
     lines = [f"{'tenant':<18} {'kind':<18} {'present':<34} planned"]
     for (tenant, kind), (before, after) in sorted(rows.items()):
-        lines.append(f"{tenant:<18} {kind:<18} {_counts(before):<34} {_counts(after)}")
+        lines.append(f"{tenant:<18} {kind:<18} {_format_counts(before):<34} {_format_counts(after)}")
     lines.append(f"prefix tokens reused: {present.reused_share:.3f} present, {planned.reused_share:.3f} planned")
     workers = sorted(set(present.placements) | set(planned.placements))
     lines += [f"{w:<18} jobs {present.placements[w]:>6} present {planned.placements[w]:>6} planned" for w in workers]
     return lines
 
 
-def _counts(counter: Counter[str]) -> str:
+def _format_counts(counter: Counter[str]) -> str:
     return " ".join(f"{name}={count}" for name, count in sorted(counter.items()))
--- a/src/pearhead/testbed/simulator/simulated_clients.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -1,4 +1,4 @@
-"""SimUpstreamClient, SimWorkerClient, SimCacheFetcher (§9.5): HTTP edges of the real fleet, replaced one for one."""
+"""Simulated replacements for the HTTP clients of the fleet, with the same interfaces (§9.5)."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class BackEnd:
-    """A stand-in on its machine; the model is made anew at each start."""
+    """A simulated worker, application or store on its machine. The model is replaced at each start."""
 
     machine: Machine
     model: WorkerModel | ApplicationModel | StoreModel
@@ -56,7 +56,14 @@
     begin: Callable[[], None],
     fail: Callable[[str], None],
 ) -> None:
-    """A handshake of its own before any byte: `begin` runs on the node, past its gate, when it is over."""
+    """Simulates the handshake that opens a connection from a node to a worker.
+
+    Exactly one of the callbacks runs on the node, unless the node is dead by then; while it is frozen, they wait:
+    `begin` when the connection is open, or `fail` with the reason when it is refused or not open in time.
+
+    `purpose` is JOB_CONNECTION or COMMAND_CONNECTION and selects the connect hook to run. `limit_micros` bounds the
+    wait, which is CONNECT_MICROS at most.
+    """
     world = node.world
     is_settled = False
 
@@ -89,6 +96,11 @@
 
 
 class SimUpstreamClient:
+    """Sends jobs from one node to workers and applications, over simulated connections.
+
+    `observer` is called with the job's upstream id and the worker's name when the first byte of a job is sent.
+    """
+
     def __init__(self, machine: Machine, back_ends: BackEnds, observer: Callable[[str, str], None]) -> None:
         self.machine = machine
         self.world = machine.world
@@ -98,30 +110,34 @@
     async def send_job(
         self, worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
     ) -> AsyncGenerator[dict[str, Any], None]:
+        """Sends a job and yields the events of its answer.
+
+        `may_begin` is asked right before the first byte. Raises JobTransportError, as the real client does.
+        """
         worker, node, world = self.back_ends[worker_address].machine, self.machine, self.world
         events: asyncio.Queue[Any] = asyncio.Queue()
         run_tasks: list[asyncio.Task[Any]] = []
         last_arrival = 0
         is_closed = False
-        unsent: list[Any] = []
+        unsent_replies: list[Any] = []
 
         def queue_reply(item: Any) -> None:
-            unsent.append(item)
-            if len(unsent) == 1:
+            unsent_replies.append(item)
+            if len(unsent_replies) == 1:
                 flush_replies()
 
         def flush_replies() -> None:
-            """Over the link in order, and through the node's gate; what a cut holds up is sent again after it."""
+            """Delivers queued replies to the node in order; during a cut, retries until the link is back."""
             nonlocal last_arrival
             if not worker.is_alive and world.is_cut(worker.name, node.name):
                 return
-            while unsent:
+            while unsent_replies:
                 if world.is_cut(worker.name, node.name):
                     if not is_closed:
                         world.loop.call_later(RESEND_MICROS / SECOND, flush_replies)
                     return
                 last_arrival = max(last_arrival + 1, world.now() + world.link_micros())
-                deliver = node.guard_callback(functools.partial(events.put_nowait, unsent.pop(0)))
+                deliver = node.guard_callback(functools.partial(events.put_nowait, unsent_replies.pop(0)))
                 world.loop.call_later((last_arrival - world.now()) / SECOND, deliver)
 
         async def run() -> None:
@@ -140,7 +156,7 @@
                 raise
 
         def send() -> None:
-            """The last check and the first byte, in one step of the node."""
+            """Checks the precondition and sends the first byte in one step: the node can't freeze in between."""
             if is_closed:
                 return
             if not may_begin():
@@ -173,12 +189,12 @@
                     raise item
                 yield item
         finally:
-            # The node closes its connection; the worker stops, once it hears of it.
+            # The node closes its connection; the worker stops the job when the close arrives.
             is_closed = True
 
             def stop_runs() -> None:
                 for run_task in run_tasks:
-                    # What was read before the close has begun by then.
+                    # A request that the worker read before the close has started by then.
                     world.loop.call_later(1 / SECOND, run_task.cancel)
 
             def arrive_close() -> None:
@@ -189,7 +205,11 @@
 
 
 class SimWorkerClient:
-    """Commands and reports, noted with the node that gave them."""
+    """Sends commands to workers and polls their events.
+
+    `observer` is called for each command as it runs, with the names of node and worker, the fencing number and the time
+    at which it was sent.
+    """
 
     def __init__(self, machine: Machine, back_ends: BackEnds, observer: Callable[[str, str, int, int], None]) -> None:
         self.machine = machine
@@ -198,11 +218,13 @@
         self.observer = observer
 
     async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
+        """Claims a worker under a fencing number. Err with the reason if no answer came."""
         return await self._command(address, fence, lambda model: model.claim(fence), SECOND, may_begin)
 
     async def load(
         self, address: str, fence: int, line: str, weights: str, limit_micros: int, may_begin: SendPrecondition
     ) -> Result[dict[str, Any], str]:
+        """Has a worker load these weights of a model line. Err with the reason if no answer came in time."""
         return await self._command(
             address, fence, lambda model: model.load(fence, f"{line}@{weights}"), limit_micros, may_begin
         )
@@ -215,6 +237,7 @@
         limit_micros: int,
         may_begin: SendPrecondition,
     ) -> Result[dict[str, Any], str]:
+        """Opens a connection, asks `may_begin`, and runs the command on the worker."""
         back_end = self.back_ends[address]
         sent_micros = 0
 
@@ -234,7 +257,7 @@
             nonlocal sent_micros
             sent_micros = self.world.now()
             if may_begin():
-                self.machine.task_group.start(self._ask(back_end, work, limit_micros, result_future))
+                self.machine.task_group.start(self._run_on_back_end(back_end, work, limit_micros, result_future))
                 settle("")
             else:
                 settle("not within its term any more")
@@ -245,6 +268,7 @@
         return Err(why) if why else await result_future
 
     async def events(self, address: str, life: str, after: int) -> Result[dict[str, Any], str]:
+        """Returns the cache events of a worker or store that follow number `after` of its process run `life`."""
         back_end = self.back_ends[address]
 
         async def work() -> dict[str, Any]:
@@ -252,26 +276,33 @@
             return back_end.model.events(life, after)
 
         result_future: asyncio.Future[Result[dict[str, Any], str]] = self.world.loop.create_future()
-        self.machine.task_group.start(self._ask(back_end, work, SECOND, result_future))
+        self.machine.task_group.start(self._run_on_back_end(back_end, work, SECOND, result_future))
         return await result_future
 
-    async def _ask(
+    async def _run_on_back_end(
         self,
         back_end: BackEnd,
         work: Any,
         limit_micros: int,
         result_future: asyncio.Future[Result[dict[str, Any], str]],
     ) -> None:
-        given_result = await self.world.run_on_machine(back_end.machine, self.machine.name, work, limit_micros)
+        """Runs `work` on the back end's machine; its result reaches the node only while that runs."""
+        outcome = await self.world.run_on_machine(back_end.machine, self.machine.name, work, limit_micros)
 
         def settle() -> None:
             if not result_future.done():
-                result_future.set_result(given_result)
+                result_future.set_result(outcome)
 
         self.machine.guard_callback(settle)()
 
 
 class SimCacheFetcher:
+    """Transfers cached prefix parts between a worker, other workers and the store.
+
+    Attributes:
+        slowness: Factor on the transfer time.
+    """
+
     def __init__(self, machine: Machine, back_ends: BackEnds, store_address: str) -> None:
         self.machine = machine
         self.world = machine.world
@@ -280,6 +311,7 @@
         self.slowness = 1
 
     async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
+        """Fetches a part from a worker or the store; None if it is not there or did not arrive in time."""
         remote = self.back_ends[remote_address]
 
         async def work() -> CachedPart | None:
@@ -288,15 +320,16 @@
             assert isinstance(remote.model, WorkerModel)
             return remote.model.cache.get(key)
 
-        given_result = await self.world.run_on_machine(remote.machine, self.machine.name, work, limit_micros)
-        if isinstance(given_result, Err) or given_result.ok_value is None:
+        outcome = await self.world.run_on_machine(remote.machine, self.machine.name, work, limit_micros)
+        if isinstance(outcome, Err) or outcome.ok_value is None:
             return None
-        kept: CachedPart = given_result.ok_value
+        kept: CachedPart = outcome.ok_value
         link_micros = kept.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
         await asyncio.sleep(min(link_micros, limit_micros) / SECOND)
         return kept if link_micros <= limit_micros else None
 
     async def write_to_store(self, key: str, kept: CachedPart) -> None:
+        """Sends a part to the store without waiting for it to arrive."""
         store = self.back_ends[self.store_address]
 
         async def work() -> None:
--- a/src/pearhead/testbed/simulator/uplink.py
+++ b/src/pearhead/testbed/simulator/uplink.py
@@ -1,18 +1,21 @@
-"""Uplink: a machine's own link out, of bounded rate, with a queue that drops datagrams once it is full."""
+"""Models a machine's outgoing link: a bounded rate and a queue that drops datagrams when it is full."""
 
 from __future__ import annotations
 
 from pearhead.runtime.clock import SECOND
 
-# Headers of IP and UDP or TCP, and what the link itself adds.
+# IP and UDP or TCP headers plus link-layer framing.
 PACKET_OVERHEAD_BYTES = 46
 
 
 class Uplink:
-    """Tells when what is sent now has left the machine.
+    """Computes when a packet sent now has left the machine.
 
-    `bytes_per_second`: the link's rate. `queue_bytes`: what may wait; a datagram beyond that is dropped, while a stream
-    is held up and sent later.
+    Attributes:
+        bytes_per_second: Rate of the link.
+        queue_bytes: Capacity of the send queue. A datagram that does not fit is dropped, stream data never is.
+        idle_at_micros: Virtual time at which everything queued so far has been sent.
+        dropped_count: Datagrams dropped because the queue was full.
     """
 
     def __init__(self, bytes_per_second: int, queue_bytes: int) -> None:
@@ -22,7 +25,7 @@
         self.dropped_count = 0
 
     def departure(self, now_micros: int, byte_count: int, is_stream: bool) -> int | None:
-        """The time at which the last byte has left; None if the queue is full and it is dropped."""
+        """Queues a packet; returns the time at which its last byte has left, or None if it was dropped."""
         packet_bytes = byte_count + PACKET_OVERHEAD_BYTES
         starts_micros = max(now_micros, self.idle_at_micros)
         waiting_bytes = (starts_micros - now_micros) * self.bytes_per_second // SECOND
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -1,4 +1,4 @@
-"""The course of the users' recorded days, without their bench (docs/incidents/), on virtual time."""
+"""Incidents that users recorded (docs/incidents/), reproduced on virtual time without the users' test bench."""
 
 from __future__ import annotations
 
@@ -15,10 +15,13 @@
 
 
 class TwiceWipedTest(unittest.TestCase):
-    """docs/incidents/klippvik.md: one core loses its disk twice, each time right after an acknowledgement."""
+    """docs/incidents/klippvik.md: one core loses its disk twice, each time right after a change was acknowledged.
 
-    async def lead(self, fleet: SimFleet, names: list[str], limit_micros: int) -> None:
-        """Until one leads and all hold the same description, as far as the log goes."""
+    Whatever was acknowledged must be in force at all cores and the node after the second loss.
+    """
+
+    async def wait_for_leader(self, fleet: SimFleet, names: list[str], limit_micros: int) -> None:
+        """Waits until a core leads and all have a description history of the same length, or until the limit."""
         end_micros = fleet.world.now() + limit_micros
         while fleet.world.now() < end_micros:
             await pause(fleet.world, 20 * MILLI)
@@ -26,8 +29,8 @@
             if fleet.leader() and len(indexes) == 1:
                 return
 
-    async def vote(self, fleet: SimFleet, name: str) -> None:
-        """Until this core has a vote in the log of who leads."""
+    async def wait_for_vote(self, fleet: SimFleet, name: str) -> None:
+        """Waits until this core is a voter according to the leader's log, or until the limit."""
         end_micros = fleet.world.now() + 10 * SECOND
         while fleet.world.now() < end_micros:
             leader = fleet.cores.get(fleet.leader())
@@ -35,13 +38,17 @@
                 return
             await pause(fleet.world, 5 * MILLI)
 
-    async def course(self, fleet: SimFleet, back_micros: int, calm_micros: int | None) -> tuple[int, list[int]]:
-        """How many descriptions were acknowledged, and how many each core and the node hold after the last start."""
+    async def run_incident(self, fleet: SimFleet, back_micros: int, calm_micros: int | None) -> tuple[int, list[int]]:
+        """Runs the incident: a core loses its disk, comes back, and loses it again as all cores lose power.
+
+        Returns how many descriptions were acknowledged, and how many each core and the node have after the restart.
+        `calm_micros` is the time between the core's return and the second change; None waits until it has a vote.
+        """
         chance = fleet.world.chance
         names = [name for name in fleet.startups if name.startswith("core-")]
         for name in (*names, "node-1"):
             fleet.start(name)
-        await self.lead(fleet, names, 8 * SECOND)
+        await self.wait_for_leader(fleet, names, 8 * SECOND)
         for name in names:
             fleet.startups[name] = dataclasses.replace(fleet.startups[name], founders=[])
         self.assertEqual(await fleet.apply(fleet.marked_description("a")), "done")
@@ -51,7 +58,7 @@
         await pause(fleet.world, back_micros)
         fleet.start(wiped)
         if calm_micros is None:
-            await self.vote(fleet, wiped)
+            await self.wait_for_vote(fleet, wiped)
         else:
             await pause(fleet.world, calm_micros)
         self.assertEqual(await fleet.apply(fleet.marked_description("b")), "done")
@@ -61,7 +68,7 @@
         await pause(fleet.world, 800 * MILLI)
         for name in names:
             fleet.start(name)
-        await self.lead(fleet, names, RECOVERY_MICROS)
+        await self.wait_for_leader(fleet, names, RECOVERY_MICROS)
         await pause(fleet.world, SECOND)
         held = [len(fleet.cores[name].fleet.history) for name in names]
         return 2, [
@@ -70,13 +77,13 @@
         ]
 
     def test_what_was_acknowledged_is_in_force_after_the_second_wipe(self) -> None:
-        """None: the second acknowledgement comes as soon as the emptied disk has a vote again, as on that day."""
+        """With None, the second change follows as soon as the emptied core has a vote again, as in the incident."""
         for calm_micros in (None, 0, 1_500 * MILLI, 4 * SECOND):
             for seed in range(SEEDS):
 
                 async def play(world: World, calm_micros: int | None = calm_micros) -> tuple[int, list[int]]:
                     fleet = SimFleet(world, KLIPPVIK, 1)
-                    return await self.course(fleet, world.chance.randrange(200 * MILLI, 4 * SECOND), calm_micros)
+                    return await self.run_incident(fleet, world.chance.randrange(200 * MILLI, 4 * SECOND), calm_micros)
 
                 with self.subTest(seed=seed, calm_micros=calm_micros):
                     acknowledged, held = run_in_virtual_time(seed, play)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""A recorded run plays again alike, and otherwise on another description."""
+"""Replay of a recorded run: nearly the same outcomes on the same description, other outcomes on another one."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
         recorded = recording.outcomes()
         self.assertGreater(len(recorded), 300)
         self.assertTrue(any(e["kind"] == "kill" for e in recording.events))
-        again = replay(recording, None, with_faults=True).outcomes
-        changed = [j for j in recorded if recorded[j] != again[j]]
+        replayed = replay(recording, None, with_faults=True).outcomes
+        changed = [j for j in recorded if recorded[j] != replayed[j]]
         self.assertLess(len(changed), 0.03 * len(recorded), "the same faults at the same times")
         description = build_description(KLIPPVIK)
         description["entries"] = [e for e in description["entries"] if e["name"] != "notice"]
         lines = preview_description(recording, description)
-        notice_lines = [x for x in lines if " notice " in x]
+        notice_lines = [line for line in lines if " notice " in line]
         self.assertTrue(notice_lines)
-        self.assertTrue(all("done=" in x and "unknown_kind=" in x for x in notice_lines), notice_lines)
+        self.assertTrue(all("done=" in line and "unknown_kind=" in line for line in notice_lines), notice_lines)
--- a/tests/test_simulator_fault_log.py
+++ b/tests/test_simulator_fault_log.py
@@ -1,4 +1,4 @@
-"""FaultLog: which machines are sound while faults last."""
+"""FaultLog: which machines count as healthy while faults are active."""
 
 from __future__ import annotations
 
