--- a/src/pearhead/testbed/simulator/fault_injector.py
+++ b/src/pearhead/testbed/simulator/fault_injector.py
@@ -16,13 +16,13 @@
 class SimFaultInjector:
     """Injects the scheduled faults of the world's seed.
 
-    A fault of kind "some-kind" is carried out by the method `_play_some_kind`. Each of these begins the fault and ends
-    it after its duration, unless the fault is permanent.
+    A fault of kind "some-kind" is injected by the method `_play_some_kind`, which returns when the fault is over, or, if
+    it is permanent, as soon as it is active.
 
     Attributes:
         weights_number: Number in the name of the latest weights.
         mark_number: Number of marks handed out.
-        leaving: Workers that a fault has marked as leaving; no other fault chooses them.
+        leaving: Workers that a fault has marked as leaving; other faults avoid them.
     """
 
     def __init__(self, fleet: SimFleet) -> None:
@@ -105,7 +105,7 @@
     def _sorted_machine_names(self) -> list[str]:
         return sorted(self.world.machines)
 
-    # ---- cores ----------------------------------------------------------------------------------
+    # ---- cores -----------------------------------------------------------------------------------
 
     async def _play_core_killed(self, sim_fault: SimFault) -> None:
         await self._kill_and_restart(sim_fault, [self._choose_core(sim_fault)])
@@ -170,7 +170,7 @@
         leader = self.fleet.leader()
         return leader if leader and sim_fault.target_index % 2 else self._choose_machine("core", sim_fault)
 
-    # ---- nodes ---------------------------------------------------------------------------------------
+    # ---- nodes -----------------------------------------------------------------------------------
 
     async def _play_node_killed(self, sim_fault: SimFault) -> None:
         await self._kill_and_restart(sim_fault, [self._choose_machine("node", sim_fault)])
@@ -215,7 +215,7 @@
         if frozen_names:
             self.fleet.wake(name)
 
-    # ---- workers and the store -----------------------------------------------------------------------
+    # ---- workers and the store -------------------------------------------------------------------
 
     async def _play_worker_killed(self, sim_fault: SimFault) -> None:
         await self._kill_and_restart(sim_fault, [self._choose_machine("worker", sim_fault)])
@@ -292,7 +292,7 @@
         self.fleet.set_datagram_loss(0.3, 0.1)
         await self._end_after_duration(sim_fault, lambda: self.fleet.set_datagram_loss(0.0))
 
-    # ---- operators -----------------------------------------------------------------------------------
+    # ---- operators -------------------------------------------------------------------------------
 
     def _next_mark(self) -> str:
         self.mark_number += 1
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -136,7 +136,7 @@
             toleratedLosses=(self.deployment.core_count - 1) // 2,
         )
 
-    # ---- the platform ------------------------------------------------------------------------------
+    # ---- the platform ----------------------------------------------------------------------------
 
     def start_core(self, name: str) -> None:
         """Boots the machine of a core and starts its process; the process is killed if it reports a fatal error."""
@@ -411,10 +411,10 @@
         ]
         return max(leaders)[1] if leaders else ""
 
-    # ---- start -------------------------------------------------------------------------------------
+    # ---- start -----------------------------------------------------------------------------------
 
     async def up(self) -> None:
-        """Starts everything, applies the deployment's description and waits until all workers are loaded."""
+        """Starts everything, applies the description and waits until all nodes know all workers to be loaded."""
         names = [*self.startups, "store", "desk", *(f"worker-{n + 1}" for n in range(self.worker_count))]
         for name in names:
             self.start(name)
@@ -453,7 +453,7 @@
                 return
             await pause(self.world, 50 * MILLI)
 
-    # ---- operators -----------------------------------------------------------------------------------
+    # ---- operators -------------------------------------------------------------------------------
 
     async def command(self, command: Command, core_name: str = "") -> CommandResult | None:
         """Sends an operator's command once, to the named core or a random one; None if no answer came."""
@@ -609,7 +609,7 @@
                     return int(state["weights"][self.deployment.line]["revision"])
             await pause(self.world, 100 * MILLI)
 
-    # ---- callers -------------------------------------------------------------------------------------
+    # ---- callers ---------------------------------------------------------------------------------
 
     def start_load(self, jobs_per_second: float) -> None:
         """Starts random jobs of all tenants, with exponentially distributed intervals, until end_load()."""
@@ -695,7 +695,7 @@
             trace.outcome = "done"
         return trace
 
-    # ---- observation -------------------------------------------------------------------------------------
+    # ---- observation -----------------------------------------------------------------------------
 
     def _record_send(self, node_name: str, upstream_id: str, worker: str) -> None:
         """Records that the first byte of a job leaves its node, with the view that the node has then."""
--- a/src/pearhead/testbed/simulator/recording.py
+++ b/src/pearhead/testbed/simulator/recording.py
@@ -169,9 +169,9 @@
     counts = Counter(before.values()), Counter(after.values())
     for outcome in sorted(set(counts[0]) | set(counts[1])):
         lines.append(f"{outcome:<18} {counts[0][outcome]:>9} {counts[1][outcome]:>9}")
-    changed = [j for j in before if before[j] != after.get(j)]
+    changed = [job_id for job_id in before if before[job_id] != after.get(job_id)]
     lines.append(f"{len(changed)} of {len(before)} jobs have another outcome")
-    lines += [f"  {j}: {before[j]} -> {after.get(j, 'not sent')}" for j in changed[:20]]
+    lines += [f"  {job_id}: {before[job_id]} -> {after.get(job_id, 'not sent')}" for job_id in changed[:20]]
     return lines
 
 
--- a/src/pearhead/testbed/simulator/simulated_clients.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -58,8 +58,8 @@
 ) -> None:
     """Simulates the handshake that opens a connection from a node to a worker.
 
-    Exactly one of the callbacks runs on the node, unless the node is dead by then; while it is frozen, they wait:
-    `begin` when the connection is open, or `fail` with the reason when it is refused or not open in time.
+    One of two callbacks runs on the node: `begin` when the connection is open, or `fail` with the reason when it is
+    refused or not open in time. It is deferred while the node is frozen, and dropped if the node's process has ended.
 
     `purpose` is JOB_CONNECTION or COMMAND_CONNECTION and selects the connect hook to run. `limit_micros` bounds the
     wait, which is CONNECT_MICROS at most.
@@ -323,10 +323,10 @@
         outcome = await self.world.run_on_machine(remote.machine, self.machine.name, work, limit_micros)
         if isinstance(outcome, Err) or outcome.ok_value is None:
             return None
-        kept: CachedPart = outcome.ok_value
-        link_micros = kept.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
-        await asyncio.sleep(min(link_micros, limit_micros) / SECOND)
-        return kept if link_micros <= limit_micros else None
+        part: CachedPart = outcome.ok_value
+        transfer_micros = part.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
+        await asyncio.sleep(min(transfer_micros, limit_micros) / SECOND)
+        return part if transfer_micros <= limit_micros else None
 
     async def write_to_store(self, key: str, kept: CachedPart) -> None:
         """Sends a part to the store without waiting for it to arrive."""
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -221,7 +221,7 @@
         datagram_loss: Share of datagrams that are lost.
         datagram_duplication: Share of datagrams that arrive twice.
         last_arrivals: Latest arrival on the stream of each pair of machines, which keeps its frames in order.
-        uplinks: Outgoing links of bounded rate, by machine; other machines send without delay.
+        uplinks: Outgoing links of bounded rate, by machine; messages of other machines leave at once.
         run_hash: Digest of the trace and of the time and size of each message sent.
         trace: Noted lines.
         sent_count: Number of messages sent.
@@ -320,7 +320,7 @@
         uplink = self.uplinks.get(source.name)
         return self.now() if uplink is None else uplink.departure(self.now(), len(frame_bytes), is_stream)
 
-    # ---- requests from outside, and HTTP between machines ----------------------------------------------------
+    # ---- requests from outside, and HTTP between machines ----------------------------------------
 
     async def run_on_machine(
         self, target: Machine, from_name: str, work: Callable[[], Coroutine[Any, Any, Any]], limit_micros: int
@@ -382,7 +382,7 @@
 def run_in_virtual_time(seed: int, play: Callable[[World], Coroutine[Any, Any, Any]]) -> Any:
     """Runs `play` in a new world on a loop of its own, and returns its result.
 
-    What is still running then is ended, without the faults and clean-up of a crash.
+    Afterwards all machines count as dead, so that no callback of theirs runs, and the remaining tasks are cancelled.
     """
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
