--- a/src/pearhead/testbed/simulator/fault_injector.py
+++ b/src/pearhead/testbed/simulator/fault_injector.py
@@ -16,8 +16,8 @@
 class SimFaultInjector:
     """Injects the scheduled faults of the world's seed.
 
-    A fault of kind "some-kind" is injected by the method `_play_some_kind`, which returns when the fault is over, or, if
-    it is permanent, as soon as it is active.
+    A fault of kind "some-kind" is injected by the method `_play_some_kind`, which returns when the fault is over, or,
+    if it is permanent, as soon as it is active.
 
     Attributes:
         weights_number: Number in the name of the latest weights.
