--- a/src/pearhead/testbed/capacity/axes.py
+++ b/src/pearhead/testbed/capacity/axes.py
@@ -49,7 +49,7 @@
 
 
 def run_unheld(workers: int) -> Row:
-    """Runs 98 hollow nodes and two real ones, which check five times a second who should hold each worker (§7.2).
+    """Runs 98 hollow nodes and two real ones; the real ones check five times a second who should hold a worker (§7.2).
 
     Hollow nodes take no leases, so most workers are held by nobody and the figure is the cost of these checks.
     """
