--- a/src/pearhead/testbed/capacity/model.py
+++ b/src/pearhead/testbed/capacity/model.py
@@ -437,7 +437,7 @@
         "blocks",
         lambda s, z: z.blocks / z.workers,
         budget=KEYS_PER_WORKER,
-        budget_source="`KEYS_A_WORKER` of the index",
+        budget_source="`KEYS_PER_WORKER` of the index",
     ),
     CostFigure(
         "index at a node",
--- a/src/pearhead/testbed/capacity/scale_run.py
+++ b/src/pearhead/testbed/capacity/scale_run.py
@@ -20,7 +20,7 @@
     raise SystemExit(f"testbed: the run was stopped by signal {signal_number}")
 
 
-def stop_by_itself() -> None:
+def install_stop_handlers() -> None:
     """Makes SIGTERM, or a size that takes over `SIZE_LIMIT_SECONDS`, stop the run and all its processes."""
     for signal_number in (signal.SIGALRM, signal.SIGTERM):
         signal.signal(signal_number, _stop)
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -253,13 +253,13 @@
         """
         # Imported here: the fits and plots need libraries that no other command needs.
         from pearhead.testbed.capacity.axes import AXES
-        from pearhead.testbed.capacity.scale_run import ScaleRun, stop_by_itself
+        from pearhead.testbed.capacity.scale_run import ScaleRun, install_stop_handlers
 
         if axis not in AXES:
             raise SystemExit(f"testbed: no axis {axis!r}; there are {', '.join(AXES)}")
         chosen = AXES[axis]
         given = sizes.split(",") if isinstance(sizes, str) else sizes if isinstance(sizes, (list, tuple)) else [sizes]
-        stop_by_itself()
+        install_stop_handlers()
         run = ScaleRun(axis, chosen, print, Path(kept) if kept else None)
         run.run([int(x) for x in given if x != ""] or chosen.sizes, Path(plot) if plot else None)
 
