--- a/src/pearhead/testbed/caller.py
+++ b/src/pearhead/testbed/caller.py
@@ -1,4 +1,4 @@
-"""Caller (§9.4): sends jobs and checks each stream for owner, order and completeness."""
+"""Test client (§9.4): sends jobs to nodes and checks each answer for the right job, order and completeness."""
 
 from __future__ import annotations
 
@@ -18,20 +18,29 @@
 
 
 def find_stream_faults(job: dict[str, Any], lines: list[dict[str, Any]]) -> list[str]:
-    """What is wrong with a stream that was closed as whole."""
-    faults = [f"a line of {x.get('job')} came to {job['jobId']}" for x in lines if x.get("job") != job["jobId"]]
-    texts = [x["text"] for x in lines if "text" in x]
-    wanted_texts = [expected_text(job["body"], n) for n in range(expected_lines(job["body"]))]
-    if texts != wanted_texts:
-        faults.append(f"{job['jobId']}: wrong, missing or disordered lines {texts}")
-    if not lines or not lines[-1].get("end") or lines[-1].get("lines") != len(wanted_texts):
-        faults.append(f"{job['jobId']}: closed as whole without its closing line")
+    """Faults of an answer that ended without an error: lines of another job, wrong lines, or no closing line.
+
+    `lines` are the decoded NDJSON lines of the answer to `job`.
+    """
+    faults = [
+        f"a line of {line.get('job')} came to {job['jobId']}" for line in lines if line.get("job") != job["jobId"]
+    ]
+    texts = [line["text"] for line in lines if "text" in line]
+    expected_texts = [expected_text(job["body"], n) for n in range(expected_lines(job["body"]))]
+    if texts != expected_texts:
+        faults.append(f"{job['jobId']}: lines are wrong, missing or out of order: {texts}")
+    if not lines or not lines[-1].get("end") or lines[-1].get("lines") != len(expected_texts):
+        faults.append(f"{job['jobId']}: the answer ended without its closing line")
     return faults
 
 
 @dataclass
 class CallerAnswer:
-    """What became of one job, as its caller saw it."""
+    """The result of one job, as its caller saw it.
+
+    `outcome` is "done", "unreached" when the connection was refused, the error kind of an answer, or `CUT`.
+    `is_refused` is set when the job certainly did not run.
+    """
 
     job: dict[str, Any]
     tenant: str
@@ -43,6 +52,12 @@
 
 @dataclass
 class CallerReport:
+    """The results of all jobs of a caller.
+
+    `outcomes` counts jobs by outcome. `refused`, `cut_jobs` and `finished` are sets of job ids; a job whose error
+    answer says that it may have run is in none of them.
+    """
+
     answers: list[CallerAnswer] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
@@ -54,6 +69,8 @@
 
 
 class Caller:
+    """Sends jobs drawn from `chance`, each to a random node, and collects a report."""
+
     def __init__(self, deployment: Deployment, node_addresses: list[str], chance: random.Random) -> None:
         self.deployment = deployment
         self.node_addresses = node_addresses
@@ -62,13 +79,17 @@
         AsyncHTTPClient.configure(None, max_clients=1_000)
 
     async def run(self, job_count: int, at_once: int, first_number: int = 0) -> CallerReport:
+        """Sends `job_count` jobs, at most `at_once` at the same time, and returns the report once all have ended.
+
+        Job ids are numbered from `first_number`.
+        """
         numbers = iter(range(first_number, first_number + job_count))
 
-        async def run_calls() -> None:
+        async def send_jobs() -> None:
             for number in numbers:
                 await self._call(number)
 
-        await asyncio.gather(*(run_calls() for _ in range(at_once)))
+        await asyncio.gather(*(send_jobs() for _ in range(at_once)))
         return self.report
 
     async def _call(self, number: int) -> None:
@@ -88,9 +109,9 @@
         )
         try:
             await AsyncHTTPClient().fetch(request)
-        except HTTPClientError as fault:
+        except HTTPClientError as error:
             body_bytes = b"".join(chunks)
-            self._record_failed_job(answer, fault.code, body_bytes)
+            self._record_failed_job(answer, error.code, body_bytes)
             return
         except ConnectionRefusedError:
             self.report.outcomes["unreached"] += 1
@@ -100,7 +121,7 @@
         except (OSError, ValueError):
             self._record_cut_stream(job)
             return
-        lines = [json.loads(x) for x in b"".join(chunks).splitlines()]
+        lines = [json.loads(line) for line in b"".join(chunks).splitlines()]
         self.report.faults.extend(find_stream_faults(job, lines))
         answer.outcome, answer.lines = "done", lines
         self.report.outcomes["done"] += 1
@@ -116,13 +137,14 @@
     def _record_failed_job(self, answer: CallerAnswer, status: int, body_bytes: bytes) -> None:
         job = answer.job
         try:
-            given_result = json.loads(body_bytes)
+            answer_body = json.loads(body_bytes)
         except ValueError:
-            given_result = {}
-        if status == 599 or "error" not in given_result:
+            answer_body = {}
+        # 599 is Tornado's own status, for a timeout or a connection that was closed early.
+        if status == 599 or "error" not in answer_body:
             self._record_cut_stream(job)
             return
-        self.report.outcomes[given_result["error"]] += 1
-        answer.outcome, answer.is_refused = given_result["error"], given_result["ran"] == "not_run"
-        if given_result["ran"] == "not_run":
+        self.report.outcomes[answer_body["error"]] += 1
+        answer.outcome, answer.is_refused = answer_body["error"], answer_body["ran"] == "not_run"
+        if answer_body["ran"] == "not_run":
             self.report.refused.add(job["jobId"])
--- a/src/pearhead/testbed/deployment.py
+++ b/src/pearhead/testbed/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment (§9.2): the two examples, made at their sizes: machines, description, tenants, jobs."""
+"""The two example deployments (§9.2): their sizes, descriptions, tenants and generated jobs."""
 
 from __future__ import annotations
 
@@ -13,6 +13,13 @@
 
 @dataclass(frozen=True)
 class Deployment:
+    """An example deployment: the size of its fleet, and what its description and jobs are made from.
+
+    `line` is the model line that its jobs ask for. `groups` maps tenants to their groups; tenants without one are left
+    out. `weights_limit_micros` is how long after the acknowledgement of new weights jobs may still start on
+    older ones.
+    """
+
     name: str
     worker_count: int
     line: str
@@ -50,11 +57,12 @@
 
 
 def tenant_key(deployment: Deployment, tenant_name: str) -> str:
-    """Example keys only: a real deployment draws its own."""
+    """The API key of a tenant. It can be guessed: a real deployment must generate random keys."""
     return f"example-{deployment.name}-{tenant_name}"
 
 
 def build_description(deployment: Deployment) -> dict[str, Any]:
+    """The description of the deployment, as operators apply it."""
     return {
         "lines": [{"name": deployment.line, "weights": "w1"}],
         "services": [
@@ -106,14 +114,18 @@
 
 
 def generate_job(deployment: Deployment, chance: random.Random, number: int) -> tuple[str, dict[str, Any]]:
-    """A tenant and a job: a few large tenants, mostly short checks, some long ones on shared prefixes."""
-    weights = [8, 6, 4] + [1] * (len(deployment.tenant_names) - 3)
-    tenant_name = chance.choices(deployment.tenant_names, weights)[0]
-    pick = chance.random()
+    """Draws a tenant and a job with the id `job-<number>`.
+
+    Three tenants send most of the jobs. 5% of the jobs are notices, 75% short ones, and 20% long ones, which share the
+    prefixes of three documents.
+    """
+    tenant_weights = [8, 6, 4] + [1] * (len(deployment.tenant_names) - 3)
+    tenant_name = chance.choices(deployment.tenant_names, tenant_weights)[0]
+    draw = chance.random()
     job_id = f"job-{number}"
-    if pick < 0.05:
+    if draw < 0.05:
         return tenant_name, {"model": deployment.line, "kind": "notice", "body": f"notice {number}", "jobId": job_id}
-    if pick < 0.8:
+    if draw < 0.8:
         return tenant_name, {
             "model": deployment.line,
             "kind": deployment.short_kind,
@@ -121,7 +133,7 @@
             "jobId": job_id,
             "prefix": [{"part": 1, "tokens": 200}],
         }
-    book = chance.randrange(3)
+    document_number = chance.randrange(3)
     part_count = chance.randrange(4, 9)
     return tenant_name, {
         "model": deployment.line,
@@ -129,9 +141,10 @@
         "body": f"long {number}",
         "jobId": job_id,
         "prefix": [{"part": 1, "tokens": 200}]
-        + [{"part": 100 * (book + 1) + i, "tokens": 1_000} for i in range(part_count)],
+        + [{"part": 100 * (document_number + 1) + i, "tokens": 1_000} for i in range(part_count)],
     }
 
 
 def description_text(deployment: Deployment) -> str:
+    """The description as the text of a JSON file, as shipped in `examples/`."""
     return json.dumps(build_description(deployment), indent=2) + "\n"
--- a/src/pearhead/testbed/launcher.py
+++ b/src/pearhead/testbed/launcher.py
@@ -1,4 +1,4 @@
-"""Launcher (§9.3): plays the platform on one machine: starts, stops, freezes and kills processes."""
+"""Process launcher (§9.3): starts, stops, freezes and kills the processes of a fleet on one machine."""
 
 from __future__ import annotations
 
@@ -25,9 +25,13 @@
 
 
 class FreePortAllocator:
-    """Loopback ports free for both TCP and UDP; all are held until each has been drawn."""
+    """Finds loopback ports that are free for both TCP and UDP."""
 
     def allocate(self, port_count: int) -> list[int]:
+        """`port_count` different ports. All stay bound until the last is found, so that none is returned twice.
+
+        They are free on return; another program may still take one before the caller does.
+        """
         held_sockets: list[socket.socket] = []
         port_numbers: list[int] = []
         while len(port_numbers) < port_count:
@@ -48,6 +52,11 @@
 
 
 class Launcher:
+    """A fleet of processes in a folder, which later commands find again by the plan in `fleet.json`.
+
+    `plan` holds the deployment's name, the settings of each process by its name, and their process ids once they run.
+    """
+
     def __init__(self, folder: str) -> None:
         self.folder_path = Path(folder).absolute()
         self.plan_path = self.folder_path / "fleet.json"
@@ -58,6 +67,7 @@
     # ---- the plan ----------------------------------------------------------------------------------
 
     def make_plan(self, deployment: Deployment, node_count: int, worker_count: int, core_count: int) -> None:
+        """Plans a new fleet: addresses and settings of all processes, and the description; starts nothing."""
         self.folder_path.mkdir(parents=True, exist_ok=True)
         port_numbers = iter(FreePortAllocator().allocate(2 * (core_count + node_count) + worker_count + 2))
 
@@ -100,6 +110,7 @@
         self._save_plan()
 
     def worker_list(self) -> list[dict[str, Any]]:
+        """The workers, the store and the application service, as the cores take them at `/workers`."""
         services = {"worker": "models", "store": "kept-parts", "application": "desk"}
         return [
             {
@@ -114,6 +125,7 @@
         ]
 
     def addresses_of(self, program: str) -> list[str]:
+        """The HTTP addresses of all processes of a program, running or not."""
         return [p["httpAddress"] for p in self.plan["processes"].values() if p["program"] == program]
 
     def _save_plan(self) -> None:
@@ -122,8 +134,9 @@
     # ---- processes ---------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
+        """Starts a process; its output is appended to `<name>.log` in the folder."""
         process = self.plan["processes"][name]
-        log_file = open(self.folder_path / f"{name}.log", "ab")  # noqa: SIM115 - the child keeps it
+        log_file = open(self.folder_path / f"{name}.log", "ab")  # noqa: SIM115 - the child writes to it
         program = process["program"]
         if program in ("control_plane", "router"):
             startup_path = self.folder_path / f"{name}.json"
@@ -140,7 +153,7 @@
                 "--store",
                 process.get("storeAddress", ""),
             ]
-        started = subprocess.Popen(
+        child = subprocess.Popen(
             [sys.executable, *arguments],
             stdout=log_file,
             stderr=log_file,
@@ -148,10 +161,11 @@
             start_new_session=True,
         )
         log_file.close()
-        self.plan["ids"][name] = started.pid
+        self.plan["ids"][name] = child.pid
         self._save_plan()
 
     def send_signal(self, name: str, signal_number: int) -> bool:
+        """Sends a signal to a process; False if it is not running."""
         process_id = self.plan["ids"].get(name)
         if process_id is None or not self.is_alive(name):
             return False
@@ -159,6 +173,7 @@
         return True
 
     def is_alive(self, name: str) -> bool:
+        """Whether a process runs or is frozen. Reaps it if it is a child of this process and has ended."""
         process_id = self.plan["ids"].get(name)
         if process_id is None:
             return False
@@ -166,40 +181,43 @@
             os.waitpid(process_id, os.WNOHANG)
         except ChildProcessError:
             pass
-        stat_path = Path(f"/proc/{process_id}")
+        proc_path = Path(f"/proc/{process_id}")
         try:
-            command_bytes = (stat_path / "cmdline").read_bytes()
-            state_text = (stat_path / "stat").read_text().rsplit(")", 1)[1].split()[0]
+            command_bytes = (proc_path / "cmdline").read_bytes()
+            state_text = (proc_path / "stat").read_text().rsplit(")", 1)[1].split()[0]
         except (OSError, IndexError):
             return False
-        # An id may have been given to another program since: only our own is ours to end.
-        return any(mark in command_bytes for mark in OWN_COMMAND_MARKERS) and state_text != "Z"
+        # The kernel may have given the id to another program since; only processes of this project may be signalled.
+        return any(marker in command_bytes for marker in OWN_COMMAND_MARKERS) and state_text != "Z"
 
     def stop(self, name: str) -> None:
+        """Ends a process with SIGTERM, also a frozen one, and with SIGKILL if it still runs after `STOP_SECONDS`."""
         if not self.send_signal(name, signal.SIGTERM):
             return
         self.send_signal(name, signal.SIGCONT)
-        end_seconds = time.monotonic() + STOP_SECONDS
-        while self.is_alive(name) and time.monotonic() < end_seconds:
+        deadline_seconds = time.monotonic() + STOP_SECONDS
+        while self.is_alive(name) and time.monotonic() < deadline_seconds:
             time.sleep(POLL_SECONDS)
         self.send_signal(name, signal.SIGKILL)
 
     def up(self) -> None:
+        """Starts every process that is not running."""
         for name in self.plan["processes"]:
             if not self.is_alive(name):
                 self.start(name)
 
     def down(self) -> None:
+        """Stops every process; all are signalled first, so that they end at the same time."""
         for name in self.plan["ids"]:
             self.send_signal(name, signal.SIGCONT)
             self.send_signal(name, signal.SIGTERM)
         for name in self.plan["ids"]:
             self.stop(name)
 
-    # ---- waiting on what processes say -------------------------------------------------------------
+    # ---- commands to processes, and waiting for their state ----------------------------------------
 
     def destroy_core(self, name: str) -> None:
-        """A core machine is gone with its disk; an empty one comes at a new address, with whoever lives as seeds."""
+        """Kills a core, deletes its data, and starts an empty one at a new address, with the other cores as seeds."""
         self.send_signal(name, signal.SIGKILL)
         self.wait_until(lambda: not self.is_alive(name), f"{name} is gone")
         core = self.plan["processes"][name]
@@ -213,6 +231,7 @@
         self.start(name)
 
     def get(self, address: str, path: str) -> dict[str, Any] | None:
+        """The JSON object at a path of a process; None for an HTTP error, no answer within 2 s, or another body."""
         try:
             with urllib.request.urlopen(f"http://{address}{path}", timeout=2) as response:
                 return dict(json.load(response))
@@ -220,70 +239,80 @@
             return None
 
     def post(self, address: str, path: str, body: dict[str, Any]) -> dict[str, Any]:
+        """Posts a JSON object and returns the answer, also that of an HTTP error.
+
+        The status is "unavailable" when the process can't be reached. Raises ValueError when the answer is not JSON.
+        """
         request = urllib.request.Request(
             f"http://{address}{path}", json.dumps(body).encode(), {"Content-Type": "application/json"}
         )
         try:
             with urllib.request.urlopen(request, timeout=10) as response:
                 return dict(json.load(response))
-        except urllib.error.HTTPError as fault:
-            return dict(json.loads(fault.read()))
-        except OSError as fault:
-            return {"status": "unavailable", "why": str(fault)}
+        except urllib.error.HTTPError as error:
+            return dict(json.loads(error.read()))
+        except OSError as error:
+            return {"status": "unavailable", "why": str(error)}
 
     def command(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Asks the cores in turn until one takes the command."""
-        given_result: dict[str, Any] = {}
+        """Sends a command to one core after another until one answers other than "unavailable".
 
-        def is_taken() -> bool:
-            nonlocal given_result
+        Raises RuntimeError when none has after `READY_SECONDS`.
+        """
+        answer: dict[str, Any] = {}
+
+        def is_answered() -> bool:
+            nonlocal answer
             for address in self.addresses_of("control_plane"):
-                given_result = self.post(address, path, body)
-                if given_result.get("status") != "unavailable":
+                answer = self.post(address, path, body)
+                if answer.get("status") != "unavailable":
                     return True
             return False
 
-        self.wait_until(is_taken, f"a core that takes {path}")
-        return given_result
+        self.wait_until(is_answered, f"a core that takes {path}")
+        return answer
 
     def set_up(self) -> None:
-        """Gives the fleet its worker list and its description."""
-        given_result = self.command("/workers", {"workers": self.worker_list()})
-        if given_result.get("status") != "done":
-            raise RuntimeError(f"the worker list was not taken: {given_result}")
+        """Gives the fleet its worker list and its first description, unless it has had one already.
+
+        Raises RuntimeError when the cores refuse one of them.
+        """
+        answer = self.command("/workers", {"workers": self.worker_list()})
+        if answer.get("status") != "done":
+            raise RuntimeError(f"the cores did not accept the worker list: {answer}")
         description = json.loads((self.folder_path / "description.json").read_text())
-        given_result = self.command(
-            "/apply", {"applyId": "first", "base": 0, "description": description, "by": "testbed"}
-        )
-        if given_result.get("status") not in ("done", "conflict"):
-            raise RuntimeError(f"the description was not taken: {given_result}")
+        answer = self.command("/apply", {"applyId": "first", "base": 0, "description": description, "by": "testbed"})
+        if answer.get("status") not in ("done", "conflict"):
+            raise RuntimeError(f"the cores did not accept the description: {answer}")
 
     def wait_until(self, is_reached: Callable[[], bool], what: str) -> None:
-        end_seconds = time.monotonic() + READY_SECONDS
+        """Polls until `is_reached` holds. Raises RuntimeError, which names `what`, after `READY_SECONDS`."""
+        deadline_seconds = time.monotonic() + READY_SECONDS
         while not is_reached():
-            if time.monotonic() > end_seconds:
-                raise RuntimeError(f"not in time: {what}")
+            if time.monotonic() > deadline_seconds:
+                raise RuntimeError(f"timed out waiting for: {what}")
             time.sleep(POLL_SECONDS)
 
     def wait_ready(self) -> None:
-        """Ready: every node is current, and every worker is loaded on the present weights."""
+        """Waits until every node has a current view and reports every worker loaded with the weights in force."""
         worker_count = sum(1 for p in self.plan["processes"].values() if p["program"] == "worker")
 
         def is_ready() -> bool:
-            given_results = [self.get(a, "/soundness") for a in self.addresses_of("router")]
+            node_states = [self.get(address, "/soundness") for address in self.addresses_of("router")]
             return all(
-                a
-                and a["current"]
-                and a["descriptionRevision"]
-                and len(a["loads"]) == worker_count
-                and set(a["loads"].values()) == set(a["weights"].values())
-                for a in given_results
+                state
+                and state["current"]
+                and state["descriptionRevision"]
+                and len(state["loads"]) == worker_count
+                and set(state["loads"].values()) == set(state["weights"].values())
+                for state in node_states
             )
 
         self.wait_until(is_ready, "every node current and every worker loaded")
 
 
 def find_deployment(name: str) -> Deployment:
+    """The example deployment of this name; ends the program when there is none."""
     if name not in DEPLOYMENTS:
-        raise SystemExit(f"testbed: no deployment {name!r}; there are {', '.join(DEPLOYMENTS)}")
+        raise SystemExit(f"testbed: unknown deployment {name!r}; choose one of {', '.join(DEPLOYMENTS)}")
     return DEPLOYMENTS[name]
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -1,4 +1,4 @@
-"""The `testbed` command (§9): stand-ins, a one-machine fleet, callers."""
+"""The `testbed` command (§9): fleets of real processes on one machine, simulated fleets, and measurements."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class TestbedCommand:
-    """Tries a fleet out on one machine."""
+    """Runs fleets on one machine, as real processes or simulated, injects faults and checks what clients see."""
 
     def up(
         self,
@@ -51,9 +51,11 @@
         interface: str = "own",
         seed: int = 1,
     ) -> None:
-        """Starts a whole fleet in a folder, gives it its description, and waits until it serves.
+        """Starts a fleet in a folder, applies its description, and waits until it serves.
 
-        --interface platform starts the programs behind platform/, inside an emulation of the users' platform.
+        --interface own starts the stand-ins of the test bed; --interface platform starts the programs behind platform/,
+        inside an emulation of the users' platform. --workers 0 means as many as the deployment has. A folder that holds
+        a fleet already keeps its plan: processes that don't run are started again.
         """
         chosen_deployment = find_deployment(deployment)
         if interface == "platform" or is_site(folder):
@@ -61,7 +63,7 @@
             print("\n".join(start_site(folder, chosen_deployment, size, seed)))
             return
         if interface != "own":
-            raise SystemExit(f"testbed: no interface {interface!r}; there are own, platform")
+            raise SystemExit(f"testbed: unknown interface {interface!r}; choose one of own, platform")
         launcher = Launcher(folder)
         if not launcher.plan:
             launcher.make_plan(
@@ -78,34 +80,37 @@
         open_launcher(folder).down()
 
     def status(self, folder: str) -> None:
-        """Shows each process and whether it lives."""
+        """Shows the program and HTTP address of each process, and whether it runs."""
         launcher = open_launcher(folder)
         for name, process in launcher.plan.get("processes", {}).items():
-            lives = "lives" if launcher.is_alive(name) else "is down"
-            print(f"{name:<10} {process['program']:<12} {process['httpAddress']:<22} {lives}")
+            state = "running" if launcher.is_alive(name) else "not running"
+            print(f"{name:<10} {process['program']:<12} {process['httpAddress']:<22} {state}")
 
     def start(self, folder: str, name: str) -> None:
-        """Starts one process again."""
+        """Starts one process of a fleet that was planned by `up`."""
         open_launcher(folder).start(name)
 
     def stop(self, folder: str, name: str) -> None:
-        """Stops one process as planned work does."""
+        """Stops one process with SIGTERM, as for planned maintenance, so that it can drain."""
         open_launcher(folder).stop(name)
 
     def kill(self, folder: str, name: str) -> None:
-        """Kills one process."""
+        """Kills one process with SIGKILL."""
         open_launcher(folder).send_signal(name, SIGNALS["kill"])
 
     def freeze(self, folder: str, name: str) -> None:
-        """Freezes one process."""
+        """Freezes one process with SIGSTOP, until `wake`."""
         open_launcher(folder).send_signal(name, SIGNALS["freeze"])
 
     def wake(self, folder: str, name: str) -> None:
-        """Wakes a frozen process."""
+        """Lets a frozen process continue."""
         open_launcher(folder).send_signal(name, SIGNALS["wake"])
 
     def call(self, folder: str, jobs: int = 500, at_once: int = 20, seed: int = 1, first: int = 0) -> None:
-        """Sends jobs to the nodes and checks every stream."""
+        """Sends jobs to the nodes, checks every answer, and fails if any is wrong.
+
+        --first is the number in the id of the first job; an emulated site ignores it.
+        """
         if is_site(folder):
             finish_site(call_site(folder, jobs, at_once, seed))
             return
@@ -124,15 +129,15 @@
             raise SystemExit(1)
 
     def judge(self, folder: str) -> None:
-        """Judges what callers, workers and operators of an emulated site saw, by the platform's rules."""
+        """Checks what callers, workers and operators of an emulated site recorded, by the platform's rules."""
         finish_site(judge_site(folder))
 
     def strike(self, folder: str, rounds: int = 10, seed: int = 1, jobs: int = 300, at_once: int = 16) -> None:
-        """Strikes an emulated site at random under checked requests, and judges it in the end."""
+        """Injects random faults into an emulated site while it serves checked requests, then runs `judge`."""
         strikes = SiteStrikes(SiteLauncher(folder), seed)
         for number in range(rounds):
-            word, report = strikes.strike(number, jobs, at_once)
-            print(f"{word}: {dict(report.outcomes)}", flush=True)
+            fault_text, report = strikes.strike(number, jobs, at_once)
+            print(f"{fault_text}: {dict(report.outcomes)}", flush=True)
         strikes.launcher.wait_ready()
         finish_site(judge_site(folder))
 
@@ -145,10 +150,10 @@
         kept: str = "soak-failures",
         short: bool = False,
     ) -> None:
-        """Runs real processes under overlapping faults, one fleet a seed, and judges them by the platform's rules.
+        """Runs a fleet of real processes per seed under overlapping faults, and checks it by the platform's rules.
 
-        A run that breaks a rule stays in the folder --kept with its schedule, ledger and logs. --short plays the form
-        that CI plays.
+        The schedule, ledger and logs of a run that breaks a rule stay in the folder --kept. --journal names a file to
+        which each result is appended. --short runs the small fleet and short schedule that CI runs.
         """
         failed_count = soak(
             list(range(seed, seed + seeds)),
@@ -162,7 +167,7 @@
             raise SystemExit(1)
 
     def name_weights(self, folder: str, version: int) -> None:
-        """Names new weights at an emulated site, as its operator does."""
+        """Sets the version of the weights at an emulated site, as its operator does."""
         print(SiteLauncher(folder).name_version(version))
 
     def sim(
@@ -174,21 +179,22 @@
         record: str = "",
         without: str = "",
     ) -> None:
-        """Runs a scenario, or `all`, on virtual time for one or more seeds, and looks for breaches.
+        """Simulates a scenario, or `all`, in virtual time for one or more seeds, and fails if a rule is broken.
 
-        --without leaves out strikes of overlapping-faults by their numbers.
+        --without leaves out faults of overlapping-faults by their numbers, separated by commas. --record names a file
+        for a recording that `replay` and `plan` can read.
         """
         excluded_faults = frozenset(int(n) for n in str(without).strip("()").replace(" ", "").split(",") if n)
         deployment_names = list(DEPLOYMENTS) if deployment == "all" else [find_deployment(deployment).name]
         if scenario != "all" and scenario not in SCENARIOS:
-            raise SystemExit(f"testbed: no scenario {scenario!r}; there are {', '.join(SCENARIOS)}")
-        orders = [
-            RunSpec(name, deployment_name, seed + extra, record_path=record, excluded_faults=excluded_faults)
+            raise SystemExit(f"testbed: unknown scenario {scenario!r}; choose one of {', '.join(SCENARIOS)}")
+        specs = [
+            RunSpec(name, deployment_name, seed + seed_offset, record_path=record, excluded_faults=excluded_faults)
             for name in (SCENARIOS if scenario == "all" else [scenario])
             for deployment_name in deployment_names
-            for extra in range(seeds)
+            for seed_offset in range(seeds)
         ]
-        results = run_specs(orders) if len(orders) > 1 else [run_spec(orders[0])]
+        results = run_specs(specs) if len(specs) > 1 else [run_spec(specs[0])]
         for result in results:
             print(result.line())
         if len(results) == 1 and not results[0].breaches:
@@ -196,7 +202,7 @@
         for result in results:
             if result.breaches:
                 print(result.failure())
-        if any(r.breaches for r in results):
+        if any(result.breaches for result in results):
             raise SystemExit(1)
 
     def sweep(
@@ -207,64 +213,79 @@
         first: int = 1,
         journal: str = "",
     ) -> None:
-        """Runs many seeds in parallel; goes on from --journal; one line a failing run, and a shortened one."""
+        """Simulates a scenario, or `all`, for many seeds in parallel, and fails if a rule is broken.
+
+        Prints each failing run, and the same run with as few faults as still break a rule. --journal names a file of
+        results; runs that are in it already are not run again. --first is the first seed.
+        """
         deployment_names = list(DEPLOYMENTS) if deployment == "all" else [find_deployment(deployment).name]
-        names = list(SCENARIOS) if scenario == "all" else [scenario]
-        if set(names) - set(SCENARIOS):
-            raise SystemExit(f"testbed: no scenario {scenario!r}; there are {', '.join(SCENARIOS)}")
-        orders = [RunSpec(n, d, first + extra) for extra in range(seeds) for n in names for d in deployment_names]
-        failed_count = Sweep(Path(journal) if journal else None, run_as_completed, print).run(orders)
-        print(f"{len(orders)} runs, {failed_count} broke a rule")
+        scenario_names = list(SCENARIOS) if scenario == "all" else [scenario]
+        if set(scenario_names) - set(SCENARIOS):
+            raise SystemExit(f"testbed: unknown scenario {scenario!r}; choose one of {', '.join(SCENARIOS)}")
+        specs = [
+            RunSpec(scenario_name, deployment_name, first + seed_offset)
+            for seed_offset in range(seeds)
+            for scenario_name in scenario_names
+            for deployment_name in deployment_names
+        ]
+        failed_count = Sweep(Path(journal) if journal else None, run_as_completed, print).run(specs)
+        print(f"{len(specs)} runs, {failed_count} broke a rule")
         if failed_count:
             raise SystemExit(1)
 
     def replay(self, recording: str, description: str = "", faults: bool = True) -> None:
-        """Plays a recording again, on another description or this build, and shows the difference."""
-        held = read_recording(recording)
-        given = json.loads(Path(description).read_text()) if description else None
-        print("\n".join(compare_replay(held, replay(held, given, faults))))
+        """Replays a recorded run with this build, and shows which jobs end differently.
+
+        --description names another description to use. --faults=False leaves out the recorded faults.
+        """
+        loaded_recording = read_recording(recording)
+        new_description = json.loads(Path(description).read_text()) if description else None
+        print("\n".join(compare_replay(loaded_recording, replay(loaded_recording, new_description, faults))))
 
     def plan(self, recording: str, description: str) -> None:
-        """Tells what a description would do with a recorded load, before it is applied."""
+        """Shows what a description would do with a recorded load, beside the example deployment's own."""
         print("\n".join(preview_description(read_recording(recording), json.loads(Path(description).read_text()))))
 
     def measure(self, name: str = "all", deployment: str = "all", seeds: int = 5, nodes: int = 0) -> None:
-        """Prints a table of a measurement: mean, least and most over seeds."""
+        """Prints a table of a measurement, or of `all`, with the mean, least and greatest value over seeds."""
         for measure_name in MEASURES if name == "all" else [name]:
             for deployment_name in DEPLOYMENTS if deployment == "all" else [find_deployment(deployment).name]:
-                orders = [(measure_name, deployment_name, seed + 1, nodes) for seed in range(seeds)]
-                rows = run_isolated(run_measure, orders)
+                measure_runs = [(measure_name, deployment_name, seed + 1, nodes) for seed in range(seeds)]
+                rows = run_isolated(run_measure, measure_runs)
                 print(f"| {measure_name}, {deployment_name}, {seeds} seeds | mean | least | most |")
                 print("| --- | --- | --- | --- |")
                 print("\n".join(summary_rows(rows)))
                 print()
 
     def scale(self, nodes: str = "12,50,100,200", entries: str = "10,100,1000,10000") -> None:
-        """Prints what a fleet costs by its size, and a description by its entries."""
-        for run_row, sizes_text in ((measure_node_scaling, nodes), (measure_entry_scaling, entries)):
-            sizes = [int(x) for x in (sizes_text.split(",") if isinstance(sizes_text, str) else sizes_text)]
-            print("\n".join(markdown_table(run_isolated(run_row, sizes))))
+        """Prints the simulated costs of a fleet by its number of nodes, and of a description by its entries."""
+        for measure_size, sizes_text in ((measure_node_scaling, nodes), (measure_entry_scaling, entries)):
+            sizes = [int(size) for size in (sizes_text.split(",") if isinstance(sizes_text, str) else sizes_text)]
+            print("\n".join(markdown_table(run_isolated(measure_size, sizes))))
             print()
 
     def scale_run(self, axis: str, sizes: str = "", kept: str = "", plot: str = "") -> None:
-        """Grows a real fleet, or one table, along an axis on loopback; prints costs, slopes and their check.
+        """Measures a real fleet, or one table, at growing sizes; prints costs, fitted slopes and the check of the fit.
 
-        Needs the extra `scale`. --kept names a file that holds what was measured; a later run goes on from it.
+        All processes and addresses are on loopback. --kept names a file of measurements, from which a later run
+        continues; --plot a file for a plot. Needs the extra `scale`.
         """
-        # Imported here: the fits and plots need libraries that no other command needs.
+        # Imported here because the fits and plots need libraries that no other command needs.
         from pearhead.testbed.capacity.axes import AXES
         from pearhead.testbed.capacity.scale_run import ScaleRun, stop_by_itself
 
         if axis not in AXES:
-            raise SystemExit(f"testbed: no axis {axis!r}; there are {', '.join(AXES)}")
-        chosen = AXES[axis]
-        given = sizes.split(",") if isinstance(sizes, str) else sizes if isinstance(sizes, (list, tuple)) else [sizes]
+            raise SystemExit(f"testbed: unknown axis {axis!r}; choose one of {', '.join(AXES)}")
+        chosen_axis = AXES[axis]
+        given_sizes = (
+            sizes.split(",") if isinstance(sizes, str) else sizes if isinstance(sizes, (list, tuple)) else [sizes]
+        )
         stop_by_itself()
-        run = ScaleRun(axis, chosen, print, Path(kept) if kept else None)
-        run.run([int(x) for x in given if x != ""] or chosen.sizes, Path(plot) if plot else None)
+        run = ScaleRun(axis, chosen_axis, print, Path(kept) if kept else None)
+        run.run([int(size) for size in given_sizes if size != ""] or chosen_axis.sizes, Path(plot) if plot else None)
 
     def scale_page(self, kept: str = "docs/capacity.json") -> None:
-        """Prints the tables of docs/CAPACITY.md anew from what the scale runs measured. Needs the extra `scale`."""
+        """Prints the tables of docs/CAPACITY.md from the measurements of `scale_run`. Needs the extra `scale`."""
         from pearhead.testbed.capacity.page import page_lines
 
         print("\n".join(page_lines(json.loads(Path(kept).read_text()))))
@@ -274,7 +295,7 @@
         print(description_text(find_deployment(deployment)), end="")
 
     def stand_in(self, role: str, address: str, store: str = "") -> None:
-        """Serves as a worker, a store or an application service."""
+        """Serves as a stand-in, with the role `worker`, `store` or `application`, until SIGTERM or SIGINT."""
 
         async def serve() -> None:
             host_name, port_number = split_address(address)
@@ -289,6 +310,7 @@
 
 
 def main() -> None:
+    """Runs the `testbed` command line."""
     run_command(TestbedCommand, "testbed")
 
 
--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -1,4 +1,4 @@
-"""StandIn (§9.1): worker, store and application service over HTTP, by their published formats."""
+"""Stand-ins (§9.1) for model workers, stores and application services: HTTP servers of their published formats."""
 
 from __future__ import annotations
 
@@ -23,6 +23,11 @@
 
 
 class HttpCacheFetcher:
+    """Moves cached prefix parts between a worker, other workers and the store over HTTP.
+
+    `slowness` multiplies the time that a fetch takes, for tests with slow links.
+    """
+
     def __init__(self, store_address: str) -> None:
         self.store_address = store_address
         self.slowness = 1
@@ -30,6 +35,7 @@
         self.put_tasks: set[asyncio.Task[None]] = set()
 
     async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
+        """The part of a key at another worker or the store; None if it is not there or the limit does not suffice."""
         request = HTTPRequest(
             f"http://{remote_address}/v1/kv/{key}",
             request_timeout=limit_micros / SECOND,
@@ -37,14 +43,15 @@
         )
         try:
             response = await AsyncHTTPClient().fetch(request)
-            kept = CachedPart(**json.loads(response.body))
+            cached_part = CachedPart(**json.loads(response.body))
         except (HTTPClientError, OSError, ValueError, TypeError):
             return None
-        link_micros = kept.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
+        link_micros = cached_part.tokens * FETCH_MICROS_PER_TOKEN * self.slowness
         await sleep_for(self.clock, min(link_micros, limit_micros))
-        return kept if link_micros <= limit_micros else None
+        return cached_part if link_micros <= limit_micros else None
 
     async def write_to_store(self, key: str, kept: CachedPart) -> None:
+        """Starts to write a part to the store, if there is one, and does not wait for it. Failures are ignored."""
         if not self.store_address:
             return
         put_task = asyncio.ensure_future(self._put(key, kept))
@@ -66,19 +73,27 @@
 
 
 class CompletionsHandler(RequestHandler):
+    """Runs a job and streams its answer as server-sent events.
+
+    A run whose last event is no usage event was cut short: the connection is closed without `[DONE]`, so that the client
+    sees it too. A job whose client disconnects is cancelled.
+    """
+
     def initialize(self, model: WorkerModel | ApplicationModel) -> None:
+        """Receives the model from the routes of `build_stand_in`."""
         self.model = model
         self.run_task: asyncio.Task[Any] | None = None
 
     async def post(self) -> None:
+        """Runs the job of the body; refused ones get the status and reason of the worker."""
         self.run_task = asyncio.current_task()
         request = json.loads(self.request.body)
         upstream_id = self.request.headers["X-Request-Id"]
-        is_whole = False
+        is_complete = False
         try:
             async for event in self.model.run(request, upstream_id):
                 self.set_header("Content-Type", "text/event-stream")
-                is_whole = "usage" in event
+                is_complete = "usage" in event
                 self.write("data: " + json.dumps(event) + "\n\n")
                 await self.flush()
         except WorkerRefusalError as refusal:
@@ -87,22 +102,27 @@
             return
         except StreamClosedError:
             return
-        if not is_whole:
+        if not is_complete:
             connection: Any = self.request.connection
             connection.stream.close()
             return
         self.finish("data: [DONE]\n\n")
 
     def on_connection_close(self) -> None:
+        """Cancels the job when its client disconnects."""
         if self.run_task is not None:
             self.run_task.cancel()
 
 
 class LoadHandler(RequestHandler):
+    """Loads a model on command of a node, which shows its fence."""
+
     def initialize(self, model: WorkerModel) -> None:
+        """Receives the model from the routes of `build_stand_in`."""
         self.model = model
 
     async def post(self) -> None:
+        """Answers once the model is loaded, or with the status and reason of the refusal."""
         command = json.loads(self.request.body)
         try:
             self.finish(await self.model.load(int(command["fence"]), str(command["model"])))
@@ -112,10 +132,14 @@
 
 
 class ClaimHandler(RequestHandler):
+    """Lets a node take over command of the worker by a newer fence."""
+
     def initialize(self, model: WorkerModel) -> None:
+        """Receives the model from the routes of `build_stand_in`."""
         self.model = model
 
     async def post(self) -> None:
+        """Answers with the life and fence of the worker, or with the status and reason of the refusal."""
         try:
             self.finish(await self.model.claim(int(json.loads(self.request.body)["fence"])))
         except WorkerRefusalError as refusal:
@@ -124,49 +148,62 @@
 
 
 class EventsHandler(RequestHandler):
+    """Reports which parts a worker or store holds."""
+
     def initialize(self, model: WorkerModel | StoreModel) -> None:
+        """Receives the model from the routes of `build_stand_in`."""
         self.model = model
 
     def get(self) -> None:
+        """Events after the sequence number `after` of the life `life`, or the whole list."""
         self.finish(self.model.events(self.get_argument("life", ""), int(self.get_argument("after", "0"))))
 
 
 class CachedPartHandler(RequestHandler):
+    """Reads cached parts of a worker or store, and writes those of a store."""
+
     def initialize(self, model: WorkerModel | StoreModel) -> None:
+        """Receives the model from the routes of `build_stand_in`."""
         self.model = model
 
     def get(self, key: str) -> None:
-        kept = self.model.get(key) if isinstance(self.model, StoreModel) else self.model.cache.get(key)
-        if kept is None:
+        """The part of a key, or 404."""
+        cached_part = self.model.get(key) if isinstance(self.model, StoreModel) else self.model.cache.get(key)
+        if cached_part is None:
             self.set_status(404)
             self.finish({})
         else:
-            self.finish(vars(kept))
+            self.finish(vars(cached_part))
 
     def put(self, key: str) -> None:
+        """Stores a part; for stores only."""
         assert isinstance(self.model, StoreModel)
         self.model.put(key, CachedPart(**json.loads(self.request.body)))
         self.finish({})
 
 
 class RunsHandler(RequestHandler):
-    """The ledger: every job that began to run here, and any foreign prefix that it ran on."""
+    """Lists every job that began to run here, with the parts of other models or salts that it reused."""
 
     def initialize(self, model: WorkerModel | ApplicationModel) -> None:
+        """Receives the model from the routes of `build_stand_in`."""
         self.model = model
 
     def get(self) -> None:
+        """All run records since the process started."""
         self.finish({"runs": [vars(r) for r in self.model.runs]})
 
 
 class FaultHandler(RequestHandler):
-    """Faults by command: slow link, silent reports, cut streams."""
+    """Injects faults by command: a slow link, reports that tell nothing new, answers cut after some lines."""
 
     def initialize(self, model: WorkerModel, link: HttpCacheFetcher) -> None:
+        """Receives the worker and its link from the routes of `build_stand_in`."""
         self.model = model
         self.link = link
 
     def post(self) -> None:
+        """Sets the faults that the body names; others stay as they are."""
         fault = json.loads(self.request.body)
         self.link.slowness = int(fault.get("slowness", self.link.slowness))
         self.model.log.is_silent = bool(fault.get("silent", self.model.log.is_silent))
@@ -176,6 +213,10 @@
 
 
 def build_stand_in(role: str, store_address: str) -> Application:
+    """The HTTP application of a "store", an "application" service or, for any other role, a worker.
+
+    A worker writes its parts to the store at `store_address`, unless that is empty.
+    """
     clock, chance = BootClock(), random.Random()
     if role == "store":
         store = StoreModel(chance)
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -1,6 +1,7 @@
-"""WorkerModel (§9.1): a model worker's behaviour, served over HTTP or driven by the simulator.
+"""Behaviour of model workers, stores and application services (§9.1), served over HTTP or driven by the simulator.
 
-It keeps the provenance of every kept prefix, so that a test can find any job run on a foreign one.
+Workers record for which model, salt and tenant each prefix part was computed, so that a test can find any job that
+reused a part of another model or salt.
 """
 
 from __future__ import annotations
@@ -16,15 +17,17 @@
 
 PREFILL_MICROS_PER_TOKEN = 100
 LINE_INTERVAL_MICROS = 15 * MILLI
+# Lines of the answer to a long job.
 LINE_COUNT = 6
 LOAD_MICROS = 1_500 * MILLI
 EVENT_LIMIT = 5_000
+# With twice as many running jobs and more, each line takes a multiple of its time.
 BATCH_SIZE = 4
 CACHE_KEY_LIMIT = 4_000
 
 
 class WorkerRefusalError(Exception):
-    """A documented refusal: the job did not run."""
+    """A documented refusal, with its HTTP status and reason: the job or command did not run."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True)
 class CachedPart:
-    """What a kept prefix came from."""
+    """For which model, salt and tenant a cached prefix part was computed, and its length."""
 
     model: str
     salt: str
@@ -44,6 +47,12 @@
 
 @dataclass
 class RunRecord:
+    """One run of a job: what it asked for, and which cached parts it reused.
+
+    `foreign` describes reused parts that belong to another model or salt, which must never happen. `shared_with` names
+    the other tenants whose parts were reused.
+    """
+
     upstream_id: str
     tenant: str
     model: str
@@ -56,23 +65,33 @@
 
 
 class CacheFetcher(Protocol):
-    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None: ...
+    """Transfers cached parts between a worker, other workers and the store."""
+
+    async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
+        """The part of a key at `remote_address`; None if it is not there or can't be transferred within the limit."""
+        ...
 
-    async def write_to_store(self, key: str, kept: CachedPart) -> None: ...
+    async def write_to_store(self, key: str, kept: CachedPart) -> None:
+        """Writes a part to the store of the worker."""
+        ...
 
 
 def expected_text(body: str, line_number: int) -> str:
-    """Callers know what each line of their own body must say."""
+    """The text of one line of the answer to a body, which callers compute as well to check what they received."""
     return f"{hashlib.sha256(body.encode()).hexdigest()[:16]}/{line_number}"
 
 
 def expected_lines(body: str) -> int:
+    """The number of lines in the answer to a body."""
     return LINE_COUNT if "long" in body else 2
 
 
 @dataclass
 class WorkerSpeed:
-    """How fast a worker is, and whether it lets running jobs end before it loads."""
+    """Microseconds in which a worker prefills a token, generates a line of a short or a long answer, and loads a model.
+
+    `drains_before_load`: whether running jobs may end before it loads another model; else they are cut.
+    """
 
     prefill_micros: int = PREFILL_MICROS_PER_TOKEN
     line_micros: int = LINE_INTERVAL_MICROS
@@ -82,7 +101,11 @@
 
 
 class CacheEventLog:
-    """Reports of kept parts by life and sequence; a reader too far behind gets the whole list."""
+    """Numbered events of cached parts. A reader that is too far behind gets the whole list of keys instead.
+
+    `life` identifies one start of the process; sequence numbers count within it. `EVENT_LIMIT` events are retained.
+    While `is_silent` is set, workers report no new events.
+    """
 
     def __init__(self, life: str) -> None:
         self.life = life
@@ -91,25 +114,37 @@
         self.is_silent = False
 
     def append_event(self, kind: str, key: str) -> None:
+        """Records that a part was kept, dropped or changed, or that all were cleared."""
         self.sequence += 1
         self.events.append((self.sequence, kind, key))
         del self.events[:-EVENT_LIMIT]
 
     def read(self, life: str, after: int, cached_keys: list[str]) -> dict[str, Any]:
+        """The report for a reader that has read `life` up to the sequence number `after`.
+
+        It is whole, with all of `cached_keys`, when the reader knows another life, or events that it lacks are gone.
+        """
         is_whole = life != self.life or after > self.sequence or (bool(self.events) and after + 1 < self.events[0][0])
-        new_cache_events = [] if is_whole else [e for e in self.events if e[0] > after]
-        kept = cached_keys if is_whole else [k for _, kind, k in new_cache_events if kind == "kept"]
+        new_events = [] if is_whole else [e for e in self.events if e[0] > after]
+        kept = cached_keys if is_whole else [k for _, kind, k in new_events if kind == "kept"]
         return {
             "life": self.life,
             "sequence": self.sequence,
             "whole": is_whole,
             "kept": kept,
-            "dropped": [k for _, kind, k in new_cache_events if kind == "dropped"],
-            "changed": [k for _, kind, k in new_cache_events if kind == "changed"],
+            "dropped": [k for _, kind, k in new_events if kind == "dropped"],
+            "changed": [k for _, kind, k in new_events if kind == "changed"],
         }
 
 
 class WorkerModel:
+    """A model worker: runs jobs with simulated prefill and generation times, caches prefix parts, loads models.
+
+    `on_run` is called with the record of each job once its prefix was looked up. `commands` lists every claim and load
+    as fence, model (empty for a claim) and whether the fence was accepted. `cut_after_lines` and `load_fault` ("hangs"
+    or "fails") inject faults.
+    """
+
     def __init__(
         self,
         clock: Clock,
@@ -135,6 +170,11 @@
         self.load_fault = ""
 
     async def run(self, request: dict[str, Any], upstream_id: str) -> AsyncGenerator[dict[str, Any], None]:
+        """Runs a job and yields a completion event for each line, and at last one with the usage.
+
+        A run that is cut yields no usage. Raises WorkerRefusalError, before the first event, while the worker loads a
+        model (503) or when it serves another one (404).
+        """
         if self.loading_model:
             raise WorkerRefusalError(503, "loading")
         if request["model"] != self.loaded_model:
@@ -155,25 +195,25 @@
         fetch_micros, fetch_tokens = await self._fetch(request, prefix)
         reused_count = self._count_cached_parts(prefix, salt)
         for part in prefix[:reused_count]:
-            kept = self.cache[part["key"]]
+            cached_part = self.cache[part["key"]]
             record.reused_tokens += int(part["tokens"])
             record.reused_keys.append(part["key"])
-            if kept.model != self.loaded_model:
-                record.foreign.append(f"weights {kept.model} on {self.loaded_model}")
-            if kept.salt != salt:
-                record.foreign.append(f"salt {kept.salt} for {salt}")
-            if kept.tenant != record.tenant and kept.tenant not in record.shared_with:
-                record.shared_with.append(kept.tenant)
+            if cached_part.model != self.loaded_model:
+                record.foreign.append(f"weights {cached_part.model} on {self.loaded_model}")
+            if cached_part.salt != salt:
+                record.foreign.append(f"salt {cached_part.salt} for {salt}")
+            if cached_part.tenant != record.tenant and cached_part.tenant not in record.shared_with:
+                record.shared_with.append(cached_part.tenant)
         self.on_run(record)
         missed_tokens = sum(int(p["tokens"]) for p in prefix[reused_count:])
-        # One prefill at a time: a worker that all jobs are sent to makes them wait.
-        own_micros = missed_tokens * self.speed.prefill_micros
-        self.prefill_free_at = end_micros = max(self.clock.now(), self.prefill_free_at) + own_micros
+        # Prefills run one at a time, so that jobs queue at a worker that too many are sent to.
+        job_prefill_micros = missed_tokens * self.speed.prefill_micros
+        self.prefill_free_at = end_micros = max(self.clock.now(), self.prefill_free_at) + job_prefill_micros
         try:
             await sleep_for(self.clock, end_micros - self.clock.now())
         except BaseException:
-            # A job that is closed while it waits leaves its turn to those behind.
-            self.prefill_free_at -= min(own_micros, max(0, end_micros - self.clock.now()))
+            # A cancelled job gives the time that it has not used to the jobs that wait behind it.
+            self.prefill_free_at -= min(job_prefill_micros, max(0, end_micros - self.clock.now()))
             raise
         for part in prefix[reused_count:]:
             if part["key"]:
@@ -185,7 +225,7 @@
         for line_number in range(line_count):
             await sleep_for(self.clock, line_micros * max(1, self.running_count // BATCH_SIZE))
             if self.loaded_model != record.loaded_model or self.load_count != load_count:
-                return  # It was loaded over: what it had in hand is gone.
+                return  # A load has replaced the model meanwhile, and ended this job with it.
             if self.cut_after_lines is not None and line_number >= self.cut_after_lines:
                 return
             yield {
@@ -202,11 +242,11 @@
                 "fetch_micros": fetch_micros,
                 "fetch_tokens": fetch_tokens,
             },
-            "timings": {"prompt_n": missed_tokens, "prompt_ms": own_micros / MILLI},
+            "timings": {"prompt_n": missed_tokens, "prompt_ms": job_prefill_micros / MILLI},
         }
 
     async def _fetch(self, request: dict[str, Any], prefix: list[dict[str, Any]]) -> tuple[int, int]:
-        """Fetches within its limit; what did not come is prefilled."""
+        """Fetches the planned parts within the limit; the others are prefilled. Returns microseconds and tokens."""
         plan = request.get("kv_transfer_params") or {}
         if not plan:
             return 0, 0
@@ -217,43 +257,52 @@
                 continue
             if left_micros <= 0:
                 break
-            kept = await self.link.fetch(plan["remote"], part["key"], left_micros)
-            if kept is None:
+            cached_part = await self.link.fetch(plan["remote"], part["key"], left_micros)
+            if cached_part is None:
                 break
-            token_count += kept.tokens
-            await self._cache_part(part["key"], kept)
+            token_count += cached_part.tokens
+            await self._cache_part(part["key"], cached_part)
         return self.clock.now() - start_micros, token_count
 
     def _count_cached_parts(self, prefix: list[dict[str, Any]], salt: str) -> int:
+        """How many parts at the beginning of the prefix are cached under this salt; marks them as recently used."""
         for position, part in enumerate(prefix):
-            kept = self.cache.get(part["key"]) if part["key"] else None
-            if kept is None or kept.salt != salt:
+            cached_part = self.cache.get(part["key"]) if part["key"] else None
+            if cached_part is None or cached_part.salt != salt:
                 return position
             self.cache.move_to_end(part["key"])
         return len(prefix)
 
-    async def _cache_part(self, key: str, kept: CachedPart) -> None:
-        self.cache[key] = kept
+    async def _cache_part(self, key: str, cached_part: CachedPart) -> None:
+        self.cache[key] = cached_part
         self.log.append_event("kept", key)
         while len(self.cache) > CACHE_KEY_LIMIT:
             evicted_key, _ = self.cache.popitem(last=False)
             self.log.append_event("dropped", evicted_key)
-        await self.link.write_to_store(key, kept)
+        await self.link.write_to_store(key, cached_part)
 
     async def claim(self, fence: int) -> dict[str, Any]:
-        """A new holder shows its fence: from here on no older one commands."""
+        """Takes the fence of a new lease holder: commands with an older one are refused from now on.
+
+        Raises WorkerRefusalError (409) when the fence itself is older than the highest one seen.
+        """
         self._accept_fence(fence, "")
         return {"life": self.log.life, "fence": self.highest_fence}
 
     def _accept_fence(self, fence: int, model: str) -> None:
-        is_taken = fence >= self.highest_fence
-        self.commands.append((fence, model, is_taken))
-        if not is_taken:
+        is_accepted = fence >= self.highest_fence
+        self.commands.append((fence, model, is_accepted))
+        if not is_accepted:
             raise WorkerRefusalError(409, f"fence {fence} is older than {self.highest_fence}")
         self.highest_fence = fence
 
     async def load(self, fence: int, model: str) -> dict[str, Any]:
-        """Drains, loads, clears and confirms; an older fence is rejected."""
+        """Loads a model and clears the cache; the answer says from which sequence number on events are of this model.
+
+        A model that is loaded already is not loaded again. Waits for a load in progress and, with
+        `drains_before_load`, for running jobs. Raises WorkerRefusalError for an older fence, also one that became so
+        while this load waited for another (409), and for an injected failure (500).
+        """
         self._accept_fence(fence, model)
         while self.loading_model:
             await sleep_for(self.clock, 20 * MILLI)
@@ -278,6 +327,10 @@
         return {"life": self.log.life, "sequence": self.log.sequence, "model": model}
 
     def events(self, life: str, after: int) -> dict[str, Any]:
+        """The report of cached parts to a reader (see `CacheEventLog.read`), with the load of the worker.
+
+        A silent worker answers from the reader's own position, as if nothing had happened since.
+        """
         waiting_tokens = max(0, self.prefill_free_at - self.clock.now()) // self.speed.prefill_micros
         load = {"running": self.running_count, "waiting_tokens": waiting_tokens}
         if self.log.is_silent:
@@ -294,26 +347,29 @@
 
 
 class StoreModel:
-    """The shared store of kept parts: it lists keys and checks none."""
+    """The shared store of cached parts. It does not check for whom parts are written or read."""
 
     def __init__(self, chance: random.Random) -> None:
         self.log = CacheEventLog(chance.randbytes(8).hex())
         self.kept: OrderedDict[str, CachedPart] = OrderedDict()
 
     def put(self, key: str, kept: CachedPart) -> None:
+        """Stores a part; only a new key becomes an event."""
         if key not in self.kept:
             self.log.append_event("kept", key)
         self.kept[key] = kept
 
     def get(self, key: str) -> CachedPart | None:
+        """The part of a key, if there is one."""
         return self.kept.get(key)
 
     def events(self, life: str, after: int) -> dict[str, Any]:
+        """The report of stored parts to a reader (see `CacheEventLog.read`)."""
         return self.log.read(life, after, list(self.kept))
 
 
 class ApplicationModel:
-    """The small application service: it answers plain jobs without any model."""
+    """An application service, which answers jobs without a model."""
 
     def __init__(self, clock: Clock, on_run: Callable[[RunRecord], None] = lambda record: None) -> None:
         self.clock = clock
@@ -322,6 +378,7 @@
         self.line_micros = 2 * MILLI
 
     async def run(self, request: dict[str, Any], upstream_id: str) -> AsyncGenerator[dict[str, Any], None]:
+        """Runs a job and yields a completion event for each line, and at last one with the usage."""
         record = RunRecord(upstream_id, request["user"], request["model"], request["model"], self.clock.now())
         self.runs.append(record)
         self.on_run(record)
