--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -75,8 +75,8 @@
 class CompletionsHandler(RequestHandler):
     """Runs a job and streams its answer as server-sent events.
 
-    A run whose last event is no usage event was cut short: the connection is closed without `[DONE]`, so that the client
-    sees it too. A job whose client disconnects is cancelled.
+    A run whose last event is no usage event was cut short: the connection is closed without `[DONE]`, which shows the
+    client that the answer is incomplete. A job whose client disconnects is cancelled.
     """
 
     def initialize(self, model: WorkerModel | ApplicationModel) -> None:
--- a/tests/countplugin.py
+++ b/tests/countplugin.py
@@ -1,4 +1,4 @@
-"""CountPlugin: counts nose2's outcomes for the closing line, and passes over the tests of KNOWN-RED.txt."""
+"""A nose2 plugin that counts outcomes for the last line of tests/run.py and lets the tests of KNOWN-RED.txt fail."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 
 OUTCOMES = {"passed": 0, "failed": 0}
 KNOWN_RED_TESTS: dict[str, KnownRedTest] = {}
-# The ids of listed tests that failed, as they may.
+# Ids of the tests listed in KNOWN-RED.txt that have failed in this run.
 KNOWN_RED_SEEN: set[str] = set()
 
 
 def missing_known_red() -> list[str]:
-    """Listed tests that did not fail in this run: they passed, or no test has that id."""
+    """Ids listed in KNOWN-RED.txt that did not fail in this run: the test passed, or there is no such test."""
     return sorted(set(KNOWN_RED_TESTS) - KNOWN_RED_SEEN)
 
 
 class CountPlugin(events.Plugin):  # type: ignore[misc]
+    """Hooks of nose2, called under these names."""
+
     configSection = "count"
     alwaysOn = True
 
@@ -28,7 +30,7 @@
         KNOWN_RED_TESTS.update(load_known_red_tests())
 
     def setTestOutcome(self, event: Any) -> None:
-        """Before anybody counts: a listed test that fails is reported as skipped, one that passes as failed."""
+        """Changes the outcome of listed tests before any plugin counts it: a failure becomes skipped, a pass failed."""
         if event.outcome in ("skipped", "subtest"):
             return
         test_id = event.test.id()
@@ -39,18 +41,18 @@
             event.reason = f"known red: {KNOWN_RED_TESTS[test_id].cause}"
         elif judgement is Judgement.STALE:
             event.outcome, event.expected = "failed", False
-            event.exc_info = _failure(f"{test_id} passes: take its line out of KNOWN-RED.txt")
+            event.exc_info = _failure_info(f"{test_id} passes: remove its line from KNOWN-RED.txt")
 
     def testOutcome(self, event: Any) -> None:
         if event.outcome == "subtest":
-            # A good subtest is part of its test; a bad one counts by itself.
+            # A subtest that passes counts with its test; one that fails counts by itself.
             OUTCOMES["failed"] += event.exc_info is not None
         elif event.test.id() not in KNOWN_RED_SEEN:
             OUTCOMES["passed" if event.outcome == "passed" else "failed"] += 1
 
 
-def _failure(text: str) -> Any:
-    """As the runner hands over a failed assertion."""
+def _failure_info(text: str) -> Any:
+    """The exc_info of a failed assertion, as nose2 passes it in events."""
     try:
         raise AssertionError(text)
     except AssertionError:
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,4 +1,4 @@
-"""The test command: ruff, mypy, nose2 and the seeded simulator runs; ends with one closing line."""
+"""Runs all checks: ruff, mypy, and with nose2 all tests, also the seeded simulator runs. Prints the counts last."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def main() -> int:
     logging.getLogger("pearhead").handlers = [logging.NullHandler()]
     passed_count = failed_count = 0
-    # The folder is no package, as the interpreter has a module of its name: its files are checked by themselves.
+    # platform/ is not a package, as its name is that of a standard module; mypy is given its files one by one.
     platform_files = [str(path) for path in sorted((ROOT / "platform").glob("*.py"))]
     for command in (["ruff", "check", "."], ["ruff", "format", "--check", "."], ["mypy"], ["mypy", *platform_files]):
         finished = subprocess.run([sys.executable, "-m", *command], cwd=ROOT, check=False)
--- a/tests/test_deploy_packages.py
+++ b/tests/test_deploy_packages.py
@@ -1,4 +1,7 @@
-"""`packages` of deploy/system.toml against the table of docs/system.md §8 and what the wheels link to."""
+"""Checks `packages` in deploy/system.toml against the table of docs/system.md §8 and what the wheels link to.
+
+Otherwise a program or library could be used whose package is missing from the list.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,11 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-PACKAGE = re.compile(r"[a-z0-9][a-z0-9+.-]+")
-NAME = re.compile(r"`([^`]+)`")
-HEAD = "| program or library | used by | package | listed |"
-# Of the kernel, in no package.
-NO_FILES = {"linux-vdso.so.1"}
+PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")
+QUOTED_NAME = re.compile(r"`([^`]+)`")
+TABLE_HEAD = "| program or library | used by | package | listed |"
+# Mapped by the kernel; no package contains it.
+KERNEL_LIBRARIES = {"linux-vdso.so.1"}
 
 
 def read_deploy() -> dict[str, Any]:
@@ -24,33 +27,33 @@
 
 
 def read_table(text: str) -> list[tuple[set[str], set[str], str]]:
-    """Of each row the programs and libraries that it names, their packages, and the listed one."""
-    lines = text[text.index(HEAD) :].split("\n\n")[0].splitlines()[2:]
+    """For each row: the programs and libraries, the packages that contain them, and the package to be listed."""
+    lines = text[text.index(TABLE_HEAD) :].split("\n\n")[0].splitlines()[2:]
     rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
-    return [(set(NAME.findall(used)), set(packages.split(", ")), listed) for used, _, packages, listed in rows]
+    return [(set(QUOTED_NAME.findall(used)), set(packages.split(", ")), listed) for used, _, packages, listed in rows]
 
 
 def find_faults(packages: object, table: list[tuple[set[str], set[str], str]]) -> list[str]:
     if not isinstance(packages, list) or not all(isinstance(name, str) for name in packages):
-        return ["packages is no list of texts"]
-    faults = [f"{name!r} is no name of a package" for name in packages if not PACKAGE.fullmatch(name)]
+        return ["packages is not a list of strings"]
+    faults = [f"{name!r} is not a package name" for name in packages if not PACKAGE_NAME.fullmatch(name)]
     if packages != sorted(set(packages)):
-        faults.append("packages are not in order, or twice there")
+        faults.append("packages are not sorted or contain duplicates")
     listed = {name for _, _, name in table}
-    faults.extend(f"{name} is in the table and not listed" for name in sorted(listed - set(packages)))
-    faults.extend(f"{name} is listed and not in the table" for name in sorted(set(packages) - listed))
+    faults.extend(f"{name} is in the table but not listed" for name in sorted(listed - set(packages)))
+    faults.extend(f"{name} is listed but not in the table" for name in sorted(set(packages) - listed))
     named = {name for _, found, _ in table for name in found}
-    faults.extend(f"{name!r} is no name of a package" for name in sorted(named) if not PACKAGE.fullmatch(name))
+    faults.extend(f"{name!r} is not a package name" for name in sorted(named) if not PACKAGE_NAME.fullmatch(name))
     return faults
 
 
 def linked_by_wheels() -> set[str]:
-    """The libraries that the modules of the roles' own requirements name."""
+    """The shared libraries that the extension modules of requirements.txt link to."""
     names = [line.partition("==")[0] for line in (ROOT / "requirements.txt").read_text().splitlines() if line]
     files: Iterable[Any] = (f for name in names for f in importlib.metadata.files(name) or ())
     modules = [str(f.locate()) for f in files if ".so" in f.suffixes]
-    told = subprocess.run(["ldd", *modules], capture_output=True, text=True, check=True, timeout=60).stdout
-    return {Path(line.split()[0]).name for line in told.splitlines() if line.startswith("\t")} - NO_FILES
+    ldd_output = subprocess.run(["ldd", *modules], capture_output=True, text=True, check=True, timeout=60).stdout
+    return {Path(line.split()[0]).name for line in ldd_output.splitlines() if line.startswith("\t")} - KERNEL_LIBRARIES
 
 
 class PackagesTest(unittest.TestCase):
@@ -65,7 +68,9 @@
         named = {name for names, _, _ in self.table for name in names}
         steps = [step.split() for step in re.split(r"\|\||&&|;", self.deploy["build"])]
         built_by = {step[0] for step in steps} | {step[2] for step in steps if step[1] == "-m"}
-        self.assertEqual(built_by, {"[", "python3", "pip"}, "the shell's own `[`, and what the table must name")
+        self.assertEqual(
+            built_by, {"[", "python3", "pip"}, "besides the shell's `[`, programs that the table must name"
+        )
         runs = {role["run"].split()[0] for role in self.deploy["roles"].values()}
         self.assertLessEqual((built_by - {"["}) | runs | {"sh"}, named)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,7 @@
-"""KNOWN-RED.txt: only the listed tests are passed over, and a line whose test passes makes the run fail."""
+"""Only tests listed in KNOWN-RED.txt may fail, and a listed test that passes or does not exist fails the run.
+
+Otherwise a line would outlive its fault and hide the next failure of the same test.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
         self.assertIs(judge("tests.test_a.ATest.test_xy", True, known), Judgement.AS_IS)
 
     def run_with(self, lines: str) -> str:
-        """What the runner says of one test that fails and one that passes, with this list."""
+        """The output of nose2 for one failing and one passing test, with these lines in KNOWN-RED.txt."""
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "KNOWN-RED.txt").write_text(lines)
             Path(folder, "test_a.py").write_text(TESTS)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""Rules of the house that a reader would have to look for line by line."""
+"""Rules for the whole source tree that a reviewer could otherwise check only line by line.
+
+Among them: no code of the daemons reads the wall clock or starts processes, no shipped file holds tests, and the pages
+name every section, scenario and mutation.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +20,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SOURCE = ROOT / "src" / "pearhead"
-# What is shipped; tests stand in tests/ only.
+# Folders that are shipped; test code belongs in tests/ only.
 PRODUCT_FOLDERS = ("src", "platform")
-# Lower it with each file that becomes clean.
-MOST_WITHOUT_DOCSTRINGS = 127
-DECIDING = (
+# The number of files that pyproject.toml exempts from the docstring rules. Lower it with each file taken off that list.
+MAX_FILES_WITHOUT_DOCSTRINGS = 127
+# The packages of the daemons.
+DAEMON_PACKAGES = (
     "runtime",
     "rpc",
     "discovery",
@@ -30,7 +35,8 @@
     "control_plane",
     "router",
 )
-WALL_CALLS = {
+# Daemons read the time and wait through pearhead.runtime.clock only, which the simulator replaces.
+CLOCK_CALLS = {
     "time.time",
     "time.time_ns",
     "time.monotonic",
@@ -41,16 +47,16 @@
 }
 
 
-def find_calls(source_text: str) -> list[str]:
+def find_clock_calls(source_text: str) -> list[str]:
     return [
         ast.unparse(node.func)
         for node in ast.walk(ast.parse(source_text))
-        if isinstance(node, ast.Call) and ast.unparse(node.func) in WALL_CALLS
+        if isinstance(node, ast.Call) and ast.unparse(node.func) in CLOCK_CALLS
     ]
 
 
 def imported_modules(node: ast.AST) -> list[str]:
-    """The modules that a statement imports; none for anything but an import."""
+    """The modules that a statement imports; empty for a node that is not an import."""
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     if isinstance(node, ast.ImportFrom):
@@ -59,7 +65,7 @@
 
 
 def find_test_code(source_text: str) -> list[str]:
-    """Imports of unittest, and classes that are or derive from a test case."""
+    """Imports of unittest, and classes with a test case among their bases."""
     found = []
     for node in ast.walk(ast.parse(source_text)):
         if any(module.split(".")[0] == "unittest" for module in imported_modules(node)):
@@ -71,16 +77,16 @@
 
 class RulesTest(unittest.TestCase):
     def test_nothing_that_decides_reads_wall_time(self) -> None:
-        file_paths = [p for name in DECIDING for p in sorted((SOURCE / name).rglob("*.py"))]
+        file_paths = [path for name in DAEMON_PACKAGES for path in sorted((SOURCE / name).rglob("*.py"))]
         self.assertGreater(len(file_paths), 40)
-        found = {str(p.relative_to(SOURCE)): find_calls(p.read_text()) for p in file_paths}
+        found = {str(path.relative_to(SOURCE)): find_clock_calls(path.read_text()) for path in file_paths}
         self.assertEqual({name: calls for name, calls in found.items() if calls}, {})
-        self.assertEqual(find_calls("import time\nx = time.time()"), ["time.time"])
+        self.assertEqual(find_clock_calls("import time\nx = time.time()"), ["time.time"])
 
     def test_no_product_file_holds_tests(self) -> None:
-        file_paths = [p for folder in PRODUCT_FOLDERS for p in sorted((ROOT / folder).rglob("*.py"))]
+        file_paths = [path for folder in PRODUCT_FOLDERS for path in sorted((ROOT / folder).rglob("*.py"))]
         self.assertGreater(len(file_paths), 100)
-        found = {str(p.relative_to(ROOT)): find_test_code(p.read_text()) for p in file_paths}
+        found = {str(path.relative_to(ROOT)): find_test_code(path.read_text()) for path in file_paths}
         self.assertEqual({name: lines for name, lines in found.items() if lines}, {})
 
     def test_planted_test_code_is_found(self) -> None:
@@ -98,17 +104,17 @@
             self.assertEqual(find_test_code(source_text), expected, source_text)
 
     def test_no_daemon_starts_a_process(self) -> None:
-        names = ("subprocess", "multiprocessing", "os.fork", "os.system", "os.exec")
-        for name in (*DECIDING, "pearheadctl"):
+        process_modules = ("subprocess", "multiprocessing", "os.fork", "os.system", "os.exec")
+        for name in (*DAEMON_PACKAGES, "pearheadctl"):
             for file_path in sorted((SOURCE / name).rglob("*.py")):
-                self.assertFalse([n for n in names if n in file_path.read_text()], file_path)
+                self.assertFalse([m for m in process_modules if m in file_path.read_text()], file_path)
 
     def test_the_list_of_files_without_docstrings_only_shrinks(self) -> None:
         settings = tomllib.loads((ROOT / "pyproject.toml").read_text())
         ignored = settings["tool"]["ruff"]["lint"]["per-file-ignores"]
-        unclean = [name for name, codes in ignored.items() if "D" in codes and not name.startswith("tests/")]
-        self.assertLessEqual(len(unclean), MOST_WITHOUT_DOCSTRINGS)
-        self.assertEqual([name for name in unclean if not (ROOT / name).exists()], [])
+        exempt_files = [name for name, codes in ignored.items() if "D" in codes and not name.startswith("tests/")]
+        self.assertLessEqual(len(exempt_files), MAX_FILES_WITHOUT_DOCSTRINGS)
+        self.assertEqual([name for name in exempt_files if not (ROOT / name).exists()], [])
 
     def test_the_path_below_the_edges_opens_no_socket_of_its_own(self) -> None:
         for file_path in sorted((SOURCE / "invalidation").rglob("*.py")) + sorted((SOURCE / "consensus").rglob("*.py")):
