--- a/src/pearhead/testbed/launcher.py
+++ b/src/pearhead/testbed/launcher.py
@@ -1,4 +1,4 @@
-"""Process launcher (§9.3): starts, stops, freezes and kills the processes of a fleet on one machine."""
+"""Process launcher (§9.3), in place of the platform: starts, stops, freezes and kills a fleet on one machine."""
 
 from __future__ import annotations
 
@@ -184,11 +184,11 @@
         proc_path = Path(f"/proc/{process_id}")
         try:
             command_bytes = (proc_path / "cmdline").read_bytes()
-            state_text = (proc_path / "stat").read_text().rsplit(")", 1)[1].split()[0]
+            process_state = (proc_path / "stat").read_text().rsplit(")", 1)[1].split()[0]
         except (OSError, IndexError):
             return False
         # The kernel may have given the id to another program since; only processes of this project may be signalled.
-        return any(marker in command_bytes for marker in OWN_COMMAND_MARKERS) and state_text != "Z"
+        return any(marker in command_bytes for marker in OWN_COMMAND_MARKERS) and process_state != "Z"
 
     def stop(self, name: str) -> None:
         """Ends a process with SIGTERM, also a frozen one, and with SIGKILL if it still runs after `STOP_SECONDS`."""
@@ -217,7 +217,10 @@
     # ---- commands to processes, and waiting for their state ----------------------------------------
 
     def destroy_core(self, name: str) -> None:
-        """Kills a core, deletes its data, and starts an empty one at a new address, with the other cores as seeds."""
+        """Simulates the loss of a core with its disk, and its replacement by an empty one at a new address.
+
+        The other cores become its seeds.
+        """
         self.send_signal(name, signal.SIGKILL)
         self.wait_until(lambda: not self.is_alive(name), f"{name} is gone")
         core = self.plan["processes"][name]
@@ -273,7 +276,7 @@
         return answer
 
     def set_up(self) -> None:
-        """Gives the fleet its worker list and its first description, unless it has had one already.
+        """Gives the fleet its worker list, and its first description unless it has one already.
 
         Raises RuntimeError when the cores refuse one of them.
         """
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -21,7 +21,7 @@
 LINE_COUNT = 6
 LOAD_MICROS = 1_500 * MILLI
 EVENT_LIMIT = 5_000
-# With twice as many running jobs and more, each line takes a multiple of its time.
+# The time of each line is multiplied by the number of running jobs // BATCH_SIZE, but at least by 1.
 BATCH_SIZE = 4
 CACHE_KEY_LIMIT = 4_000
 
@@ -69,11 +69,9 @@
 
     async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
         """The part of a key at `remote_address`; None if it is not there or can't be transferred within the limit."""
-        ...
 
     async def write_to_store(self, key: str, kept: CachedPart) -> None:
         """Writes a part to the store of the worker."""
-        ...
 
 
 def expected_text(body: str, line_number: int) -> str:
@@ -122,7 +120,8 @@
     def read(self, life: str, after: int, cached_keys: list[str]) -> dict[str, Any]:
         """The report for a reader that has read `life` up to the sequence number `after`.
 
-        It is whole, with all of `cached_keys`, when the reader knows another life, or events that it lacks are gone.
+        It is whole, with all of `cached_keys`, when the reader's life is another, its number is ahead of this log, or
+        events that it lacks are no longer retained.
         """
         is_whole = life != self.life or after > self.sequence or (bool(self.events) and after + 1 < self.events[0][0])
         new_events = [] if is_whole else [e for e in self.events if e[0] > after]
