--- a/src/pearhead/testbed/emulator/corestrikes.py
+++ b/src/pearhead/testbed/emulator/corestrikes.py
@@ -1,4 +1,4 @@
-"""CoreStrikes (§9.13): losses and replacements of core machines, closing faults, and orders under trouble."""
+"""CoreFaultInjector (§9.13): losses and replacements of core machines, and configuration changes during them."""
 
 from __future__ import annotations
 
@@ -10,32 +10,37 @@
 from pearhead.testbed.emulator.launcher import SiteLauncher
 from pearhead.testbed.emulator.plan import BOUNDS
 
-MOST_ORDERS = 8
+MAX_CONCURRENT_CHANGES = 8
 
 
-class CoreStrikes:
-    """What may befall the core of a running site. Between two losses lies `settle`, as `Tolerance` has it."""
+class CoreFaultInjector:
+    """Injects faults into the core of a running site.
+
+    Callers call `settle` between two losses, as `Tolerance` allows only one machine to be lost at a time.
+    """
 
     def __init__(self, launcher: SiteLauncher) -> None:
         self.launcher = launcher
 
     def names(self) -> list[str]:
+        """The names of the present core machines."""
         return [m.name for m in self.launcher.site.of("control_plane")]
 
     def settle(self) -> None:
+        """Waits for `SettleS`, after which the core may lose a machine again."""
         time.sleep(BOUNDS["SettleS"])
 
     # ---- machines ----------------------------------------------------------------------------------
 
     def replace_lost(self, name: str, after_seconds: float) -> str:
-        """A machine is gone with its disk; a new one comes at another address some time after. Returns its name."""
+        """Kills a machine and removes it with its disk; `after_seconds` later adds a new one. Returns the new name."""
         self._kill([name])
         self.launcher.remove_core(name)
         time.sleep(after_seconds)
         return self.launcher.add_core()
 
     def replace_planned(self, name: str, lead_seconds: float) -> str:
-        """A new machine comes first; some time after, the old one is told to end, and is gone. Returns the new one."""
+        """Adds a new machine; `lead_seconds` later stops the old one and removes it. Returns the new name."""
         successor = self.launcher.add_core()
         time.sleep(lead_seconds)
         self.launcher.stop(name)
@@ -43,18 +48,19 @@
         return successor
 
     def wipe(self, name: str) -> None:
-        """One machine's process is killed and its disk lost; it starts again with an empty one."""
+        """Kills the process of one machine, deletes its disk contents, and starts it again."""
         self._kill([name])
         self.launcher.wipe(name)
         self.launcher.start(name)
 
     def kill_all(self, down_seconds: float = 0.5) -> None:
+        """Kills all core processes at once, and starts them again `down_seconds` later."""
         self._kill(self.names())
         time.sleep(down_seconds)
         self._start(self.names())
 
     def wipe_while_all_are_down(self, name: str, down_seconds: float = 0.5) -> None:
-        """All processes are killed at once, and one machine's disk is lost with it."""
+        """Kills all core processes at once, deletes the disk contents of one machine, and starts all again."""
         self._kill(self.names())
         self.launcher.wipe(name)
         time.sleep(down_seconds)
@@ -70,48 +76,51 @@
         for name in names:
             self.launcher.start(name)
 
-    # ---- orders ------------------------------------------------------------------------------------
+    # ---- configuration changes ---------------------------------------------------------------------
 
     def next_config(self, step: int = 1) -> dict[str, Any]:
-        """A further configuration: a route of its own, that no other has, is added to the known one."""
+        """The last accepted configuration plus a route that no other change adds. `step`: added to its revision."""
         config: dict[str, Any] = copy.deepcopy(self.launcher.plan["config"])
         config["Revision"] += step
         self.launcher.plan["changes"] += 1
-        word = f"changed{self.launcher.plan['changes']}"
-        config["RouteTable"].append({**config["RouteTable"][0], "Name": f"r-{word}", "Prefix": f"/{word}/"})
+        route_name = f"changed{self.launcher.plan['changes']}"
+        config["RouteTable"].append({**config["RouteTable"][0], "Name": f"r-{route_name}", "Prefix": f"/{route_name}/"})
         return config
 
     def change(self, lost_answers: int = 0) -> int:
-        """Status of one further change."""
+        """Sends one change and returns its status. `lost_answers`: how many answers to it are lost."""
         return self.launcher.put(self.next_config(), lost_answers)
 
-    def two_operators(self, lost_answers: int = 0) -> list[int]:
-        """Two send different changes under one number at once."""
-        return self.launcher.put_at_once([self.next_config(), self.next_config()], lost_answers)
+    def change_from_two_operators(self, lost_answers: int = 0) -> list[int]:
+        """Sends two different changes with the same revision number at once. Returns their statuses."""
+        return self.launcher.put_concurrently([self.next_config(), self.next_config()], lost_answers)
 
-    def several_orders(self, count: int = MOST_ORDERS, lost_answers: int = 0) -> list[int]:
-        """Several changes under numbers of their own, all on one base, at once."""
-        return self.launcher.put_at_once([self.next_config(1 + n) for n in range(count)], lost_answers)
+    def change_concurrently(self, count: int = MAX_CONCURRENT_CHANGES, lost_answers: int = 0) -> list[int]:
+        """Sends `count` changes with different numbers on the same base at once. Returns their statuses."""
+        return self.launcher.put_concurrently([self.next_config(1 + n) for n in range(count)], lost_answers)
 
-    # ---- closing faults ----------------------------------------------------------------------------
+    # ---- faults right after a change ---------------------------------------------------------------
 
-    def close_by_kill(self) -> tuple[int, dict[str, Any]]:
-        """All cores are killed right after a change was acknowledged. Its status, and what is read back."""
+    def change_then_kill_all(self) -> tuple[int, dict[str, Any]]:
+        """Kills all cores right after a change was answered. Returns its status and the configuration read back."""
         status = self.change()
         self.kill_all()
         return status, self.launcher.read_config()
 
-    def close_soon_after_sending(self, after_seconds: float) -> int:
-        """All cores are killed soon after a change was sent, whether or not it was acknowledged. Its status."""
+    def kill_all_during_change(self, after_seconds: float) -> int:
+        """Kills all cores `after_seconds` after a change was sent, answered or not. Returns the change's status."""
 
-        def strike() -> None:
+        def kill_later() -> None:
             time.sleep(after_seconds)
             self.kill_all()
 
-        return self.launcher.put_beside(self.next_config(), strike)
+        return self.launcher.put_during(self.next_config(), kill_later)
+
+    def change_then_wipe(self, name: str, is_all_down: bool) -> tuple[int, dict[str, Any]]:
+        """Loses one disk right after a change was answered, with `is_all_down` while all cores are down.
 
-    def close_by_wipe(self, name: str, is_all_down: bool) -> tuple[int, dict[str, Any]]:
-        """One disk is lost right after a change was acknowledged, at need while all others are down."""
+        Returns the change's status and the configuration read back.
+        """
         status = self.change()
         if is_all_down:
             self.wipe_while_all_are_down(name)
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -1,4 +1,4 @@
-"""SiteLauncher (§9.13): starts the programs behind `platform/` inside the emulated platform, on loopback."""
+"""SiteLauncher (§9.13): runs the programs in `platform/` inside the emulated platform, on loopback addresses."""
 
 from __future__ import annotations
 
@@ -55,19 +55,23 @@
 CLAIMED_PORTS = (*PORTS.values(), READINESS_PORT, INNER_PORTS[0])
 PLATFORM_PROGRAMS = ("control_plane", "router")
 START_ORDER = ("cloud", "store", "engine", "control_plane", "router")
-SIGNAL_WORDS = {
+TROUBLE_BY_SIGNAL = {
     signal.SIGKILL: "killed",
     signal.SIGTERM: "stopped",
     signal.SIGSTOP: "frozen",
     signal.SIGCONT: "woken",
     signal.SIGHUP: "reloaded",
 }
-LIFE_LINE = re.compile(r" Listens\. node=(\w+) address=([\d.]+):")
-PASSED_ON = ("PATH", "HOME", "LANG")
+LISTENING_LINE = re.compile(r" Listens\. node=(\w+) address=([\d.]+):")
+INHERITED_VARIABLES = ("PATH", "HOME", "LANG")
 
 
 class SiteLauncher(Launcher):
-    """One emulated site in a folder. Raises RuntimeError where something does not come in time."""
+    """Starts, stops, observes and disturbs one emulated site, whose files are all in one folder.
+
+    The state that outlives this object is in `plan`, which is saved after each change. Methods that wait raise
+    RuntimeError if what they wait for does not happen in time.
+    """
 
     def __init__(self, folder: str) -> None:
         super().__init__(folder)
@@ -76,13 +80,16 @@
 
     @property
     def site(self) -> SitePlan:
+        """The saved plan of the site, as a new object; changes to it must be saved explicitly."""
         return read_plan(self.plan["site"])
 
     @property
     def ledger_path(self) -> Path:
+        """The folder with the ledger files of all processes."""
         return self.folder_path / "ledger"
 
     def make_site(self, deployment: Deployment, size: SiteSize, seed: int) -> None:
+        """Claims an address block, draws a plan for it from the seed, and saves the plan. Starts nothing."""
         self.folder_path.mkdir(parents=True, exist_ok=True)
         self.release_block()
         self.block = claim_free_block(CLAIMED_PORTS, os.getpid())
@@ -109,7 +116,10 @@
     # ---- addresses ---------------------------------------------------------------------------------
 
     def claim_block(self) -> None:
-        """Claims the site's addresses anew, before its processes start again after all had ended."""
+        """Claims the site's address block again, unless it is still held or a process of the site is running.
+
+        Raises RuntimeError if another site has taken the block meanwhile.
+        """
         if self.block is not None or any(self.is_alive(name) for name in self.plan["processes"]):
             return
         number = int(self.site.machines[0].ip.split(".")[1])
@@ -119,7 +129,7 @@
             raise RuntimeError(f"the site's addresses are in use: {fault}") from fault
 
     def release_block(self) -> None:
-        """From now on only the site's own processes keep its addresses."""
+        """Releases the address block; from now on only the site's running processes occupy its addresses."""
         if self.block is not None:
             self.block.release()
             self.block = None
@@ -127,6 +137,7 @@
     # ---- processes ---------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
+        """Writes the settings file of a process, starts the process, and records the start."""
         settings_path = self.folder_path / f"{name}.json"
         settings_path.write_text(json.dumps(self.settings_of(name), indent=2))
         self.plan["ids"][name] = self._spawn(name, settings_path)
@@ -134,7 +145,7 @@
         self._note(name, "started")
 
     def settings_of(self, name: str) -> dict[str, Any]:
-        """What the platform writes into a process's settings file when it starts now."""
+        """The contents of a process's settings file if it started now. Creates a node's data folder if missing."""
         site = self.site
         machine = next(m for m in site.machines if m.name == name)
         if machine.program not in PLATFORM_PROGRAMS:
@@ -144,15 +155,17 @@
         return node_settings(site, machine, str(data_path), not self.plan["is_begun"], self.listed_controls())
 
     def _spawn(self, name: str, settings_path: Path) -> int:
-        """Starts the program and returns its process's id."""
+        """Starts the program of a process and returns the process id."""
         program = self.plan["processes"][name]["program"]
         if program in PLATFORM_PROGRAMS:
             arguments = [f"platform/run_{program}.py"]
             if not (ROOT / arguments[0]).exists():
-                raise RuntimeError(f"{arguments[0]} is missing: the platform's programs are in the sources only")
+                raise RuntimeError(
+                    f"{arguments[0]} is missing: the platform's programs exist only in a source checkout"
+                )
         else:
             arguments = ["-m", "pearhead.testbed.emulator.main", program, str(settings_path)]
-        environment = {k: v for k, v in os.environ.items() if k in PASSED_ON}
+        environment = {k: v for k, v in os.environ.items() if k in INHERITED_VARIABLES}
         environment |= {"PEARHEAD_NODE_FILE": str(settings_path), "PYTHONPATH": str(ROOT / "src")}
         with (self.folder_path / f"{name}.log").open("ab") as log_file:
             started = subprocess.Popen(
@@ -167,19 +180,21 @@
         return started.pid
 
     def up(self) -> None:
+        """Starts all processes that are not running."""
         self.claim_block()
         super().up()
         self.plan["is_begun"] = True
         self._save_plan()
 
     def send_signal(self, name: str, signal_number: int) -> bool:
+        """Sends a signal to a process and records its effect. Returns whether the process was alive."""
         is_sent = super().send_signal(name, signal_number)
-        if is_sent and signal_number in SIGNAL_WORDS and self._takes_effect(name, signal_number):
-            self._note(name, SIGNAL_WORDS[signal.Signals(signal_number)])
+        if is_sent and signal_number in TROUBLE_BY_SIGNAL and self._update_frozen(name, signal_number):
+            self._note(name, TROUBLE_BY_SIGNAL[signal.Signals(signal_number)])
         return is_sent
 
-    def _takes_effect(self, name: str, signal_number: int) -> bool:
-        """A process is woken only if it was frozen."""
+    def _update_frozen(self, name: str, signal_number: int) -> bool:
+        """Updates the list of frozen processes. Returns False for a SIGCONT to a process that was not frozen."""
         frozen = self.plan["frozen"]
         if signal_number == signal.SIGSTOP:
             frozen.append(name)
@@ -190,6 +205,7 @@
         return was_frozen
 
     def down(self) -> None:
+        """Stops all processes, those of the emulated platform by SIGKILL, and releases the address block."""
         for name, process in self.plan["processes"].items():
             if process["program"] in ("engine", "store", "cloud"):
                 self.send_signal(name, signal.SIGKILL)
@@ -197,6 +213,7 @@
         self.release_block()
 
     def _note(self, name: str, what: str) -> None:
+        """Records a trouble of a process, also of a removed machine, in the ledger."""
         process = {**self.plan["processes"], **self.plan["retired"]}[name]
         sink = LedgerFile(self.ledger_path / "troubles.jsonl")
         ip = process["httpAddress"].partition(":")[0]
@@ -206,7 +223,7 @@
     # ---- machines that come and go -----------------------------------------------------------------
 
     def add_core(self) -> str:
-        """Starts a core machine that is new, with an empty disk, at an address that none had. Returns its name."""
+        """Adds and starts a core machine with an empty disk, at an address never used before. Returns its name."""
         site = self.site
         number = 1 + sum(
             process["program"] == "control_plane"
@@ -220,30 +237,31 @@
             "program": "control_plane",
             "httpAddress": f"{ip}:{CONTROL_PORT}",
         }
-        self._keep_site(site)
+        self._save_site(site)
         self.start(machine.name)
         return machine.name
 
     def remove_core(self, name: str) -> None:
-        """The machine of a process that has ended is gone with its disk, and its address is used no more."""
+        """Removes the core machine of a process that has ended, with its disk. Its address is not used again."""
         site = self.site
         site.machines = [m for m in site.machines if m.name != name]
         self.plan["retired"][name] = self.plan["processes"].pop(name)
         self.wipe(name)
-        self._keep_site(site)
+        self._save_site(site)
 
     def wipe(self, name: str) -> None:
-        """The disk of a process that has ended is empty from now on."""
+        """Deletes the disk contents of a process that has ended, and records this."""
         shutil.rmtree(self.folder_path / f"{name}.data")
         self._note(name, "wiped")
 
     def listed_controls(self) -> list[str]:
-        """Where orders are served, by the platform's list, which lags by `SeedLagS`."""
+        """The control addresses of the core by the platform's list, which lags behind by `SeedLagS`."""
         shown_until = self.clock.now() - BOUNDS["SeedLagS"] * SECOND
         shown = [addresses for at, addresses in self.plan["listed"] if at <= shown_until]
         return list(shown[-1] if shown else self.plan["listed"][0][1])
 
-    def _keep_site(self, site: SitePlan) -> None:
+    def _save_site(self, site: SitePlan) -> None:
+        """Saves a changed site plan, and when its list of core machines changed."""
         self.plan["site"] = site.fields()
         self.plan["listed"].append([self.clock.now(), site.addresses("control_plane", CONTROL_PORT)])
         self._save_plan()
@@ -252,7 +270,7 @@
 
     @contextmanager
     def operator(self, lost_answers: int = 0) -> Iterator[SiteOperator]:
-        """`lost_answers`: so many answers to its changes are lost on their way."""
+        """An operator that records to the ledger. `lost_answers`: how many answers to its changes are lost."""
         sink = LedgerFile(self.ledger_path / "operator.jsonl")
         chance = random.Random(f"{self.plan['seed']} {sink.file.tell()}")
         try:
@@ -261,27 +279,33 @@
             sink.close()
 
     def set_up(self) -> None:
-        """Sends the first configuration until it is taken."""
+        """Sends the first configuration, for up to 60 s; one that is in force already is no error.
+
+        Raises RuntimeError if it was not accepted.
+        """
         with self.operator() as operator:
             status = asyncio.run(operator.put(self.plan["config"], 0, 60_000_000))
         if status not in (200, 412):
-            raise RuntimeError(f"the first configuration was not taken: {status}")
+            raise RuntimeError(f"the first configuration was not accepted: {status}")
 
     def put(self, config: dict[str, Any], lost_answers: int = 0) -> int:
-        """Sends a whole configuration on top of the one that this launcher knows of. Returns its status."""
-        return self.put_on(config, self.plan["config"]["Revision"], lost_answers=lost_answers)
+        """Sends a whole configuration, based on the last one accepted here. Returns the status; 0 if none came."""
+        return self.put_on_base(config, self.plan["config"]["Revision"], lost_answers=lost_answers)
+
+    def put_on_base(self, config: dict[str, Any], base: int, is_valid: bool = True, lost_answers: int = 0) -> int:
+        """Sends a whole configuration, based on any revision number. Returns the status; 0 if none came.
 
-    def put_on(self, config: dict[str, Any], base: int, is_valid: bool = True, lost_answers: int = 0) -> int:
-        """Sends a whole configuration on top of any number. `is_valid`: what the page says of it."""
+        `is_valid`: whether the platform's rules allow its contents.
+        """
         with self.operator(lost_answers) as operator:
             status = asyncio.run(operator.put(config, base, is_valid=is_valid))
         self._hold(config, status)
         return status
 
-    def put_at_once(self, configs: list[dict[str, Any]], lost_answers: int = 0) -> list[int]:
-        """As many operators as configurations, at once, each on top of the one that this launcher knows of.
+    def put_concurrently(self, configs: list[dict[str, Any]], lost_answers: int = 0) -> list[int]:
+        """Sends configurations concurrently, each by its own operator and based on the last one accepted here.
 
-        `lost_answers`: of each operator.
+        `lost_answers`: how many answers each operator loses. Returns the statuses in the order of `configs`.
         """
         base = self.plan["config"]["Revision"]
 
@@ -296,8 +320,8 @@
             self._hold(config, status)
         return statuses
 
-    def put_beside(self, config: dict[str, Any], work: Callable[[], None]) -> int:
-        """Does some work while a whole configuration is under way; then waits for that one's status."""
+    def put_during(self, config: dict[str, Any], work: Callable[[], None]) -> int:
+        """Runs `work` while a whole configuration is being sent. Returns the configuration's status; 0 if none came."""
         base, statuses = self.plan["config"]["Revision"], []
         with self.operator() as operator:
             sender = threading.Thread(target=lambda: statuses.append(asyncio.run(operator.put(config, base))))
@@ -308,6 +332,7 @@
         return statuses[0]
 
     def patch(self, patch: dict[str, Any], lost_answers: int = 0) -> int:
+        """Sends a change by item name, based on the last configuration accepted here. Returns the status."""
         held = self.plan["config"]
         with self.operator(lost_answers) as operator:
             status = asyncio.run(operator.patch(patch, held))
@@ -315,10 +340,12 @@
         return status
 
     def read_config(self) -> dict[str, Any]:
+        """Reads the configuration in force from the core; empty if no answer came in time."""
         with self.operator() as operator:
             return asyncio.run(operator.read())
 
     def name_version(self, version: int) -> int:
+        """Announces a new version of the model's weights. Returns the core's status; 0 if none came."""
         site = self.site
         cloud = site.addresses("cloud", CLOUD_PORT)[0]
         workers = site.addresses("engine", WORKER_PORT)
@@ -326,14 +353,15 @@
             return asyncio.run(operator.name_version(site.model, version, cloud, workers))
 
     def _hold(self, config: dict[str, Any], status: int) -> None:
+        """Saves a configuration as the last accepted one if its status is 200."""
         if status == 200:
             self.plan["config"] = config
             self._save_plan()
 
-    # ---- waiting and calling -----------------------------------------------------------------------
+    # ---- readiness, requests and ledger ------------------------------------------------------------
 
     def wait_ready(self) -> None:
-        """Ready: every front node says so."""
+        """Waits until the readiness endpoint of every front node answers 200."""
         fronts = self.site.of("router")
 
         async def ask_all() -> bool:
@@ -343,19 +371,23 @@
         self.wait_until(lambda: asyncio.run(ask_all()), "every front node ready")
 
     def version_of(self, name: str) -> int:
-        """The version of the weights at one emulated worker; 0 if it does not say."""
+        """The version of the weights that one emulated worker reports; 0 if it does not answer."""
         answer = asyncio.run(ask(self.plan["processes"][name]["httpAddress"], "GET", "/v1/report"))
         models = answer.fields().get("Models", []) if answer is not None else []
         return int(models[0]["Revision"]) if models else 0
 
-    def command_worker(self, name: str, faults: dict[str, Any]) -> None:
-        """Faults of one emulated worker, by command."""
+    def inject_worker_faults(self, name: str, faults: dict[str, Any]) -> None:
+        """Sets faults of one emulated worker, by the field names of EngineFaults, and records this."""
         address = self.plan["processes"][name]["httpAddress"]
         self._note(name, "commanded")
         asyncio.run(ask(address, "POST", "/site/command", faults))
 
     def call(self, request_count: int, at_once: int, seed: int) -> CallReport:
-        """Each call of a seed draws anew, as no request may carry an id of an earlier one."""
+        """Sends requests, `at_once` of them concurrently, and checks and records their answers.
+
+        The random source also depends on the length of the ledger file, so that repeated calls with one seed don't
+        reuse request ids.
+        """
         sink = LedgerFile(self.ledger_path / "clients.jsonl")
         chance = random.Random(f"{seed} {sink.file.tell()}")
         caller = SiteCaller(self.site, self.clock, chance, sink)
@@ -365,7 +397,7 @@
             sink.close()
 
     def ledger(self) -> SiteLedger:
-        """What all saw, and the names that the nodes' logs tell."""
+        """All records of the site, with the identities of nodes as found in their logs."""
         ledger = read_ledger(self.ledger_path)
         for log_path in sorted(self.folder_path.glob("*.log")):
             for life in read_lives(log_path.read_text(errors="replace")):
@@ -374,20 +406,28 @@
 
 
 def read_lives(log_text: str) -> list[Life]:
-    """The lives that a node's log tells of: how its name begins, and its machine."""
-    return [Life(0, ip, prefix) for prefix, ip in LIFE_LINE.findall(log_text)]
+    """The runs of a node's process found in its log: the beginning of its identity, and its machine's address.
+
+    Their start times are not known: `at` is 0.
+    """
+    return [Life(0, ip, prefix) for prefix, ip in LISTENING_LINE.findall(log_text)]
 
 
 def is_site(folder: str) -> bool:
+    """Whether the folder holds an emulated site, rather than a fleet of the plain Launcher."""
     return Launcher(folder).plan.get("interface") == "platform"
 
 
 def open_launcher(folder: str) -> Launcher:
+    """The launcher that fits the kind of fleet in the folder."""
     return SiteLauncher(folder) if is_site(folder) else Launcher(folder)
 
 
 def start_site(folder: str, deployment: Deployment, size: SiteSize, seed: int) -> list[str]:
-    """Starts a site, gives it its first configuration, and waits until its front nodes are ready."""
+    """Starts a site, sends its first configuration, and waits until its front nodes are ready.
+
+    Returns lines to show: the addresses of its core and of its front nodes.
+    """
     launcher = SiteLauncher(folder)
     if not launcher.plan:
         launcher.make_site(deployment, size, seed)
@@ -402,9 +442,9 @@
 
 
 def call_site(folder: str, request_count: int, at_once: int, seed: int) -> tuple[list[str], int]:
-    """Lines to show, and how many faults callers found."""
+    """Sends requests to a site. Returns lines to show, and how many faults the clients found in answers."""
     report = SiteLauncher(folder).call(request_count, at_once, seed)
-    lines = [f"{word}: {count}" for word, count in sorted(report.outcomes.items())]
+    lines = [f"{outcome}: {count}" for outcome, count in sorted(report.outcomes.items())]
     if report.first_micros:
         in_order = sorted(report.first_micros)
         lines.append(f"first event, median: {in_order[len(in_order) // 2] // 1_000} ms")
@@ -413,7 +453,7 @@
 
 
 def judge_site(folder: str) -> tuple[list[str], int]:
-    """Lines to show, and how many breaches of rules the ledger holds."""
+    """Checks the ledger of a site. Returns lines to show, and how many breaches of rules were found."""
     ledger = SiteLauncher(folder).ledger()
     breaches = find_breaches(ledger)
     lines = [
@@ -423,6 +463,7 @@
 
 
 def finish_site(shown: tuple[list[str], int]) -> None:
+    """Prints the lines of a result; exits with status 1 if its count is not 0."""
     lines, count = shown
     print("\n".join(lines))
     if count:
--- a/src/pearhead/testbed/emulator/ledger.py
+++ b/src/pearhead/testbed/emulator/ledger.py
@@ -1,7 +1,7 @@
-"""SiteLedger (§9.13): what callers, model workers and operators of the emulated platform saw on their sockets.
+"""Ledger of an emulated site (§9.13): what clients, model workers and operators observed on their sockets.
 
 Each process appends its records to a file of its own, one JSON object a line, so that a kill loses none that was
-written. Times are whole microseconds since boot, alike on all processes of one machine.
+written. Times are in whole microseconds since boot, a clock that all processes of one machine share.
 """
 
 from __future__ import annotations
@@ -15,7 +15,11 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request's head and body as they came to a model worker, and whether it was turned away there."""
+    """A request's head and body as they reached a model worker.
+
+    `body_digest`: see `body_digest()`. `has_key`: the request still carried the client's key. `turned_away`: the status
+    with which the worker refused the request; 0 if it accepted it.
+    """
 
     at: int
     worker: str
@@ -34,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """A request began: its first token, or a failure that counts as run."""
+    """A request began to run at a worker: it produced its first token, or failed in a way that counts as a run."""
 
     at: int
     worker: str
@@ -50,7 +54,10 @@
 
 @dataclass(frozen=True)
 class Use:
-    """A request used a kept part; `made_version` and `made_tenant` tell how that part came to be."""
+    """A request used a cached prefix part.
+
+    `made_version`, `made_tenant`: the weights version and the tenant for which the part was computed.
+    """
 
     at: int
     worker: str
@@ -67,6 +74,11 @@
 
 @dataclass(frozen=True)
 class OrderSeen:
+    """An order to load a version of the weights, as a worker received it.
+
+    `holder`: the sender, which holds the worker's lease; `fence`: its fencing token; `status`: the worker's answer.
+    """
+
     at: int
     worker: str
     instance: str
@@ -79,9 +91,12 @@
 
 @dataclass(frozen=True)
 class Try:
-    """One try of a caller. `faults`: what was wrong with an answer that the caller took as a success. `given_up`: the
-    caller ended it, for silence or its deadline. `deadline_at`: 0 if none is known. `kept`: its connection was not
-    new."""
+    """One attempt of a client to send a request to a node.
+
+    `faults`: pairs of a rule and what was wrong with an answer that the client took as a success. `unread`: the node
+    did not read the request. `given_up`: the client ended the attempt, after a silence or at its deadline.
+    `deadline_at`: 0 if none is known. `kept`: it used a connection that had been open before.
+    """
 
     sent_at: int
     ended_at: int
@@ -108,7 +123,11 @@
 
 @dataclass(frozen=True)
 class ConfigSent:
-    """A configuration that an operator sent. `status`: 0 if no clear answer came."""
+    """A configuration that an operator sent, with its final result over all attempts.
+
+    `number`: its revision; `base`: the revision that it replaces. `status`: 0 if no conclusive answer came. `is_valid`:
+    whether the platform should accept its contents.
+    """
 
     sent_at: int
     ended_at: int
@@ -121,8 +140,11 @@
 
 @dataclass(frozen=True)
 class ConfigTry:
-    """What one node made of one sending of a change. `status`: 0 if the operator's side saw none. `is_lost`: the node
-    gave this answer, and it was lost on its way to the operator. `content`: a digest of the change."""
+    """One node's answer to one sending of a change.
+
+    `status`: 0 if there was no answer. `is_lost`: the node gave this answer, but it was lost on the way to the
+    operator. `content`: a digest of the change.
+    """
 
     sent_at: int
     ended_at: int
@@ -135,12 +157,13 @@
 
     @property
     def change(self) -> tuple[int, int, str]:
+        """What identifies the change over all its sendings: number, base and content."""
         return (self.number, self.base, self.content)
 
 
 @dataclass(frozen=True)
 class ConfigRead:
-    """A configuration that was read back. `asked_at`: 0 if only its end is known."""
+    """A configuration that was read back. `asked_at`: when it was requested; 0 if that is unknown."""
 
     at: int
     number: int
@@ -150,7 +173,7 @@
 
 @dataclass(frozen=True)
 class Shown:
-    """From when the platform's list shows a worker as `ready` or `draining`, or no longer (`gone`)."""
+    """The time from which the platform's worker list shows a worker as `ready`, `draining` or, once removed, `gone`."""
 
     at: int
     instance: str
@@ -159,7 +182,7 @@
 
 @dataclass(frozen=True)
 class Life:
-    """A process began under a name that others know it by. `prefix`: how that name begins."""
+    """One run of a node's process, under an identity new with each start. `prefix`: how the identity begins."""
 
     at: int
     ip: str
@@ -168,7 +191,7 @@
 
 @dataclass(frozen=True)
 class BrokenOff:
-    """A worker itself broke off an answer."""
+    """A worker itself closed the connection in the middle of an answer."""
 
     at: int
     worker: str
@@ -177,7 +200,7 @@
 
 @dataclass(frozen=True)
 class Finished:
-    """A worker has put out the last of an answer."""
+    """A worker has produced all of an answer; some of it may still be on its way."""
 
     at: int
     worker: str
@@ -186,7 +209,7 @@
 
 @dataclass(frozen=True)
 class VersionNamed:
-    """New weights that an operator named. `acknowledged_at`: 0 while no 2xx came."""
+    """An operator announced a new version of a model's weights. `acknowledged_at`: 0 if no 2xx answer came."""
 
     sent_at: int
     acknowledged_at: int
@@ -196,9 +219,12 @@
 
 @dataclass(frozen=True)
 class Trouble:
-    """The launcher killed, stopped, froze, woke, started, reloaded or commanded a process, cut or healed its link, or
-    made a worker faulty or sound; `overran`: a stopped process was killed after `GraceS`. `program`: as in the plan.
-    `ip`: its machine's address."""
+    """An intervention of the launcher at a process.
+
+    `what`: killed, stopped, frozen, woken, started, reloaded, commanded (faults set at a worker), wiped (its disk), cut
+    or healed (its link), faulty or sound (a worker), or `overran`: a stopped process was killed after `GraceS`.
+    `program`: as in the plan. `ip`: the address of the process's machine.
+    """
 
     at: int
     name: str
@@ -227,17 +253,20 @@
 
 
 class RecordSink(Protocol):
-    """Takes the records of one process."""
+    """Accepts the records of one process."""
 
-    def take(self, record: Record) -> None: ...
+    def take(self, record: Record) -> None:
+        """Stores one record."""
+        ...
 
 
 def body_digest(body: bytes) -> str:
+    """The first 16 hex digits of the body's SHA-256."""
     return hashlib.sha256(body).hexdigest()[:16]
 
 
 class SiteLedger:
-    """All records, by type. It is a sink itself, for tests without files."""
+    """All records of a site, by type. It is a RecordSink as well, so that tests need no files."""
 
     def __init__(self, records: list[Record] | None = None) -> None:
         self.arrivals: list[Arrival] = []
@@ -248,7 +277,7 @@
         self.configs: list[ConfigSent] = []
         self.config_tries: list[ConfigTry] = []
         self.reads: list[ConfigRead] = []
-        self.namings: list[VersionNamed] = []
+        self.version_namings: list[VersionNamed] = []
         self.shown: list[Shown] = []
         self.lives: list[Life] = []
         self.broken_off: list[BrokenOff] = []
@@ -258,6 +287,7 @@
             self.take(record)
 
     def take(self, record: Record) -> None:
+        """Adds a record to the list of its type."""
         match record:
             case Arrival():
                 self.arrivals.append(record)
@@ -276,7 +306,7 @@
             case ConfigRead():
                 self.reads.append(record)
             case VersionNamed():
-                self.namings.append(record)
+                self.version_namings.append(record)
             case Shown():
                 self.shown.append(record)
             case Life():
@@ -288,26 +318,29 @@
             case Trouble():
                 self.troubles.append(record)
 
-    def try_of(self) -> dict[str, Try]:
+    def tries_by_id(self) -> dict[str, Try]:
+        """The tries by request id."""
         return {t.request_id: t for t in self.tries}
 
 
 class LedgerFile:
-    """Appends records to a file; a line is in the file when `take` returns."""
+    """Appends records to a file, unbuffered: a record is in the file when `take` returns."""
 
     def __init__(self, file_path: Path) -> None:
         file_path.parent.mkdir(parents=True, exist_ok=True)
         self.file = file_path.open("ab", buffering=0)
 
     def take(self, record: Record) -> None:
+        """Appends a record as one line of JSON."""
         self.file.write(json.dumps({"type": type(record).__name__, **asdict(record)}).encode() + b"\n")
 
     def close(self) -> None:
+        """Closes the file."""
         self.file.close()
 
 
 def read_ledger(folder_path: Path) -> SiteLedger:
-    """Reads all files of a folder. A last line that a kill cut short is passed over."""
+    """Reads all ledger files of a folder. Lines that are not JSON, such as one cut short by a kill, are skipped."""
     ledger = SiteLedger()
     records: list[Record] = []
     for file_path in sorted(folder_path.glob("*.jsonl")):
--- a/src/pearhead/testbed/emulator/main.py
+++ b/src/pearhead/testbed/emulator/main.py
@@ -1,4 +1,7 @@
-"""Programs of the emulated platform (§9.13): `engine`, `store` and `cloud`, each from a settings file of the plan."""
+"""Programs of the emulated platform (§9.13): `engine`, `store` and `cloud`.
+
+Each reads a settings file that the launcher writes from the plan.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +25,12 @@
 from pearhead.testbed.emulator.store import StoreModel, StoreSite, build_store
 from pearhead.testbed.emulator.wire import ask
 
-BEAT_MICROS = 250 * MILLI
-LINGER_MICROS = 1_500 * MILLI
+HEARTBEAT_INTERVAL_MICROS = 250 * MILLI
+DRAIN_MARGIN_MICROS = 1_500 * MILLI
 
 
 def stop_event() -> asyncio.Event:
+    """An event that is set by SIGTERM or SIGINT; replaces the handlers of both in the running loop."""
     event = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(signal_number, event.set)
@@ -34,7 +38,7 @@
 
 
 class EngineProgram:
-    """One life of a worker: it tells the list that it lives, and drains before it ends."""
+    """An emulated model worker: sends heartbeats to the worker list, and drains before it ends."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
@@ -43,24 +47,28 @@
         self.version_path = Path(settings["version_file"])
 
     async def serve(self) -> None:
+        """Serves requests until SIGTERM or SIGINT, then drains for `drain_micros` and `DRAIN_MARGIN_MICROS`.
+
+        The weights version is that of the previous run, or the newest announced one if there was none.
+        """
         stopped = stop_event()
-        found = await ask(self.settings["cloud"], "GET", "/site/name")
-        named = (found.fields() if found else {}).get(self.settings["model"], [1])
+        named_answer = await ask(self.settings["cloud"], "GET", "/site/name")
+        named = (named_answer.fields() if named_answer else {}).get(self.settings["model"], [1])
         version = int(self.version_path.read_text()) if self.version_path.exists() else max(named)
         site = self._build(version)
-        for known in named:
-            site.driver.model.name_version(known)
+        for known_version in named:
+            site.driver.model.name_version(known_version)
         server = build_engine_server(site, self.settings["probe"])
         host_name, port_number = split_address(self.settings["address"])
         server.listen(port_number, host_name)
         while not stopped.is_set():
-            await self._beat(site)
-            await sleep_for(self.clock, BEAT_MICROS)
+            await self._send_heartbeat(site)
+            await sleep_for(self.clock, HEARTBEAT_INTERVAL_MICROS)
         site.is_draining = True
-        end_at = self.clock.now() + self.settings["drain_micros"] + LINGER_MICROS
+        end_at = self.clock.now() + self.settings["drain_micros"] + DRAIN_MARGIN_MICROS
         while self.clock.now() < end_at:
-            await self._beat(site)
-            await sleep_for(self.clock, BEAT_MICROS)
+            await self._send_heartbeat(site)
+            await sleep_for(self.clock, HEARTBEAT_INTERVAL_MICROS)
 
     def _build(self, version: int) -> EngineSite:
         settings = self.settings
@@ -78,16 +86,21 @@
         driver = EngineDriver(model, self.clock, HttpPartLink(), settings["zone"])
         return EngineSite(driver, self.clock, self.chance, sink, settings["readers"], settings["connections"])
 
-    def _keep_version(self, version: int) -> None:
-        """Whole or not at all, as the worker may be killed at any moment."""
+    def _save_version(self, version: int) -> None:
+        """Replaces the version file atomically, as the worker may be killed at any moment."""
         new_path = self.version_path.with_suffix(".new")
         new_path.write_text(str(version))
         new_path.replace(self.version_path)
 
-    async def _beat(self, site: EngineSite) -> None:
+    async def _send_heartbeat(self, site: EngineSite) -> None:
+        """Reports the worker's state to the worker list.
+
+        Learns from the answer which versions are announced, and how many workers load at once, which slows its own
+        loading beyond `loads_at_once`.
+        """
         model, settings = site.driver.model, self.settings
         site.driver.kick()
-        self._keep_version(model.version)
+        self._save_version(model.version)
         state = model.state()
         answer = await ask(
             settings["cloud"],
@@ -108,17 +121,20 @@
             },
         )
         if answer is not None:
-            told = answer.fields()
-            for version in told.get("Named", {}).get(model.model, []):
+            reply = answer.fields()
+            for version in reply.get("Named", {}).get(model.model, []):
                 model.name_version(version)
-            model.load_slowness = max(1.0, told.get("Loading", 0) / settings["loads_at_once"])
+            model.load_slowness = max(1.0, reply.get("Loading", 0) / settings["loads_at_once"])
 
 
 class StoreProgram:
+    """The emulated store of cached prefix parts."""
+
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
 
     async def serve(self) -> None:
+        """Serves until SIGTERM or SIGINT."""
         settings = self.settings
         model = StoreModel(settings["cache_tokens"], random.Random())
         server = HTTPServer(
@@ -131,10 +147,13 @@
 
 
 class CloudProgram:
+    """The emulated platform's list of workers."""
+
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
 
     async def serve(self) -> None:
+        """Serves until SIGTERM or SIGINT."""
         settings = self.settings
         clock = BootClock()
         sink = LedgerFile(Path(settings["ledger"]))
@@ -152,7 +171,7 @@
 
 
 def main() -> None:
-    """Arguments: the program's name and its settings file."""
+    """Runs a program. Command line arguments: the program's name and the path of its settings file."""
     program_name, settings_path = sys.argv[1:3]
     settings = json.loads(Path(settings_path).read_text())
     asyncio.run(PROGRAMS[program_name](settings).serve())
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -1,4 +1,4 @@
-"""SiteOperator (§9.13): sends configurations and names weights, with the page's rules for trying again."""
+"""SiteOperator (§9.13): sends configurations and announces weights, with the platform's rules for retries."""
 
 from __future__ import annotations
 
@@ -20,32 +20,35 @@
 )
 from pearhead.testbed.emulator.wire import Answer, ask
 
-ENDS_AT_ONCE = (400, 409, 412, 413, 422)
-PAUSE_MICROS = 100 * MILLI
-LONGEST_PAUSE = SECOND
-REDIRECTS = 2
-SILENCE_SECONDS = 1.0
-BYTES_PER_SECOND = 4_000_000
-LISTS = ("RouteTable", "Services", "Tenants")
+FINAL_STATUSES = (400, 409, 412, 413, 422)
+MIN_RETRY_DELAY_MICROS = 100 * MILLI
+MAX_RETRY_DELAY_MICROS = SECOND
+MAX_REDIRECTS = 2
+ANSWER_TIMEOUT_SECONDS = 1.0
+UPLOAD_BYTES_PER_SECOND = 4_000_000
+NAMED_LISTS = ("RouteTable", "Services", "Tenants")
 
 
 def apply_patch(config: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """The configuration that a change by name makes, whole."""
+    """The full configuration that results from a change by item name. `config` itself is not modified."""
     changed = copy.deepcopy(config)
     changed["Revision"] = patch["Revision"]
-    for name in LISTS:
+    for name in NAMED_LISTS:
         items = {item["Name"]: item for item in changed.get(name, [])}
         items.update({item["Name"]: item for item in patch.get("Upsert", {}).get(name, [])})
-        for gone in patch.get("Remove", {}).get(name, []):
-            items.pop(gone, None)
+        for removed_name in patch.get("Remove", {}).get(name, []):
+            items.pop(removed_name, None)
         if items or name in changed:
             changed[name] = list(items.values())
     return changed
 
 
 @dataclass(frozen=True)
-class Order:
-    """One change as it is sent, again and again the same. `number`: the configuration that it makes."""
+class ConfigChange:
+    """What identifies a change over all its sendings.
+
+    `number`: the revision that it creates; `base`: the one that it builds on; `content`: a digest of what is sent.
+    """
 
     number: int
     base: int
@@ -53,11 +56,12 @@
 
 
 class SiteOperator:
-    """Statuses are those of the last clear answer; 0 if none came in time.
+    """An operator of an emulated site: sends changes to the core, reads from it, and records what it sees.
 
-    `controls` tells the nodes that serve orders, asked anew for each sending. `lost_answers`: so many answers to
-    changes are lost on their way; the same order is then sent again, to other nodes first. `silence_seconds`: how long
-    it bears a node's silence.
+    Methods that return a status return that of the last conclusive answer, or 0 if none came in time. `controls`
+    returns the addresses of the nodes that serve operators; it is called again for each sending. `lost_answers`: how
+    many answers to changes are treated as lost; the same change is then sent again, first to nodes not yet tried.
+    `answer_timeout_seconds`: how long to wait for a node's answer, for a small body.
     """
 
     def __init__(
@@ -67,7 +71,7 @@
         sink: RecordSink,
         chance: random.Random | None = None,
         lost_answers: int = 0,
-        silence_seconds: float = SILENCE_SECONDS,
+        silence_seconds: float = ANSWER_TIMEOUT_SECONDS,
     ) -> None:
         self.controls, self.clock, self.sink = controls, clock, sink
         self.chance = chance or random.Random(0)
@@ -77,14 +81,15 @@
     async def put(
         self, config: dict[str, Any], base: int, limit_micros: int = 20 * SECOND, is_valid: bool = True
     ) -> int:
+        """Sends a full configuration that replaces revision `base`. `is_valid`: whether it should be accepted."""
         return await self._send("PUT", config, config, base, limit_micros, is_valid)
 
     async def patch(self, patch: dict[str, Any], held: dict[str, Any], limit_micros: int = 20 * SECOND) -> int:
-        """Changes `held`, the configuration that this change builds on."""
+        """Sends a change by item name. `held`: the full configuration that it builds on."""
         return await self._send("PATCH", patch, apply_patch(held, patch), held["Revision"], limit_micros, True)
 
     async def read(self, limit_micros: int = 20 * SECOND) -> dict[str, Any]:
-        """The newest configuration; empty if none came in time."""
+        """Reads the configuration in force; empty if no answer came in time."""
         asked_at = self.clock.now()
         answer = await self._call("GET", "/v1/config", None, {}, limit_micros)
         if answer is None or answer.head.status != 200:
@@ -96,7 +101,11 @@
     async def name_version(
         self, model: str, version: int, cloud: str, workers: list[str], limit_micros: int = 20 * SECOND
     ) -> int:
-        """Names new weights. The platform's workers know a version from when the operator first names it."""
+        """Announces a new version of a model's weights to the core.
+
+        The worker list at `cloud` and the emulated workers are told first, since the platform's workers know a version
+        from when the operator first announces it.
+        """
         sent_at = self.clock.now()
         body = {"Model": model, "Revision": version}
         await ask(cloud, "POST", "/site/name", body)
@@ -111,18 +120,19 @@
         self,
         method: str,
         body: dict[str, Any],
-        whole: dict[str, Any],
+        full_config: dict[str, Any],
         base: int,
         limit_micros: int,
         is_valid: bool,
     ) -> int:
+        """Sends one change until it has a conclusive answer, and records it with its result."""
         sent_at = self.clock.now()
-        number = int(whole.get("Revision", 0))
-        order = Order(number, base, body_digest(f"{method} {json.dumps(body, sort_keys=True)}".encode()))
-        answer = await self._call(method, "/v1/config", body, {"If-Match": str(base)}, limit_micros, order)
+        number = int(full_config.get("Revision", 0))
+        change = ConfigChange(number, base, body_digest(f"{method} {json.dumps(body, sort_keys=True)}".encode()))
+        answer = await self._call(method, "/v1/config", body, {"If-Match": str(base)}, limit_micros, change)
         status = answer.head.status if answer is not None else 0
         self.last_body = answer.fields() if answer is not None else {}
-        self.sink.take(ConfigSent(sent_at, self.clock.now(), number, base, status, whole, is_valid))
+        self.sink.take(ConfigSent(sent_at, self.clock.now(), number, base, status, full_config, is_valid))
         return status
 
     async def _call(
@@ -132,28 +142,32 @@
         body: dict[str, Any] | None,
         headers: dict[str, str],
         limit_micros: int,
-        order: Order | None = None,
+        change: ConfigChange | None = None,
     ) -> Answer | None:
-        """The way of a call: to one node after another until one gives a clear answer."""
+        """Sends a request to one node after another until one gives a conclusive answer.
+
+        Conclusive are a 2xx, a status in `FINAL_STATUSES`, and the third answer with another 4xx, except 408 and 429.
+        The delay between sendings doubles each time up to `MAX_RETRY_DELAY_MICROS`. None after the time limit.
+        """
         end_at = self.clock.now() + limit_micros
-        pause_micros, refusals = PAUSE_MICROS, 0
+        pause_micros, refusals = MIN_RETRY_DELAY_MICROS, 0
         tried: list[str] = []
         while self.clock.now() < end_at:
-            control = self._pick(tried)
-            answer = await self._send_once(control, method, path, body, headers, order)
+            control = self._pick_node(tried)
+            answer = await self._send_once(control, method, path, body, headers, change)
             status = answer.head.status if answer is not None else 0
-            if 200 <= status < 300 or status in ENDS_AT_ONCE:
+            if 200 <= status < 300 or status in FINAL_STATUSES:
                 return answer
             if 400 <= status < 500 and status not in (408, 429):
                 refusals += 1
                 if refusals == 3:
                     return answer
             await sleep_for(self.clock, pause_micros)
-            pause_micros = min(2 * pause_micros, LONGEST_PAUSE)
+            pause_micros = min(2 * pause_micros, MAX_RETRY_DELAY_MICROS)
         return None
 
-    def _pick(self, tried: list[str]) -> str:
-        """A node drawn among those that were tried least often."""
+    def _pick_node(self, tried: list[str]) -> str:
+        """A random node among those tried least often; it is added to `tried`."""
         controls = self.controls()
         fewest = min(tried.count(c) for c in controls)
         control = self.chance.choice([c for c in controls if tried.count(c) == fewest])
@@ -167,18 +181,19 @@
         path: str,
         body: dict[str, Any] | None,
         headers: dict[str, str],
-        order: Order | None,
+        change: ConfigChange | None,
     ) -> Answer | None:
+        """Sends a request to one node; records the answer to a change, and drops it if it is to be lost."""
         sent_at = self.clock.now()
         answer = await self._ask(control, method, path, body, headers)
-        if order is None:
+        if change is None:
             return answer
         status = answer.head.status if answer is not None else 0
         is_lost = bool(status) and self.lost_answers > 0
         self.lost_answers -= is_lost
         self.sink.take(
             ConfigTry(
-                sent_at, self.clock.now(), order.number, order.base, control, status, order.content, is_lost=is_lost
+                sent_at, self.clock.now(), change.number, change.base, control, status, change.content, is_lost=is_lost
             )
         )
         return None if is_lost else answer
@@ -186,15 +201,18 @@
     async def _ask(
         self, control: str, method: str, path: str, body: dict[str, Any] | None, headers: dict[str, str]
     ) -> Answer | None:
-        """One sending; follows redirects twice. None after a silence, which is longer for large bodies."""
+        """Sends one request, following up to `MAX_REDIRECTS` redirects.
+
+        None after a timeout, which is longer for large bodies, and after too many redirects.
+        """
         body_bytes = b"" if body is None else json.dumps(body).encode()
-        silence_seconds = self.silence_seconds + len(body_bytes) / BYTES_PER_SECOND
+        silence_seconds = self.silence_seconds + len(body_bytes) / UPLOAD_BYTES_PER_SECOND
         target, target_path = control, path
-        for _ in range(1 + REDIRECTS):
+        for _ in range(1 + MAX_REDIRECTS):
             answer = await ask(target, method, target_path, body_bytes, headers, silence_seconds)
             if answer is None or answer.head.status != 307:
                 return answer
-            place = answer.head.text("location").removeprefix("http://")
-            target, slash, rest_path = place.partition("/")
+            location = answer.head.text("location").removeprefix("http://")
+            target, slash, rest_path = location.partition("/")
             target_path = slash + rest_path or path
         return None
--- a/src/pearhead/testbed/emulator/plan.py
+++ b/src/pearhead/testbed/emulator/plan.py
@@ -1,6 +1,6 @@
 """SitePlan (§9.13): names, addresses and the first configuration of an emulated site, drawn from a seed.
 
-Every machine has an address of its own inside 127.0.0.0/8, as all machines of a day use the same ports.
+Every machine has its own address inside 127.0.0.0/8, because machines with the same program use the same port numbers.
 """
 
 from __future__ import annotations
@@ -46,6 +46,8 @@
 
 @dataclass(frozen=True)
 class SiteSize:
+    """How many machines of each kind a site has."""
+
     cores: int = 3
     fronts: int = 9
     engines: int = 9
@@ -63,7 +65,11 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """What callers ask on a route. Sizes in tokens: parts shared by all, those of the request, and what comes out."""
+    """The requests that clients send on one route.
+
+    Sizes are in tokens: the prompt's prefix, which requests on one subject share; the rest of the prompt; the output.
+    `share`: the route's share of all requests. `subjects`: how many different prefixes there are.
+    """
 
     route: str
     shared_tokens: int
@@ -75,6 +81,13 @@
 
 @dataclass
 class SitePlan:
+    """All that the processes of a site are started from. It is stored as JSON in the launcher's plan.
+
+    `capacity`, `cache_tokens`: of each emulated worker. `readers`: how many requests for cache events a worker or the
+    store serves at once. `cloud_per_second`: the rate limit of the worker list, for all nodes together;
+    `cloud_lag_ms`: how long it lags behind.
+    """
+
     deployment: str
     region: str
     zones: list[str]
@@ -93,40 +106,47 @@
     started: list[str] = field(default_factory=list)
 
     def of(self, *programs: str) -> list[Machine]:
+        """The machines that run one of the programs."""
         return [m for m in self.machines if m.program in programs]
 
     def addresses(self, program: str, port: int) -> list[str]:
+        """The addresses `ip:port` of all machines that run the program."""
         return [f"{m.ip}:{port}" for m in self.of(program)]
 
     def fields(self) -> dict[str, Any]:
+        """The plan as a dictionary that can be stored as JSON."""
         return asdict(self)
 
 
 def read_plan(fields: dict[str, Any]) -> SitePlan:
-    held = copy.deepcopy(fields)
-    held["machines"] = [Machine(**m) for m in held["machines"]]
-    held["kinds"] = [RequestKind(**k) for k in held["kinds"]]
-    return SitePlan(**held)
+    """The plan from the dictionary made by `SitePlan.fields`."""
+    values = copy.deepcopy(fields)
+    values["machines"] = [Machine(**m) for m in values["machines"]]
+    values["kinds"] = [RequestKind(**k) for k in values["kinds"]]
+    return SitePlan(**values)
 
 
 class PlanMaker:
-    """Draws a plan. The same seed and block give the same plan."""
+    """Draws a plan for a deployment. The same size, seed and address block give the same plan."""
 
     def __init__(self, deployment: Deployment, size: SiteSize, seed: int, block: int) -> None:
         self.deployment, self.size, self.block = deployment, size, block
         self.chance = random.Random(seed)
 
     def make(self) -> SitePlan:
+        """Draws the plan; to be called once, as each call draws on from the same random source."""
         machines = self._machines()
-        service, store_service, model = self._word(), self._word(), self._word() + "0000"
-        host = f"{self._word()}.example"
+        service, store_service, model = self._random_name(), self._random_name(), self._random_name() + "0000"
+        host = f"{self._random_name()}.example"
         is_academy = self.deployment.name == "academy"
         capacity, cache_tokens = (12, 140_644) if is_academy else (24, 149_454)
         store = next(m for m in machines if m.program == "store")
-        long_route = self._route("r-" + self._word(), host, 6_000, 600, 1, service, 1, False)
+        long_route = self._route("r-" + self._random_name(), host, 6_000, 600, 1, service, 1, False)
         long_route["Split"] = [{"Service": service, "Share": 90}, {"Service": service, "Share": 10}]
         del long_route["Service"]
-        short_route = self._route("r-" + self._word(), host, 3_000 if is_academy else 4_000, 300, 0, service, 2, True)
+        short_route = self._route(
+            "r-" + self._random_name(), host, 3_000 if is_academy else 4_000, 300, 0, service, 2, True
+        )
         config = {
             "Revision": 3,
             "RouteTable": [short_route, long_route],
@@ -165,7 +185,7 @@
         ]
         return SitePlan(
             self.deployment.name,
-            self._word(),
+            self._random_name(),
             list(self.deployment.areas),
             machines,
             service,
@@ -186,28 +206,36 @@
             ("front", "router", self.size.fronts, 2),
             ("engine", "engine", self.size.engines, 3),
         )
-        for word, program, count, third in groups:
+        for name_prefix, program, count, third_octet in groups:
             for number in range(count):
-                ip = f"127.{self.block}.{third}.{number + 1}"
-                machines.append(Machine(f"{word}-{number + 1}", program, ip, zones[number % len(zones)]))
+                ip = f"127.{self.block}.{third_octet}.{number + 1}"
+                machines.append(Machine(f"{name_prefix}-{number + 1}", program, ip, zones[number % len(zones)]))
         machines.append(Machine("store", "store", f"127.{self.block}.4.1", zones[1 % len(zones)]))
         machines.append(Machine("cloud", "cloud", f"127.{self.block}.4.2", zones[0]))
         return machines
 
-    def _word(self) -> str:
+    def _random_name(self) -> str:
         letters = "".join(self.chance.choice(string.ascii_lowercase) for _ in range(5))
         return f"{letters}{self.chance.randrange(10, 99)}"
 
     def _route(
-        self, name: str, host: str, deadline_ms: int, aim_ms: int, urgency: int, service: str, tries: int, resume: bool
+        self,
+        name: str,
+        host: str,
+        deadline_ms: int,
+        setpoint_ms: int,
+        urgency: int,
+        service: str,
+        tries: int,
+        resume: bool,
     ) -> dict[str, Any]:
         return {
             "Name": name,
             "Hostname": host,
-            "Prefix": f"/{self._word()}/",
+            "Prefix": f"/{self._random_name()}/",
             "Type": "stream",
             "DeadlineMs": deadline_ms,
-            "SetpointMs": aim_ms,
+            "SetpointMs": setpoint_ms,
             "Urgency": urgency,
             "Service": service,
             "Tries": tries,
@@ -222,7 +250,7 @@
         for number, _ in enumerate(self.deployment.tenant_names):
             tenants.append(
                 {
-                    "Name": self._word(),
+                    "Name": self._random_name(),
                     "Keys": [self._key() for _ in range(1 + number % 2)],
                     "Urgency": number % 3,
                     "Isolated": number % 3 == 0,
@@ -237,8 +265,11 @@
 def node_settings(
     plan: SitePlan, machine: Machine, data_folder: str | None, is_first: bool, seeds: list[str] | None = None
 ) -> dict[str, Any]:
-    """The settings file of one node, as the platform writes it. `seeds`: the control addresses of the platform's list,
-    where that differs from the plan."""
+    """The settings file of one node, as the platform writes it.
+
+    `is_first`: the site starts for the first time. `seeds`: the control addresses of the platform's list, where they
+    differ from the plan.
+    """
     is_core = machine.program == "control_plane"
     cloud = plan.of("cloud")[0]
     binds = (
@@ -285,7 +316,7 @@
 
 
 def program_settings(plan: SitePlan, machine: Machine, folder: str) -> dict[str, Any]:
-    """The settings of an emulated worker, store or list."""
+    """The settings of an emulated worker, of the cache store, or of the platform's worker list."""
     cloud = f"{plan.of('cloud')[0].ip}:{CLOUD_PORT}"
     if machine.program == "engine":
         return {
--- a/src/pearhead/testbed/emulator/rules.py
+++ b/src/pearhead/testbed/emulator/rules.py
@@ -1,6 +1,6 @@
-"""Rules (§9.13): the figures of the platform's rules, and what several checkers read from a ledger.
+"""Limits of the platform's rules, and ledger queries shared by several checkers (§9.13).
 
-Times in whole microseconds.
+Times are in whole microseconds.
 """
 
 from __future__ import annotations
@@ -13,22 +13,25 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.emulator.ledger import ConfigSent, Run, SiteLedger, Trouble, Try
 
-PROMISES = (408, 421, 429, 503)
-LASTS_UNTIL = {"killed": "started", "stopped": "started", "frozen": "woken", "cut": "healed", "faulty": "sound"}
+UNEXECUTED_STATUSES = (408, 421, 429, 503)
+TROUBLE_ENDS = {"killed": "started", "stopped": "started", "frozen": "woken", "cut": "healed", "faulty": "sound"}
 
 
 @dataclass(frozen=True)
 class Breach:
+    """One breach of a rule. `rule`: the rule's name; `what`: a description of the breach."""
+
     rule: str
     what: str
 
     def line(self) -> str:
+        """The breach as one line of text."""
         return f"{self.rule}: {self.what}"
 
 
 @dataclass(frozen=True)
 class SiteBounds:
-    """The figures of the rules. `is_fenced`: workers refuse a lower fence themselves."""
+    """The limits that the rules name. `is_fenced`: workers themselves refuse orders with a lower fencing token."""
 
     apply_micros: int = 2_000 * MILLI
     stretch_micros: int = 5_000 * MILLI
@@ -46,38 +49,47 @@
 
 
 class Checker(Protocol):
+    """Checks one rule of the platform, `rule`, against a ledger."""
+
     rule: str
 
-    def find(self, ledger: SiteLedger, bounds: SiteBounds) -> Iterator[str]: ...
+    def find(self, ledger: SiteLedger, bounds: SiteBounds) -> Iterator[str]:
+        """Yields a description of each breach of the rule."""
+        ...
 
 
-class Configs:
-    """What the configurations of a ledger allow."""
+class ConfigHistory:
+    """The configurations that operators sent, in order of time, and what each allows."""
 
     def __init__(self, ledger: SiteLedger) -> None:
         self.sent = sorted(ledger.configs, key=lambda c: c.sent_at)
 
     def route_of(self, config: dict[str, Any], host: str, path: str) -> dict[str, Any] | None:
-        """The route of that host whose prefix begins the path and is longest."""
-        fitting = [r for r in config.get("RouteTable", []) if r["Hostname"] == host and path.startswith(r["Prefix"])]
-        return max(fitting, key=lambda r: len(r["Prefix"]), default=None)
+        """The host's route with the longest prefix that matches the path; None if none matches."""
+        matching = [r for r in config.get("RouteTable", []) if r["Hostname"] == host and path.startswith(r["Prefix"])]
+        return max(matching, key=lambda r: len(r["Prefix"]), default=None)
 
     def services_of(self, route: dict[str, Any]) -> set[str]:
+        """The names of the services to which a route sends requests."""
         return {s["Service"] for s in route["Split"]} if route.get("Split") else {route["Service"]}
 
     def tenant_of(self, config: dict[str, Any], key: str) -> str:
-        """Empty if no tenant of this configuration holds the key."""
+        """The name of the tenant to which a key belongs in this configuration; empty if there is none."""
         return next((t["Name"] for t in config.get("Tenants", []) if key in t["Keys"]), "")
 
-    def allows(self, config: dict[str, Any], asked: Try) -> bool:
-        route = self.route_of(config, asked.host, asked.path)
+    def allows(self, config: dict[str, Any], attempt: Try) -> bool:
+        """Whether a configuration has a route for the request, and the request's key may use it."""
+        route = self.route_of(config, attempt.host, attempt.path)
         if route is None:
             return False
-        return bool(route.get("Public")) or not config.get("Tenants") or bool(self.tenant_of(config, asked.key))
+        return bool(route.get("Public")) or not config.get("Tenants") or bool(self.tenant_of(config, attempt.key))
 
     def possible_at(self, sent_at: int, ended_at: int, apply_micros: int) -> list[ConfigSent]:
-        """Those that may be in force for a request: the newest that was acknowledged long enough before, and all that
-        were sent since."""
+        """The configurations that may be in force for a request sent and ended at the given times.
+
+        These are the newest one acknowledged more than `apply_micros` before the request was sent, and all with a
+        higher number that were sent before the request ended and were not refused.
+        """
         settled = [c for c in self.sent if c.status == 200 and c.ended_at + apply_micros < sent_at]
         newest = max(settled, key=lambda c: c.number, default=None)
         floor = newest.number if newest is not None else -1
@@ -87,71 +99,79 @@
 
 
 @dataclass(frozen=True)
-class Span:
-    """Some trouble of a process, from its beginning to its end; both are the same where it has no length."""
+class TroubleSpan:
+    """The time from the beginning to the end of some trouble; both are equal for an event without a duration."""
 
     trouble: Trouble
     end_at: int
 
-    def touches(self, begin_at: int, end_at: int) -> bool:
-        """Whether it lies, for a part at least, between two moments."""
+    def overlaps(self, begin_at: int, end_at: int) -> bool:
+        """Whether at least a part of it lies between two times, both included."""
         return self.trouble.at <= end_at and self.end_at >= begin_at
 
 
-def spans_of(troubles: Iterable[Trouble]) -> list[Span]:
-    """One span for each trouble. What begins and never ends counts at its beginning only."""
+def trouble_spans(troubles: Iterable[Trouble]) -> list[TroubleSpan]:
+    """One span for each trouble. A lasting trouble without a recorded end counts only at its beginning."""
     in_order = sorted(troubles, key=lambda t: t.at)
     spans = []
     for position, trouble in enumerate(in_order):
-        last = LASTS_UNTIL.get(trouble.what)
-        ends = (t.at for t in in_order[position + 1 :] if t.name == trouble.name and t.what == last)
-        spans.append(Span(trouble, next(ends, trouble.at)))
+        end_event = TROUBLE_ENDS.get(trouble.what)
+        ends = (t.at for t in in_order[position + 1 :] if t.name == trouble.name and t.what == end_event)
+        spans.append(TroubleSpan(trouble, next(ends, trouble.at)))
     return spans
 
 
 class Touch:
-    """Which processes were in touch, as the rules have it: no trouble of their own in the `ContactMs` before, and a
-    settled core. A reload is no trouble."""
+    """Tells which processes had trouble around a given time.
+
+    By the rules a process is in contact if it had no trouble in the last `ContactMs` and the core is settled. A reload
+    is no trouble.
+    """
 
     def __init__(self, ledger: SiteLedger, bounds: SiteBounds) -> None:
         self.bounds = bounds
-        self.spans = spans_of(t for t in ledger.troubles if t.what != "reloaded")
+        self.spans = trouble_spans(t for t in ledger.troubles if t.what != "reloaded")
 
     def is_sound(self, name: str, begin_at: int, end_at: int) -> bool:
-        """Whether a process had no trouble from `ContactMs` before a moment until another."""
-        return not self._names(lambda t: t.name == name, begin_at, end_at)
+        """Whether a process had no trouble from `ContactMs` before the first time until the second."""
+        return not self._troubled_names(lambda t: t.name == name, begin_at, end_at)
 
-    def struck_cores(self, begin_at: int, end_at: int) -> set[str]:
-        """The core machines that had trouble from `ContactMs` before a moment until another."""
-        return self._names(lambda t: t.program == "control_plane", begin_at, end_at)
+    def troubled_cores(self, begin_at: int, end_at: int) -> set[str]:
+        """The core machines that had trouble from `ContactMs` before the first time until the second."""
+        return self._troubled_names(lambda t: t.program == "control_plane", begin_at, end_at)
 
-    def _names(self, is_wanted: Callable[[Trouble], bool], begin_at: int, end_at: int) -> set[str]:
+    def _troubled_names(self, is_wanted: Callable[[Trouble], bool], begin_at: int, end_at: int) -> set[str]:
         from_at = begin_at - self.bounds.contact_micros
-        return {s.trouble.name for s in self.spans if is_wanted(s.trouble) and s.touches(from_at, end_at)}
+        return {s.trouble.name for s in self.spans if is_wanted(s.trouble) and s.overlaps(from_at, end_at)}
 
 
-def ran_of(ledger: SiteLedger) -> dict[str, list[Run]]:
+def runs_by_request(ledger: SiteLedger) -> dict[str, list[Run]]:
+    """All runs of each request, by request id."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in ledger.runs:
         runs[run.request_id].append(run)
     return runs
 
 
-def is_repeatable(asked: Try) -> bool:
-    return asked.kind == "safe" or asked.resumable
+def is_repeatable(attempt: Try) -> bool:
+    """Whether the request may run more than once: its kind is safe, or its stream can be resumed."""
+    return attempt.kind == "safe" or attempt.resumable
+
 
+def allowed_worker_count(configs: ConfigHistory, attempt: Try, bounds: SiteBounds) -> int:
+    """On how many workers one try may run: the largest `Tries` of the configurations that may be in force.
 
-def tries_of(configs: Configs, asked: Try, bounds: SiteBounds) -> int:
-    """On how many workers one try may run: the most that a configuration in force may allow; 0 if none says so."""
-    possible = configs.possible_at(asked.sent_at, asked.ended_at, bounds.apply_micros)
-    routes = [configs.route_of(c.body, asked.host, asked.path) for c in possible]
+    0 if none of them has a route for the request.
+    """
+    possible = configs.possible_at(attempt.sent_at, attempt.ended_at, bounds.apply_micros)
+    routes = [configs.route_of(c.body, attempt.host, attempt.path) for c in possible]
     return max((int(r.get("Tries", 0)) for r in routes if r is not None), default=0)
 
 
-def is_out_of_touch(ledger: SiteLedger, ip: str, at: int, bounds: SiteBounds) -> bool:
-    """Whether a machine's processes were struck in the `ContactMs` before a moment, or are frozen at it."""
-    struck = [t for t in ledger.troubles if ip and t.ip == ip and t.at <= at]
-    if not struck:
+def is_out_of_contact(ledger: SiteLedger, ip: str, at: int, bounds: SiteBounds) -> bool:
+    """Whether a machine's process had trouble in the `ContactMs` before a time, or is frozen, dead or cut off at it."""
+    machine_troubles = [t for t in ledger.troubles if ip and t.ip == ip and t.at <= at]
+    if not machine_troubles:
         return False
-    last = max(struck, key=lambda t: t.at)
-    return last.what in ("frozen", "killed", "cut") or last.at > at - bounds.contact_micros
+    end_event = max(machine_troubles, key=lambda t: t.at)
+    return end_event.what in ("frozen", "killed", "cut") or end_event.at > at - bounds.contact_micros
--- a/src/pearhead/testbed/emulator/strikes.py
+++ b/src/pearhead/testbed/emulator/strikes.py
@@ -1,4 +1,4 @@
-"""SiteStrikes (§9.13): strikes on a running site, drawn from a seed, each under checked requests."""
+"""SiteFaultInjector (§9.13): faults and changes at a running site, drawn from a seed, during checked requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 from pearhead.testbed.emulator.client import CallReport
-from pearhead.testbed.emulator.corestrikes import CoreStrikes
+from pearhead.testbed.emulator.corestrikes import CoreFaultInjector
 from pearhead.testbed.emulator.launcher import SiteLauncher
 
 SOUND: dict[str, Any] = {
@@ -26,7 +26,7 @@
     "events_lost": 0.0,
     "link_slowness": 1.0,
 }
-TROUBLES: dict[str, dict[str, Any]] = {
+WORKER_FAULTS: dict[str, dict[str, Any]] = {
     "cuts": {"cut": 0.1, "lost": 0.1, "fails": 0.1, "split": 0.1},
     "garble": {"garble": 0.1, "extra": 0.2, "late": 0.2},
     "grey": {"slowness": 15.0, "false_health": True},
@@ -35,14 +35,17 @@
 
 
 class SiteStrikes:
-    """Only what `Tolerance` allows is lost at a time: one core, or all cores with their disks. `frozen_seconds`: how
-    long a frozen process sleeps."""
+    """Injects random faults and changes into a running site.
+
+    At any time the core loses no more than `Tolerance` allows: one machine, or all processes with at most one disk.
+    `frozen_seconds`: how long a frozen process is stopped.
+    """
 
     def __init__(self, launcher: SiteLauncher, seed: int, frozen_seconds: float = 3.0) -> None:
         self.launcher, self.chance, self.frozen_seconds = launcher, random.Random(seed), frozen_seconds
         self.version = 1
-        self.cores = CoreStrikes(launcher)
-        self.strikes: dict[str, Callable[[], str]] = {
+        self.cores = CoreFaultInjector(launcher)
+        self.actions: dict[str, Callable[[], str]] = {
             "kill a core": lambda: self._kill("control_plane", 1),
             "kill all cores": lambda: self._kill("control_plane", 99),
             "kill a front node": lambda: self._kill("router", 1),
@@ -54,53 +57,60 @@
             "freeze a front node": lambda: self._freeze("router"),
             "stop a front node": lambda: self._stop("router"),
             "stop a worker": lambda: self._stop("engine"),
-            "replace a lost core": lambda: self._lose_core(lambda name: self.cores.replace_lost(name, self._pause())),
-            "replace a core as planned": lambda: self._lose_core(
-                lambda name: self.cores.replace_planned(name, self._pause())
+            "replace a lost core": lambda: self._act_on_core(
+                lambda name: self.cores.replace_lost(name, self._random_delay())
+            ),
+            "replace a core as planned": lambda: self._act_on_core(
+                lambda name: self.cores.replace_planned(name, self._random_delay())
             ),
-            "wipe a core while all are down": lambda: self._lose_core(self.cores.wipe_while_all_are_down),
-            "close by a kill": lambda: self._lose_core(lambda name: self.cores.close_by_kill()),
-            "close soon after sending": lambda: self._lose_core(
-                lambda name: self.cores.close_soon_after_sending(self.chance.uniform(0.0, 0.1))
+            "wipe a core while all are down": lambda: self._act_on_core(self.cores.wipe_while_all_are_down),
+            "close by a kill": lambda: self._act_on_core(lambda name: self.cores.change_then_kill_all()),
+            "close soon after sending": lambda: self._act_on_core(
+                lambda name: self.cores.kill_all_during_change(self.chance.uniform(0.0, 0.1))
             ),
-            "close by a wipe": lambda: self._lose_core(lambda name: self.cores.close_by_wipe(name, is_all_down=False)),
-            "close by a wipe with all down": lambda: self._lose_core(
-                lambda name: self.cores.close_by_wipe(name, is_all_down=True)
+            "close by a wipe": lambda: self._act_on_core(
+                lambda name: self.cores.change_then_wipe(name, is_all_down=False)
             ),
-            "two operators with one number": lambda: f"{self.cores.two_operators(lost_answers=1)}",
-            "orders at once": lambda: f"{self.cores.several_orders(lost_answers=1)}",
+            "close by a wipe with all down": lambda: self._act_on_core(
+                lambda name: self.cores.change_then_wipe(name, is_all_down=True)
+            ),
+            "two operators with one number": lambda: f"{self.cores.change_from_two_operators(lost_answers=1)}",
+            "orders at once": lambda: f"{self.cores.change_concurrently(lost_answers=1)}",
             "lost answers": lambda: f"{self.cores.change(lost_answers=2)}",
-            "name weights": self._name,
-            "change by name": self._change,
+            "name weights": self._name_weights,
+            "change by name": self._change_by_name,
             **{
-                f"trouble a worker: {word}": lambda word=word: self._trouble(word)  # type: ignore[misc]
-                for word in TROUBLES
+                f"trouble a worker: {kind}": lambda kind=kind: self._inject_worker_fault(kind)  # type: ignore[misc]
+                for kind in WORKER_FAULTS
             },
         }
 
     def strike(self, number: int, request_count: int, at_once: int) -> tuple[str, CallReport]:
-        """One drawn strike while requests run. Returns what was struck and what callers saw."""
+        """Runs one randomly drawn action while clients send requests; worker faults are reset at the end.
+
+        `number` seeds the requests. Returns a description of the action, and what the clients saw.
+        """
         reports: list[CallReport] = []
         caller = threading.Thread(target=lambda: reports.append(self.launcher.call(request_count, at_once, number)))
         caller.start()
         time.sleep(self.chance.uniform(0.3, 1.2))
-        word = self.chance.choice(list(self.strikes))
-        told = self.strikes[word]()
+        action_name = self.chance.choice(list(self.actions))
+        detail = self.actions[action_name]()
         caller.join()
         for machine in self.launcher.site.of("engine"):
-            if word.startswith("trouble"):
-                self.launcher.command_worker(machine.name, SOUND)
-        return f"{word} ({told})", reports[0]
+            if action_name.startswith("trouble"):
+                self.launcher.inject_worker_faults(machine.name, SOUND)
+        return f"{action_name} ({detail})", reports[0]
 
     def _names(self, program: str, count: int) -> list[str]:
         names = [m.name for m in self.launcher.site.of(program)]
         return self.chance.sample(names, min(count, len(names)))
 
-    def _pause(self) -> float:
+    def _random_delay(self) -> float:
         return self.chance.uniform(0.0, 3.0)
 
-    def _lose_core(self, strike: Callable[[str], object]) -> str:
-        """Once the core has settled from what came before."""
+    def _act_on_core(self, strike: Callable[[str], object]) -> str:
+        """Waits until the core has settled, and runs an action on a random core machine. Returns its name."""
         self.cores.settle()
         name = self._names("control_plane", 1)[0]
         strike(name)
@@ -130,17 +140,17 @@
         self.launcher.start(name)
         return name
 
-    def _trouble(self, word: str) -> str:
+    def _inject_worker_fault(self, kind: str) -> str:
         name = self._names("engine", 1)[0]
-        self.launcher.command_worker(name, TROUBLES[word])
+        self.launcher.inject_worker_faults(name, WORKER_FAULTS[kind])
         return name
 
-    def _name(self) -> str:
+    def _name_weights(self) -> str:
         versions = [self.launcher.version_of(m.name) for m in self.launcher.site.of("engine")]
         self.version = max([self.version, *versions]) + 1
         return f"{self.version}: {self.launcher.name_version(self.version)}"
 
-    def _change(self) -> str:
+    def _change_by_name(self) -> str:
         held = self.launcher.plan["config"]
         number = held["Revision"] + self.chance.randrange(1, 6)
         added = {**held["RouteTable"][0], "Name": f"r-added-{number}", "Prefix": f"/added{number}/"}
--- a/tests/test_site_checkers.py
+++ b/tests/test_site_checkers.py
@@ -1,4 +1,9 @@
-"""The checkers of the emulated platform: a sound ledger has no breach, and each planted one is found by its rule."""
+"""The checkers of the emulated platform, and its clients' own checks.
+
+A checker that overlooks a breach hides faults of the system; one that reports a breach where the rules allow what
+happened makes every run fail. So each rule is tested on a ledger without breaches, on planted breaches, and on what
+the rules excuse.
+"""
 
 from __future__ import annotations
 
@@ -58,75 +63,77 @@
 }
 
 
-def asked(name: str, sent_at: int = 10 * SECOND, **more: Any) -> Try:
+def make_try(name: str, sent_at: int = 10 * SECOND, **more: Any) -> Try:
     made = Try(sent_at, sent_at + SECOND, name, "front-1", "h", "/a/x", "POST", "d", "k1", "a", "stream", False, 200)
     return replace(made, **more)
 
 
-def arrived(name: str, **more: Any) -> Arrival:
+def make_arrival(name: str, **more: Any) -> Arrival:
     return replace(Arrival(10 * SECOND, "w1", "i-1", "svc", name, "POST", "/a/x", "d", "one", False), **more)
 
 
-def ran(name: str, **more: Any) -> Run:
+def make_run(name: str, **more: Any) -> Run:
     return replace(Run(10 * SECOND, "w1", "i-1", "svc", name, "one", "m", 1), **more)
 
 
-def used(name: str, **more: Any) -> Use:
+def make_use(name: str, **more: Any) -> Use:
     return replace(Use(10 * SECOND, "w1", name, "one", "m", 1, "s", "p", 16, 1, "one"), **more)
 
 
-def ordered(holder: str, fence: int, at: int = 0, status: int = 202) -> OrderSeen:
+def make_order(holder: str, fence: int, at: int = 0, status: int = 202) -> OrderSeen:
     return OrderSeen(at, "w1", "i-1", holder, fence, 2, "wait", status)
 
 
-def tried(number: int, base: int, content: str, at: int = SECOND, status: int = 200, **more: Any) -> ConfigTry:
+def make_config_try(
+    number: int, base: int, content: str, at: int = SECOND, status: int = 200, **more: Any
+) -> ConfigTry:
     return ConfigTry(at - SECOND, at, number, base, "core-1", status, content, **more)
 
 
 def later_requests(count: int) -> list[Any]:
-    """A route that came later, and requests on it that are not served."""
+    """A route added by a later configuration, and requests on it that are refused."""
     changed = {**CONFIG, "Revision": 4, "RouteTable": [*CONFIG["RouteTable"], route("c", "/c/", "svc")]}
     return [
         ConfigSent(21 * SECOND, 22 * SECOND, 4, 3, 200, changed),
         ConfigRead(40 * SECOND, 4, changed),
-        *(asked(f"later-{n}", path="/c/x", route="c", status=503, sent_at=30 * SECOND) for n in range(count)),
+        *(make_try(f"later-{n}", path="/c/x", route="c", status=503, sent_at=30 * SECOND) for n in range(count)),
     ]
 
 
-def spread_runs(count: int, workers: int) -> list[Any]:
-    """Requests that each ran at so many workers."""
+def runs_on_several_workers(count: int, workers: int) -> list[Any]:
+    """`count` requests that each ran at `workers` workers."""
     names = [f"spread-{n}" for n in range(count)]
-    runs = [ran(name, worker=f"w{w}", instance=f"i-{w}") for name in names for w in range(workers)]
-    return [*(asked(name, resumable=True) for name in names), *(arrived(name) for name in names), *runs]
+    runs = [make_run(name, worker=f"w{w}", instance=f"i-{w}") for name in names for w in range(workers)]
+    return [*(make_try(name, resumable=True) for name in names), *(make_arrival(name) for name in names), *runs]
 
 
-def cut_beside(cut_before: int) -> list[Any]:
-    """A configuration, requests that front-1 cut beside it, and some that it cut before."""
+def cuts_near_config_change(cut_before: int) -> list[Any]:
+    """A configuration near which front-1 cut two of ten requests, and ten earlier ones of which it cut `cut_before`."""
     changed = {**CONFIG, "Revision": 5}
     records: list[Any] = [ConfigSent(40 * SECOND, 41 * SECOND, 5, 3, 200, changed), ConfigRead(60 * SECOND, 5, changed)]
     for number in range(10):
         cut = {"status": 0} if number < cut_before else {}
-        records.append(asked(f"before-{number}", sent_at=20 * SECOND, ended_at=21 * SECOND, **cut))
+        records.append(make_try(f"before-{number}", sent_at=20 * SECOND, ended_at=21 * SECOND, **cut))
     for number in range(10):
         cut = {"status": 0} if number < 2 else {}
-        records.append(asked(f"beside-{number}", sent_at=42 * SECOND, ended_at=43 * SECOND, **cut))
+        records.append(make_try(f"beside-{number}", sent_at=42 * SECOND, ended_at=43 * SECOND, **cut))
     return records
 
 
-def cut_at_work(ended_at: int, sent_at: int = 10 * SECOND) -> list[Any]:
-    """A front node is stopped after 10 s, and cuts a request on which a worker works."""
+def cut_while_running(ended_at: int, sent_at: int = 10 * SECOND) -> list[Any]:
+    """A front node is stopped at 10 s, and cuts a request that a worker is running."""
     return [
         Trouble(10 * SECOND, "front-1", "router", "stopped"),
-        asked("x", status=0, sent_at=sent_at, ended_at=ended_at),
-        arrived("x", at=sent_at),
-        ran("x", at=sent_at),
+        make_try("x", status=0, sent_at=sent_at, ended_at=ended_at),
+        make_arrival("x", at=sent_at),
+        make_run("x", at=sent_at),
     ]
 
 
-def closed_without_answer(count: int) -> list[Any]:
-    """Requests of kept connections that reach a worker and have no answer, with no planned work around."""
+def unanswered_on_kept_connections(count: int) -> list[Any]:
+    """Requests on reused connections that reach a worker and get no answer, with no planned operation near."""
     names = [f"closed-{n}" for n in range(count)]
-    return [*(asked(name, status=0, kept=True) for name in names), *(arrived(name) for name in names)]
+    return [*(make_try(name, status=0, kept=True) for name in names), *(make_arrival(name) for name in names)]
 
 
 def sound_ledger() -> SiteLedger:
@@ -135,52 +142,52 @@
             ConfigSent(0, SECOND, 3, 0, 200, CONFIG),
             ConfigRead(20 * SECOND, 3, CONFIG),
             VersionNamed(2 * SECOND, 3 * SECOND, "m", 1),
-            asked("r1"),
-            arrived("r1"),
-            ran("r1"),
-            used("r1"),
-            asked("r2", key="k2"),
-            arrived("r2", tenant="two"),
-            ran("r2", tenant="two"),
-            used("r2", tenant="two", made_tenant="three"),
-            asked("r3", status=503),
-            arrived("r3", turned_away=503),
-            ordered("h", 1),
-            ordered("h", 1, SECOND),
-            ordered("g", 2, 5 * SECOND),
-            ordered("h", 1, 9 * SECOND, 412),
+            make_try("r1"),
+            make_arrival("r1"),
+            make_run("r1"),
+            make_use("r1"),
+            make_try("r2", key="k2"),
+            make_arrival("r2", tenant="two"),
+            make_run("r2", tenant="two"),
+            make_use("r2", tenant="two", made_tenant="three"),
+            make_try("r3", status=503),
+            make_arrival("r3", turned_away=503),
+            make_order("h", 1),
+            make_order("h", 1, SECOND),
+            make_order("g", 2, 5 * SECOND),
+            make_order("h", 1, 9 * SECOND, 412),
         ]
     )
 
 
 PLANTED: dict[str, list[Callable[[], list[Any]]]] = {
-    "TWICE": [lambda: [ran("r1", worker="w2")]],
+    "TWICE": [lambda: [make_run("r1", worker="w2")]],
     "REFUSED": [
-        lambda: [asked("x", status=503), arrived("x"), ran("x")],
-        lambda: [asked("x", status=429), arrived("x"), ran("x", at=90 * SECOND)],
+        lambda: [make_try("x", status=503), make_arrival("x"), make_run("x")],
+        lambda: [make_try("x", status=429), make_arrival("x"), make_run("x", at=90 * SECOND)],
     ],
     "UNASKED": [
-        lambda: [arrived("ghost")],
-        lambda: [asked("x"), arrived("x", path="/a/y")],
-        lambda: [asked("x"), arrived("x", body_digest="e")],
-        lambda: [asked("x"), arrived("x", tenant="two")],
-        lambda: [asked("x"), arrived("x", has_key=True)],
+        lambda: [make_arrival("ghost")],
+        lambda: [make_try("x"), make_arrival("x", path="/a/y")],
+        lambda: [make_try("x"), make_arrival("x", body_digest="e")],
+        lambda: [make_try("x"), make_arrival("x", tenant="two")],
+        lambda: [make_try("x"), make_arrival("x", has_key=True)],
     ],
     "ROUTE": [
-        lambda: [asked("x"), arrived("x", service="third"), ran("x", service="third")],
-        lambda: [asked("x", key="k9"), arrived("x"), ran("x")],
+        lambda: [make_try("x"), make_arrival("x", service="third"), make_run("x", service="third")],
+        lambda: [make_try("x", key="k9"), make_arrival("x"), make_run("x")],
     ],
-    "STALE": [lambda: [used("r1", made_version=0)]],
-    "WALL": [lambda: [used("r1", made_tenant="two")], lambda: [used("r2", tenant="two", made_tenant="one")]],
-    "MIXED": [lambda: [asked("x", faults=(("MIXED", "another's answer"),))]],
-    "ORDER": [lambda: [asked("x", faults=(("ORDER", "a piece twice"),))]],
+    "STALE": [lambda: [make_use("r1", made_version=0)]],
+    "WALL": [lambda: [make_use("r1", made_tenant="two")], lambda: [make_use("r2", tenant="two", made_tenant="one")]],
+    "MIXED": [lambda: [make_try("x", faults=(("MIXED", "another's answer"),))]],
+    "ORDER": [lambda: [make_try("x", faults=(("ORDER", "a piece twice"),))]],
     "ONE": [
-        lambda: [ordered("g", 1, 20 * SECOND)],
-        lambda: [ordered("g", 1, 20 * SECOND, 409)],
-        lambda: [ordered("h", 3, 10 * SECOND), ordered("g", 4, 11 * SECOND), ordered("h", 5, 12 * SECOND)],
-        lambda: [ordered("f", 0, 20 * SECOND)],
+        lambda: [make_order("g", 1, 20 * SECOND)],
+        lambda: [make_order("g", 1, 20 * SECOND, 409)],
+        lambda: [make_order("h", 3, 10 * SECOND), make_order("g", 4, 11 * SECOND), make_order("h", 5, 12 * SECOND)],
+        lambda: [make_order("f", 0, 20 * SECOND)],
         lambda: [
-            ordered("g", 1, 20 * SECOND),
+            make_order("g", 1, 20 * SECOND),
             Life(0, "ip-g", "g"),
             Trouble(17 * SECOND, "n", "router", "woken", "ip-g"),
         ],
@@ -191,7 +198,7 @@
         lambda: [ConfigSent(30 * SECOND, 31 * SECOND, 9, 3, 200, CONFIG, is_valid=False)],
         lambda: [ConfigRead(22 * SECOND, 2, {})],
         lambda: [ConfigRead(22 * SECOND, 3, {**CONFIG, "Tenants": []})],
-        lambda: [asked("x", status=404)],
+        lambda: [make_try("x", status=404)],
         lambda: [
             ConfigSent(
                 2 * SECOND,
@@ -203,71 +210,75 @@
             ),
             ConfigRead(23 * SECOND, 7, {**CONFIG, "Revision": 7, "Tenants": [{"Name": "one", "Keys": ["k9"]}]}),
         ],
-        lambda: [tried(3, 0, "a"), tried(3, 0, "b", 2 * SECOND)],
-        lambda: [tried(2, 0, "a"), tried(3, 0, "b", 2 * SECOND, is_lost=True)],
-        lambda: [tried(3, 0, "a"), tried(3, 0, "a", 3 * SECOND, 412)],
-        lambda: [tried(3, 0, "a", is_lost=True), tried(3, 0, "a", 3 * SECOND, 409)],
-        lambda: [tried(3, 0, "a"), tried(5, 2, "b", 2 * SECOND, 0), tried(3, 0, "a", 3 * SECOND, 400)],
-        lambda: [tried(4, 3, "a", 18 * SECOND, is_lost=True)],
+        lambda: [make_config_try(3, 0, "a"), make_config_try(3, 0, "b", 2 * SECOND)],
+        lambda: [make_config_try(2, 0, "a"), make_config_try(3, 0, "b", 2 * SECOND, is_lost=True)],
+        lambda: [make_config_try(3, 0, "a"), make_config_try(3, 0, "a", 3 * SECOND, 412)],
+        lambda: [make_config_try(3, 0, "a", is_lost=True), make_config_try(3, 0, "a", 3 * SECOND, 409)],
+        lambda: [
+            make_config_try(3, 0, "a"),
+            make_config_try(5, 2, "b", 2 * SECOND, 0),
+            make_config_try(3, 0, "a", 3 * SECOND, 400),
+        ],
+        lambda: [make_config_try(4, 3, "a", 18 * SECOND, is_lost=True)],
         lambda: [
             ConfigSent(30 * SECOND, 31 * SECOND, 6, 3, 412, {**CONFIG, "Revision": 6}),
             ConfigRead(33 * SECOND, 6, {**CONFIG, "Revision": 6}),
         ],
         lambda: later_requests(20),
     ],
-    "DENIED": [lambda: [asked(f"x{n}", status=404) for n in range(7)]],
+    "DENIED": [lambda: [make_try(f"x{n}", status=404) for n in range(7)]],
     "DRAIN": [
-        lambda: [Shown(5 * SECOND, "i-1", "draining"), asked("x"), arrived("x")],
-        lambda: [Shown(6_900_000, "i-1", "draining"), asked("x"), arrived("x", turned_away=503)],
+        lambda: [Shown(5 * SECOND, "i-1", "draining"), make_try("x"), make_arrival("x")],
+        lambda: [Shown(6_900_000, "i-1", "draining"), make_try("x"), make_arrival("x", turned_away=503)],
         lambda: [
             Shown(0, "i-1", "draining"),
             Trouble(3 * SECOND, "cloud", "cloud", "started"),
             Trouble(3 * SECOND, "front-1", "router", "woken"),
             Trouble(9 * SECOND, "front-2", "router", "killed"),
-            asked("x"),
-            arrived("x"),
+            make_try("x"),
+            make_arrival("x"),
         ],
     ],
     "LOST": [
-        lambda: [Trouble(10 * SECOND, "front-1", "router", "stopped"), asked("x", status=0)],
+        lambda: [Trouble(10 * SECOND, "front-1", "router", "stopped"), make_try("x", status=0)],
         lambda: [
             Trouble(10 * SECOND, "front-1", "router", "stopped"),
             Trouble(9 * SECOND, "core-1", "control_plane", "stopped"),
-            asked("x", status=0, ended_at=14 * SECOND),
+            make_try("x", status=0, ended_at=14 * SECOND),
         ],
         lambda: [
             Trouble(10 * SECOND, "front-1", "router", "stopped"),
-            asked("x", status=0, ended_at=10 * SECOND + 100_000),
-            arrived("x", turned_away=503),
+            make_try("x", status=0, ended_at=10 * SECOND + 100_000),
+            make_arrival("x", turned_away=503),
         ],
         lambda: [
             Trouble(10 * SECOND, "front-1", "router", "stopped"),
-            asked("x", status=0, ended_at=16 * SECOND + 600_000),
-            ran("x"),
-            arrived("x"),
+            make_try("x", status=0, ended_at=16 * SECOND + 600_000),
+            make_run("x"),
+            make_arrival("x"),
         ],
         lambda: [
             Trouble(10 * SECOND, "front-1", "router", "stopped"),
-            asked("x", sent_at=13 * SECOND + 1, status=0, ended_at=17 * SECOND),
-            ran("x"),
-            arrived("x"),
+            make_try("x", sent_at=13 * SECOND + 1, status=0, ended_at=17 * SECOND),
+            make_run("x"),
+            make_arrival("x"),
         ],
-        lambda: [Trouble(9 * SECOND, "front-1", "router", "reloaded"), asked("x", status=0)],
-        lambda: cut_at_work(ended_at=16_600_000),
-        lambda: cut_at_work(ended_at=17 * SECOND, sent_at=13_100_000),
-        lambda: [*cut_at_work(ended_at=17 * SECOND), Finished(16_600_000, "w1", "x")],
+        lambda: [Trouble(9 * SECOND, "front-1", "router", "reloaded"), make_try("x", status=0)],
+        lambda: cut_while_running(ended_at=16_600_000),
+        lambda: cut_while_running(ended_at=17 * SECOND, sent_at=13_100_000),
+        lambda: [*cut_while_running(ended_at=17 * SECOND), Finished(16_600_000, "w1", "x")],
         lambda: [
             Trouble(10 * SECOND, "front-1", "router", "stopped"),
             Trouble(10 * SECOND, "w2", "engine", "stopped"),
-            asked("x", status=0),
-            arrived("x"),
+            make_try("x", status=0),
+            make_arrival("x"),
         ],
-        lambda: closed_without_answer(4),
-        lambda: cut_beside(cut_before=0),
+        lambda: unanswered_on_kept_connections(4),
+        lambda: cuts_near_config_change(cut_before=0),
     ],
     "BUDGET": [
-        lambda: [arrived("r1", at=12 * SECOND + n, turned_away=503) for n in range(70)],
-        lambda: spread_runs(count=4, workers=3),
+        lambda: [make_arrival("r1", at=12 * SECOND + n, turned_away=503) for n in range(70)],
+        lambda: runs_on_several_workers(count=4, workers=3),
     ],
 }
 
@@ -289,13 +300,13 @@
     def test_what_may_run_again_and_what_an_unsettled_core_stretches(self) -> None:
         ledger = sound_ledger()
         for record in (
-            asked("x", resumable=True),
-            arrived("x"),
-            ran("x"),
-            ran("x", worker="w2"),
-            asked("y", kind="safe", status=503),
-            arrived("y"),
-            ran("y"),
+            make_try("x", resumable=True),
+            make_arrival("x"),
+            make_run("x"),
+            make_run("x", worker="w2"),
+            make_try("y", kind="safe", status=503),
+            make_arrival("y"),
+            make_run("y"),
             VersionNamed(SECOND, SECOND, "m", 2),
             Trouble(6 * SECOND, "core-1", "control_plane", "killed"),
         ):
@@ -306,39 +317,39 @@
         ledger = sound_ledger()
         for record in (
             Trouble(10 * SECOND, "front-1", "router", "stopped"),
-            asked("x", status=0, unread=True),
-            asked("y", status=0, node="front-2"),
-            asked("z", status=0, ended_at=20 * SECOND, given_up=True),
-            asked("deadline", status=0, ended_at=12 * SECOND, deadline_at=12 * SECOND),
-            asked("slack", status=0, ended_at=10 * SECOND + 200_000),
-            asked("broken", status=0),
+            make_try("x", status=0, unread=True),
+            make_try("y", status=0, node="front-2"),
+            make_try("z", status=0, ended_at=20 * SECOND, given_up=True),
+            make_try("deadline", status=0, ended_at=12 * SECOND, deadline_at=12 * SECOND),
+            make_try("slack", status=0, ended_at=10 * SECOND + 200_000),
+            make_try("broken", status=0),
             BrokenOff(10 * SECOND, "w1", "broken"),
-            asked("working", sent_at=13 * SECOND, status=0, ended_at=16 * SECOND + 700_000),
-            arrived("working"),
-            ran("working"),
+            make_try("working", sent_at=13 * SECOND, status=0, ended_at=16 * SECOND + 700_000),
+            make_arrival("working"),
+            make_run("working"),
             Shown(7_100_000, "i-1", "draining"),
-            asked("left"),
-            arrived("left", at=20 * SECOND, turned_away=421),
+            make_try("left"),
+            make_arrival("left", at=20 * SECOND, turned_away=421),
             Shown(0, "i-2", "draining"),
-            asked("list-down"),
-            arrived("list-down", instance="i-2"),
+            make_try("list-down"),
+            make_arrival("list-down", instance="i-2"),
             Trouble(5 * SECOND, "cloud", "cloud", "started"),
             Shown(0, "i-3", "draining"),
-            asked("thawed", node="front-3"),
-            arrived("thawed", instance="i-3"),
+            make_try("thawed", node="front-3"),
+            make_arrival("thawed", instance="i-3"),
             Trouble(5 * SECOND, "front-3", "router", "woken"),
         ):
             ledger.take(record)
         self.assertEqual(find_breaches(ledger), [])
-        ledger.take(asked("v", status=0))
+        ledger.take(make_try("v", status=0))
         self.assertEqual([b.rule for b in find_breaches(ledger)], ["LOST"])
         ledger.take(Trouble(9 * SECOND, "w1", "engine", "stopped"))
-        self.assertEqual([b.rule for b in find_breaches(ledger)], ["LOST"], "it was not at that worker")
-        ledger.take(arrived("v"))
-        self.assertEqual(find_breaches(ledger), [], "its worker was stopped within the time of contact")
+        self.assertEqual([b.rule for b in find_breaches(ledger)], ["LOST"], "the request had not reached that worker")
+        ledger.take(make_arrival("v"))
+        self.assertEqual(find_breaches(ledger), [], "the request's worker was stopped less than ContactMs before")
 
     def test_what_is_not_lost_late_or_old_during_a_fault_that_lasts(self) -> None:
-        """A fault counts from its beginning to its end, however long it lasts."""
+        """A fault that lasts excuses losses from its beginning to its end, not only around its beginning."""
         stopped = Trouble(10 * SECOND, "front-1", "router", "stopped")
         for begin, end, name, program in (
             ("cut", "healed", "engine-1", "engine"),
@@ -346,21 +357,23 @@
             ("faulty", "sound", "engine-1", "engine"),
         ):
             lasting = [Trouble(2 * SECOND, name, program, begin), Trouble(30 * SECOND, name, program, end)]
-            self.assert_sound(stopped, *lasting, asked("x", status=0))
+            self.assert_sound(stopped, *lasting, make_try("x", status=0))
         listed = [Trouble(0, "cloud", "cloud", "cut"), Trouble(9 * SECOND, "cloud", "cloud", "healed")]
-        self.assert_sound(Shown(0, "i-1", "draining"), *listed, asked("x"), arrived("x"))
+        self.assert_sound(Shown(0, "i-1", "draining"), *listed, make_try("x"), make_arrival("x"))
         newer = VersionNamed(SECOND, SECOND, "m", 2)
         link = [Trouble(SECOND, "engine-1", "engine", "cut"), Trouble(9 * SECOND, "engine-1", "engine", "healed")]
         self.assert_sound(newer, *link)
 
     def test_what_is_not_counted_of_kept_connections(self) -> None:
-        self.assert_sound(*closed_without_answer(3))
-        self.assert_sound(*closed_without_answer(4), Trouble(8 * SECOND, "w1", "engine", "killed"))
-        self.assert_sound(*closed_without_answer(4), Trouble(8 * SECOND, "front-1", "router", "woken"))
-        self.assert_sound(*closed_without_answer(4), *(BrokenOff(10 * SECOND, "w1", f"closed-{n}") for n in range(4)))
+        self.assert_sound(*unanswered_on_kept_connections(3))
+        self.assert_sound(*unanswered_on_kept_connections(4), Trouble(8 * SECOND, "w1", "engine", "killed"))
+        self.assert_sound(*unanswered_on_kept_connections(4), Trouble(8 * SECOND, "front-1", "router", "woken"))
+        self.assert_sound(
+            *unanswered_on_kept_connections(4), *(BrokenOff(10 * SECOND, "w1", f"closed-{n}") for n in range(4))
+        )
 
     def test_configurations_bind_machines_in_touch(self) -> None:
-        old_key = asked("x", key="k9")
+        old_key = make_try("x", key="k9")
         changed = {**CONFIG, "Revision": 4}
         dropped = {**CONFIG, "Tenants": [*CONFIG["Tenants"], {"Name": "four", "Keys": ["k9"]}]}
         story: list[Any] = [
@@ -368,8 +381,8 @@
             ConfigSent(6 * SECOND, 7 * SECOND, 4, 3, 200, changed),
             ConfigRead(20 * SECOND, 4, changed),
             old_key,
-            arrived("x", tenant="four"),
-            ran("x", tenant="four"),
+            make_arrival("x", tenant="four"),
+            make_run("x", tenant="four"),
         ]
         ledger = sound_ledger()
         for record in story:
@@ -385,12 +398,16 @@
         self.assertEqual([b.line() for b in find_breaches(ledger)], [])
 
     def test_what_is_sound_about_configurations(self) -> None:
-        again = tried(3, 0, "a", 3 * SECOND)
-        self.assert_sound(tried(3, 0, "a", is_lost=True), tried(3, 0, "a", 2 * SECOND, 0), again)
-        self.assert_sound(tried(3, 0, "a"), tried(3, 0, "a", 3 * SECOND, 503))
-        built_upon = tried(5, 3, "b", 2 * SECOND, 0)
-        self.assert_sound(tried(3, 0, "a"), built_upon, tried(3, 0, "a", 4 * SECOND, 412))
-        self.assert_sound(tried(3, 0, "a"), tried(5, 3, "b", 2 * SECOND, 412), tried(5, 3, "b", 3 * SECOND, 412))
+        again = make_config_try(3, 0, "a", 3 * SECOND)
+        self.assert_sound(make_config_try(3, 0, "a", is_lost=True), make_config_try(3, 0, "a", 2 * SECOND, 0), again)
+        self.assert_sound(make_config_try(3, 0, "a"), make_config_try(3, 0, "a", 3 * SECOND, 503))
+        built_upon = make_config_try(5, 3, "b", 2 * SECOND, 0)
+        self.assert_sound(make_config_try(3, 0, "a"), built_upon, make_config_try(3, 0, "a", 4 * SECOND, 412))
+        self.assert_sound(
+            make_config_try(3, 0, "a"),
+            make_config_try(5, 3, "b", 2 * SECOND, 412),
+            make_config_try(5, 3, "b", 3 * SECOND, 412),
+        )
         under_way = ConfigSent(21 * SECOND, 22 * SECOND, 4, 3, 200, {**CONFIG, "Revision": 4})
         newest = ConfigRead(24 * SECOND, 4, {**CONFIG, "Revision": 4})
         self.assert_sound(under_way, ConfigRead(23 * SECOND, 3, CONFIG, asked_at=21_500_000), newest)
@@ -398,22 +415,22 @@
         self.assert_sound(*later_requests(20), Trouble(29 * SECOND, "engine-9", "engine", "killed"))
 
     def test_what_is_sound_about_orders_runs_and_cuts(self) -> None:
-        turns = [ordered("h", 3, 20 * SECOND), ordered("g", 4, 21 * SECOND), ordered("h", 5, 22 * SECOND)]
+        turns = [make_order("h", 3, 20 * SECOND), make_order("g", 4, 21 * SECOND), make_order("h", 5, 22 * SECOND)]
         self.assert_sound(*turns, Life(0, "ip-g", "g"), Trouble(19 * SECOND, "n", "router", "woken", "ip-g"))
         thawed = [Life(0, "ip-g", "g"), Trouble(20 * SECOND, "n", "router", "woken", "ip-g")]
-        self.assert_sound(*thawed, ordered("g", 1, 20_200_000, 412))
-        self.assert_sound(*spread_runs(count=3, workers=3))
-        self.assert_sound(*spread_runs(count=9, workers=2))
-        self.assert_sound(*spread_runs(count=4, workers=3), Trouble(10 * SECOND, "w2", "engine", "killed"))
-        self.assert_sound(*cut_beside(cut_before=1))
+        self.assert_sound(*thawed, make_order("g", 1, 20_200_000, 412))
+        self.assert_sound(*runs_on_several_workers(count=3, workers=3))
+        self.assert_sound(*runs_on_several_workers(count=9, workers=2))
+        self.assert_sound(*runs_on_several_workers(count=4, workers=3), Trouble(10 * SECOND, "w2", "engine", "killed"))
+        self.assert_sound(*cuts_near_config_change(cut_before=1))
         changed = {**CONFIG, "Revision": 5}
         unclear = ConfigSent(15 * SECOND, 16 * SECOND, 5, 3, 0, changed)
-        self.assert_sound(unclear, *cut_at_work(ended_at=17 * SECOND))
+        self.assert_sound(unclear, *cut_while_running(ended_at=17 * SECOND))
 
     def test_turns_of_a_holder_out_of_touch_count_where_workers_check_no_fences(self) -> None:
         ledger = sound_ledger()
         for holder, fence in (("h", 3), ("g", 4), ("h", 5)):
-            ledger.take(ordered(holder, fence, (20 + fence) * SECOND))
+            ledger.take(make_order(holder, fence, (20 + fence) * SECOND))
         ledger.take(Life(0, "ip-g", "g"))
         ledger.take(Trouble(23 * SECOND, "n", "router", "woken", "ip-g"))
         self.assertEqual(find_breaches(ledger), [])
@@ -423,9 +440,9 @@
         ledger = sound_ledger()
         changed = {**CONFIG, "Revision": 5, "RouteTable": [route("a", "/a/", "other")]}
         ledger.take(ConfigSent(9 * SECOND, 14 * SECOND, 5, 3, 0, changed))
-        ledger.take(asked("x"))
-        ledger.take(arrived("x", service="other"))
-        ledger.take(ran("x", service="other"))
+        ledger.take(make_try("x"))
+        ledger.take(make_arrival("x", service="other"))
+        ledger.take(make_run("x", service="other"))
         self.assertEqual(find_breaches(ledger), [])
 
     def test_a_ledger_on_files_reads_back_and_bears_a_cut_line(self) -> None:
@@ -433,7 +450,7 @@
             sink = LedgerFile(Path(folder) / "one.jsonl")
             ledger = sound_ledger()
             records: list[Record] = [*ledger.configs, *ledger.tries, *ledger.runs, *ledger.uses, *ledger.orders]
-            for record in [*records, asked("x", faults=(("MIXED", "so"),))]:
+            for record in [*records, make_try("x", faults=(("MIXED", "so"),))]:
                 sink.take(record)
             sink.file.write(b'{"type": "Run", "at')
             sink.close()
@@ -516,7 +533,7 @@
         for node in self.plan.of("router"):
             entry.take(node.name, False)
             entry.take(node.name, False)
-        self.assertEqual(len(entry.in_use()), 3, "when under half are in, all are used")
+        self.assertEqual(len(entry.in_use()), 3, "with less than half of the nodes in use, all are used")
 
     def test_changes_by_name_and_settings(self) -> None:
         changed = apply_patch(
