--- a/src/pearhead/testbed/emulator/checkers.py
+++ b/src/pearhead/testbed/emulator/checkers.py
@@ -141,9 +141,9 @@
 
     def _isolated_tenants(self, ledger: SiteLedger) -> set[str]:
         """The names of the tenants that are isolated in every configuration that contains them."""
-        held = [t for c in ledger.configs if c.status in (0, 200) for t in c.body.get("Tenants", [])]
-        shared = {t["Name"] for t in held if not t.get("Isolated")}
-        return {t["Name"] for t in held} - shared
+        tenants = [t for c in ledger.configs if c.status in (0, 200) for t in c.body.get("Tenants", [])]
+        shared = {t["Name"] for t in tenants if not t.get("Isolated")}
+        return {t["Name"] for t in tenants} - shared
 
 
 class MixedChecker:
@@ -183,7 +183,7 @@
 
     def find(self, ledger: SiteLedger, bounds: SiteBounds) -> Iterator[str]:
         """Yields a description of each breach of this rule."""
-        tries, touch = ledger.tries_by_id(), Touch(ledger, bounds)
+        tries, trouble_history = ledger.tries_by_id(), Touch(ledger, bounds)
         unsettled = [
             s for s in trouble_spans(ledger.troubles) if s.trouble.program == "control_plane" or s.trouble.what == "cut"
         ]
@@ -196,7 +196,7 @@
                     + [s.end_at + bounds.contact_micros for s in unsettled if s.trouble.at <= run.at]
                 )
                 node = tries[run.request_id].node if run.request_id in tries else ""
-                if run.at - calm_from > bounds.version_micros and touch.is_sound(node, run.at, run.at):
+                if run.at - calm_from > bounds.version_micros and trouble_history.is_sound(node, run.at, run.at):
                     yield (
                         f"{run.request_id} began at {run.worker} on version {run.version}, "
                         f"{(run.at - calm_from) // MILLI} ms after {naming.version} was acknowledged"
--- a/src/pearhead/testbed/emulator/configcheckers.py
+++ b/src/pearhead/testbed/emulator/configcheckers.py
@@ -25,12 +25,12 @@
 
     def find(self, ledger: SiteLedger, bounds: SiteBounds) -> Iterator[str]:
         """Yields a description of each breach of this rule."""
-        taken = [c for c in ledger.configs if c.status == 200]
-        for base, count in Counter(c.base for c in taken if c.body).items():
-            numbers = {c.number for c in taken if c.base == base}
+        acknowledged = [c for c in ledger.configs if c.status == 200]
+        for base, count in Counter(c.base for c in acknowledged if c.body).items():
+            numbers = {c.number for c in acknowledged if c.base == base}
             if count > 1 and len(numbers) > 1:
                 yield f"{sorted(numbers)} were both acknowledged on {base}"
-        yield from (f"the invalid {c.number} was acknowledged" for c in taken if not c.is_valid)
+        yield from (f"the invalid {c.number} was acknowledged" for c in acknowledged if not c.is_valid)
         yield from self._conflicting_acknowledgements(ledger)
         yield from self._refused_after_acknowledgement(ledger)
         yield from self._read_back(ledger)
@@ -63,16 +63,16 @@
         Resending must be idempotent: until another change builds on it, a repeated change is acknowledged again or
         gets no conclusive answer.
         """
-        for taken in (c for c in ledger.config_tries if c.status == 200):
+        for first in (c for c in ledger.config_tries if c.status == 200):
             for later in ledger.config_tries:
                 if (
-                    later.change != taken.change
-                    or later.sent_at < taken.ended_at
+                    later.change != first.change
+                    or later.sent_at < first.ended_at
                     or later.status not in REFUSAL_STATUSES
                 ):
                     continue
-                if not self._is_built_upon(ledger, taken.number, later.ended_at):
-                    yield f"{taken.number} was acknowledged, sent again and refused with {later.status} at {later.node}"
+                if not self._is_built_upon(ledger, first.number, later.ended_at):
+                    yield f"{first.number} was acknowledged, sent again and refused with {later.status} at {later.node}"
 
     def _is_built_upon(self, ledger: SiteLedger, number: int, until: int) -> bool:
         """Whether another change may have been accepted with this number as its base."""
@@ -110,15 +110,15 @@
         Trouble at one core machine extends the time allowed for applying a configuration by `stretch_micros`. With
         trouble at more than one, nodes can't learn the newest configuration, so these requests aren't checked.
         """
-        configs, runs, touch = ConfigHistory(ledger), runs_by_request(ledger), Touch(ledger, bounds)
+        configs, runs, trouble_history = ConfigHistory(ledger), runs_by_request(ledger), Touch(ledger, bounds)
         for attempt in ledger.tries:
-            if not touch.is_sound(attempt.node, attempt.sent_at, attempt.ended_at):
+            if not trouble_history.is_sound(attempt.node, attempt.sent_at, attempt.ended_at):
                 continue
             stretched_micros = bounds.apply_micros + bounds.stretch_micros
-            struck = touch.troubled_cores(attempt.sent_at - stretched_micros, attempt.ended_at)
-            if len(struck) > 1:
+            troubled = trouble_history.troubled_cores(attempt.sent_at - stretched_micros, attempt.ended_at)
+            if len(troubled) > 1:
                 continue
-            apply_micros = stretched_micros if struck else bounds.apply_micros
+            apply_micros = stretched_micros if troubled else bounds.apply_micros
             possible = configs.possible_at(attempt.sent_at, attempt.ended_at, apply_micros)
             if not possible:
                 continue
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -313,8 +313,8 @@
             pairs = zip(operators, configs, strict=True)
             return await asyncio.gather(*(operator.put(config, base) for operator, config in pairs))
 
-        with ExitStack() as held:
-            operators = [held.enter_context(self.operator(lost_answers)) for _ in configs]
+        with ExitStack() as stack:
+            operators = [stack.enter_context(self.operator(lost_answers)) for _ in configs]
             statuses = asyncio.run(put_all(operators))
         for config, status in zip(configs, statuses, strict=True):
             self._hold(config, status)
@@ -333,10 +333,10 @@
 
     def patch(self, patch: dict[str, Any], lost_answers: int = 0) -> int:
         """Sends a change by item name, based on the last configuration accepted here. Returns the status."""
-        held = self.plan["config"]
+        base_config = self.plan["config"]
         with self.operator(lost_answers) as operator:
-            status = asyncio.run(operator.patch(patch, held))
-        self._hold(apply_patch(held, patch), status)
+            status = asyncio.run(operator.patch(patch, base_config))
+        self._hold(apply_patch(base_config, patch), status)
         return status
 
     def read_config(self) -> dict[str, Any]:
@@ -462,9 +462,9 @@
     return [*lines, *(f"  {breach.line()}" for breach in breaches)], len(breaches)
 
 
-def finish_site(shown: tuple[list[str], int]) -> None:
+def finish_site(result: tuple[list[str], int]) -> None:
     """Prints the lines of a result; exits with status 1 if its count is not 0."""
-    lines, count = shown
+    lines, count = result
     print("\n".join(lines))
     if count:
         raise SystemExit(1)
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -84,9 +84,11 @@
         """Sends a full configuration that replaces revision `base`. `is_valid`: whether it should be accepted."""
         return await self._send("PUT", config, config, base, limit_micros, is_valid)
 
-    async def patch(self, patch: dict[str, Any], held: dict[str, Any], limit_micros: int = 20 * SECOND) -> int:
-        """Sends a change by item name. `held`: the full configuration that it builds on."""
-        return await self._send("PATCH", patch, apply_patch(held, patch), held["Revision"], limit_micros, True)
+    async def patch(self, patch: dict[str, Any], base_config: dict[str, Any], limit_micros: int = 20 * SECOND) -> int:
+        """Sends a change by item name. `base_config`: the full configuration that it builds on."""
+        return await self._send(
+            "PATCH", patch, apply_patch(base_config, patch), base_config["Revision"], limit_micros, True
+        )
 
     async def read(self, limit_micros: int = 20 * SECOND) -> dict[str, Any]:
         """Reads the configuration in force; empty if no answer came in time."""
--- a/src/pearhead/testbed/emulator/plannedcheckers.py
+++ b/src/pearhead/testbed/emulator/plannedcheckers.py
@@ -190,15 +190,15 @@
         Counts only requests whose node and workers had no trouble, while no core machine had any either. Up to
         `TOLERATED_CLOSES` of them are tolerated.
         """
-        touch = Touch(ledger, bounds)
+        trouble_history = Touch(ledger, bounds)
         closed = [
             a
             for a in cut
             if a.kept
             and not a.first_at
             and a.request_id in workers
-            and not touch.troubled_cores(a.sent_at, a.ended_at)
-            and all(touch.is_sound(n, a.sent_at, a.ended_at) for n in (a.node, *workers[a.request_id]))
+            and not trouble_history.troubled_cores(a.sent_at, a.ended_at)
+            and all(trouble_history.is_sound(n, a.sent_at, a.ended_at) for n in (a.node, *workers[a.request_id]))
         ]
         if len(closed) > TOLERATED_CLOSES:
             yield f"{len(closed)} requests of kept connections had no answer, {closed[0].request_id} first"
--- a/src/pearhead/testbed/emulator/strikes.py
+++ b/src/pearhead/testbed/emulator/strikes.py
@@ -151,7 +151,7 @@
         return f"{self.version}: {self.launcher.name_version(self.version)}"
 
     def _change_by_name(self) -> str:
-        held = self.launcher.plan["config"]
-        number = held["Revision"] + self.chance.randrange(1, 6)
-        added = {**held["RouteTable"][0], "Name": f"r-added-{number}", "Prefix": f"/added{number}/"}
+        config = self.launcher.plan["config"]
+        number = config["Revision"] + self.chance.randrange(1, 6)
+        added = {**config["RouteTable"][0], "Name": f"r-added-{number}", "Prefix": f"/added{number}/"}
         return f"{number}: {self.launcher.patch({'Revision': number, 'Upsert': {'RouteTable': [added]}})}"
