--- a/src/pearhead/testbed/emulator/rules.py
+++ b/src/pearhead/testbed/emulator/rules.py
@@ -173,5 +173,5 @@
     machine_troubles = [t for t in ledger.troubles if ip and t.ip == ip and t.at <= at]
     if not machine_troubles:
         return False
-    end_event = max(machine_troubles, key=lambda t: t.at)
-    return end_event.what in ("frozen", "killed", "cut") or end_event.at > at - bounds.contact_micros
+    last_trouble = max(machine_troubles, key=lambda t: t.at)
+    return last_trouble.what in ("frozen", "killed", "cut") or last_trouble.at > at - bounds.contact_micros
