--- a/src/pearhead/testbed/emulator/plannedcheckers.py
+++ b/src/pearhead/testbed/emulator/plannedcheckers.py
@@ -118,7 +118,7 @@
         return worked_until >= last_sixth_at and attempt.sent_at <= stop.at + EARLY_REQUEST_MICROS
 
     def _cut_by_stops(self, stopped: list[Trouble], cut: list[Try], bounds: SiteBounds) -> Iterator[str]:
-        """Finds requests cut by a stopped node after its SIGTERM that were sent at most `GraceS` and a second after it."""
+        """Finds requests cut by a node after its SIGTERM, if sent no later than a second after the end of `GraceS`."""
         for stop in stopped:
             for attempt in (a for a in cut if a.node == stop.name):
                 end_at = stop.at + bounds.grace_micros + SECOND
