--- a/src/pearhead/testbed/soak/faultproxy.py
+++ b/src/pearhead/testbed/soak/faultproxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that stands between two processes and disturbs what passes, without any privileges."""
+"""A TCP proxy that injects faults into the connections between two processes on loopback; needs no privileges."""
 
 from __future__ import annotations
 
@@ -12,61 +12,64 @@
 from pearhead.runtime.socketnet import split_address
 
 CHUNK_SIZE = 64 * 1024
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+# A `struct linger` with l_onoff=1 and l_linger=0: closing the socket sends a RST.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 TOO_MANY_REQUESTS = b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 @dataclass(frozen=True)
 class LinkFault:
-    """What a proxy does to its link.
+    """The faults that a proxy injects into its link; the default is none.
 
     Attributes:
-        is_cut: Bytes of both directions are held until the link heals.
-        is_refusing: New connections are reset at once, those that exist when the fault begins too.
-        delay_micros: Each chunk is passed on so much later.
-        reset_share: The share of answer chunks instead of which both ends get a reset.
-        lost_share: The share of answer chunks from which on the answer is swallowed while its connection stays open.
-        canned_answer: Sent at once to each new connection instead of connecting it.
+        is_cut: Bytes of both directions are held back until the fault ends.
+        is_refusing: New connections are reset at once, and so are those that are open when the fault begins.
+        delay_micros: Delay before each chunk is forwarded, in microseconds.
+        reset_probability: For each chunk of a response, the probability that both connections are reset instead.
+        loss_probability: For each chunk of a response, the probability that it and all that follows is discarded while
+            the connection stays open.
+        canned_response: If not empty, sent to each new client after its request head instead of connecting to the
+            server.
     """
 
     is_cut: bool = False
     is_refusing: bool = False
     delay_micros: int = 0
-    reset_share: float = 0.0
-    lost_share: float = 0.0
-    canned_answer: bytes = b""
+    reset_probability: float = 0.0
+    loss_probability: float = 0.0
+    canned_response: bytes = b""
 
 
-SOUND_LINK = LinkFault()
+NO_LINK_FAULT = LinkFault()
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Ends a connection with a reset instead of a regular close."""
-    own_socket = writer.get_extra_info("socket")
-    if own_socket is not None and not writer.is_closing():
-        own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+    """Closes a connection with a RST instead of a FIN."""
+    tcp_socket = writer.get_extra_info("socket")
+    if tcp_socket is not None and not writer.is_closing():
+        tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     writer.transport.abort()
 
 
 class ProxiedConnection:
-    """One client's connection and its counterpart at the server."""
+    """A client's connection to the proxy and the matching connection from the proxy to the server."""
 
     def __init__(
         self,
-        link: FaultProxy,
+        proxy: FaultProxy,
         client: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         server: tuple[asyncio.StreamReader, asyncio.StreamWriter],
     ) -> None:
-        self.link = link
+        self.proxy = proxy
         self.client_reader, self.client_writer = client
         self.server_reader, self.server_writer = server
-        self.is_swallowing = False
+        self.is_discarding = False
 
     async def run(self) -> None:
-        """Passes bytes in both directions until both have ended or one broke."""
+        """Forwards bytes in both directions until both have ended or one has failed."""
         directions = [
-            asyncio.ensure_future(self._pass_on(self.client_reader, self.server_writer, is_answer=False)),
-            asyncio.ensure_future(self._pass_on(self.server_reader, self.client_writer, is_answer=True)),
+            asyncio.ensure_future(self._forward(self.client_reader, self.server_writer, is_response=False)),
+            asyncio.ensure_future(self._forward(self.server_reader, self.client_writer, is_response=True)),
         ]
         try:
             await asyncio.gather(*directions)
@@ -79,62 +82,66 @@
             self.server_writer.close()
 
     def reset(self) -> None:
-        """Both ends see a reset."""
+        """Resets the connections to the client and to the server."""
         reset_connection(self.client_writer)
         reset_connection(self.server_writer)
 
-    async def _pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_answer: bool) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_response: bool) -> None:
         while chunk := await reader.read(CHUNK_SIZE):
-            await self.link.hold_up()
+            await self.proxy.wait_to_forward()
             if (fault := reader.exception()) is not None:
-                # The sender has reset the connection meanwhile: its kernel would have dropped these bytes.
+                # The sender reset the connection while the chunk was held back; without a proxy its kernel would have
+                # dropped these bytes.
                 raise ConnectionResetError from fault
-            if is_answer:
-                self._disturb_answer()
-            if not (is_answer and self.is_swallowing):
+            if is_response:
+                self._apply_response_faults()
+            if not (is_response and self.is_discarding):
                 writer.write(chunk)
                 await writer.drain()
-        await self.link.hold_up()
-        if not (is_answer and self.is_swallowing):
-            self._end(writer, is_answer)
+        await self.proxy.wait_to_forward()
+        if not (is_response and self.is_discarding):
+            self._forward_eof(writer, is_response)
 
-    def _end(self, writer: asyncio.StreamWriter, is_answer: bool) -> None:
-        """A server that ends its side ends the connection; a client may still read."""
-        if is_answer:
+    def _forward_eof(self, writer: asyncio.StreamWriter, is_response: bool) -> None:
+        """Closes both connections when the server has ended; forwards only the EOF when the client has."""
+        if is_response:
             writer.close()
             self.server_writer.close()
         elif writer.can_write_eof() and not writer.is_closing():
             writer.write_eof()
 
-    def _disturb_answer(self) -> None:
-        fault, chance = self.link.fault, self.link.chance
-        if chance.random() < fault.reset_share:
+    def _apply_response_faults(self) -> None:
+        fault, chance = self.proxy.fault, self.proxy.chance
+        if chance.random() < fault.reset_probability:
             raise ConnectionResetError
-        if chance.random() < fault.lost_share:
-            self.is_swallowing = True
+        if chance.random() < fault.loss_probability:
+            self.is_discarding = True
 
 
 class FaultProxy:
-    """Listens at one address, connects to another, and passes bytes on as the present fault allows."""
+    """Listens at one address and forwards to another, as far as the current fault allows.
+
+    `chance` draws which chunks are reset or lost.
+    """
 
     def __init__(self, address: str, target_address: str, chance: random.Random) -> None:
         self.address, self.target_address, self.chance = address, target_address, chance
-        self.fault = SOUND_LINK
+        self.fault = NO_LINK_FAULT
         self.connections: set[ProxiedConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
-        # Addresses of clients whose connections the proxy took, although nobody behind it did.
-        self.refused: set[tuple[str, int]] = set()
-        self.passes = asyncio.Event()
-        self.passes.set()
+        # Addresses of clients whose connection the proxy accepted, then reset because no server took it.
+        self.refused_clients: set[tuple[str, int]] = set()
+        self.unblocked = asyncio.Event()
+        self.unblocked.set()
 
     async def open(self) -> None:
-        """Begins to listen. Raises OSError."""
+        """Starts to listen. Raises OSError if the address can't be bound."""
         host_name, port_number = split_address(self.address)
-        self.server = await asyncio.start_server(self._accept, host_name, port_number, backlog=512)
+        self.server = await asyncio.start_server(self._on_connection, host_name, port_number, backlog=512)
 
     async def close(self) -> None:
-        """Ends all connections and no longer listens."""
+        """Stops listening and resets all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -144,49 +151,49 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def set_fault(self, fault: LinkFault) -> None:
-        """From now on the link bears this fault; SOUND_LINK heals it."""
+        """Replaces the current fault; NO_LINK_FAULT ends it."""
         self.fault = replace(fault)
         if fault.is_cut:
-            self.passes.clear()
+            self.unblocked.clear()
         else:
-            self.passes.set()
+            self.unblocked.set()
         if fault.is_refusing:
             for connection in list(self.connections):
                 connection.reset()
 
-    async def hold_up(self) -> None:
-        """Returns when a chunk that came now may go on."""
+    async def wait_to_forward(self) -> None:
+        """Waits until a chunk that has just arrived may be forwarded."""
         if self.fault.delay_micros:
             await asyncio.sleep(self.fault.delay_micros / SECOND)
-        await self.passes.wait()
+        await self.unblocked.wait()
 
-    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
         try:
-            await self._serve(reader, writer)
+            await self._handle_client(reader, writer)
         except asyncio.CancelledError:
-            # Only `close` cancels; a cancelled handler would be reported by asyncio's server as a failure.
+            # Only `close` cancels this task; asyncio's server would report a cancelled handler as a failure.
             reset_connection(writer)
         finally:
             self.tasks.discard(task)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         client_address = writer.get_extra_info("peername")
-        self.refused.discard(client_address)
+        self.refused_clients.discard(client_address)
         if self.fault.is_refusing:
-            self.refused.add(client_address)
+            self.refused_clients.add(client_address)
             reset_connection(writer)
             return
-        if self.fault.canned_answer:
-            await self._answer_canned(reader, writer)
+        if self.fault.canned_response:
+            await self._send_canned_response(reader, writer)
             return
-        await self.hold_up()
+        await self.wait_to_forward()
         try:
             server = await asyncio.open_connection(*split_address(self.target_address))
         except OSError:
-            self.refused.add(client_address)
+            self.refused_clients.add(client_address)
             reset_connection(writer)
             return
         connection = ProxiedConnection(self, (reader, writer), server)
@@ -196,10 +203,10 @@
         finally:
             self.connections.discard(connection)
 
-    async def _answer_canned(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _send_canned_response(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(self.fault.canned_answer)
+            writer.write(self.fault.canned_response)
             await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
             pass
--- a/src/pearhead/testbed/soak/faults.py
+++ b/src/pearhead/testbed/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a schedule on a running fleet."""
+"""Injects the faults of a schedule into a running fleet."""
 
 from __future__ import annotations
 
@@ -21,58 +21,65 @@
 from pearhead.testbed.soak.fleet import SoakFleet
 from pearhead.testbed.soak.schedule import FaultKind, ScheduledFault
 
-FAULTY_ANSWERS: tuple[dict[str, Any], ...] = (
+# Settings that an emulated worker takes at /site/command; a fault's `count` picks one.
+WORKER_FAULT_SETS: tuple[dict[str, Any], ...] = (
     {"cut": 0.15, "lost": 0.25, "fails": 0.1},
     {"garble": 0.1, "extra": 0.2, "late": 0.2},
     {"slowness": 10.0, "false_health": True},
 )
-DELAYS_MICROS = (50 * MILLI, 200 * MILLI, 600 * MILLI)
+LINK_DELAYS_MICROS = (50 * MILLI, 200 * MILLI, 600 * MILLI)
 LIST_DELAY_MICROS = 1_500 * MILLI
-KILLING = (FaultKind.KILL_FRONT, FaultKind.KILL_CORE, FaultKind.KILL_ALL_CORES, FaultKind.KILL_WORKER)
-FREEZING = (FaultKind.FREEZE_FRONT, FaultKind.FREEZE_CORE, FaultKind.FREEZE_WORKER)
-OLDEST_ROUTES = 2
-MOST_ROUTES = 5
+KILL_KINDS = (FaultKind.KILL_FRONT, FaultKind.KILL_CORE, FaultKind.KILL_ALL_CORES, FaultKind.KILL_WORKER)
+FREEZE_KINDS = (FaultKind.FREEZE_FRONT, FaultKind.FREEZE_CORE, FaultKind.FREEZE_WORKER)
+# The site's own routes; those after them were added during the run.
+INITIAL_ROUTE_COUNT = 2
+MAX_ROUTES = 5
 
 
 class FaultRunner:
-    """Runs each fault as a task of its own, so that they overlap as scheduled.
+    """Runs each fault in a task of its own, so that faults overlap as scheduled.
 
-    `on_config` is told of each configuration that was acknowledged.
+    `on_config_accepted` is called with each configuration that was acknowledged or read back. `unexpected_exits` lists
+    the processes that were found dead when a fault was about to hit them.
     """
 
     def __init__(
-        self, fleet: SoakFleet, seed: int, operator_sink: LedgerFile, on_config: Callable[[dict[str, Any]], None]
+        self,
+        fleet: SoakFleet,
+        seed: int,
+        operator_sink: LedgerFile,
+        on_config_accepted: Callable[[dict[str, Any]], None],
     ) -> None:
         self.fleet, self.clock, self.seed = fleet, fleet.clock, seed
-        self.operator_sink, self.on_config = operator_sink, on_config
+        self.operator_sink, self.on_config_accepted = operator_sink, on_config_accepted
         self.chance = random.Random(f"faults {seed}")
-        self.order_lock = asyncio.Lock()
+        self.operator_lock = asyncio.Lock()
         self.process_locks: defaultdict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
-        self.order_count = 0
-        self.version = 1
-        self.ended_by_themselves: list[str] = []
+        self.operation_count = 0
+        self.weights_version = 1
+        self.unexpected_exits: list[str] = []
 
     async def run(self, faults: list[ScheduledFault]) -> None:
-        """Returns when all faults are over and every process runs again."""
-        begun_at = self.clock.now()
-        await asyncio.gather(*(self._run_at(begun_at + f.begin_micros, f) for f in faults))
+        """Runs all faults; returns when they are over and every process has been started again."""
+        started_at = self.clock.now()
+        await asyncio.gather(*(self._run_at(started_at + f.begin_micros, f) for f in faults))
 
     async def _run_at(self, at: int, fault: ScheduledFault) -> None:
         await sleep_for(self.clock, at - self.clock.now())
-        # The schedule keeps faults of one process apart, but on a busy machine one may end later than it should. Taken
-        # in the order of names, so that two faults of several processes never wait for each other.
-        async with AsyncExitStack() as held:
+        # The schedule keeps faults of one process apart, but on a busy machine a fault may end late. The locks are
+        # taken in the order of names, so that two faults that share several processes can't deadlock.
+        async with AsyncExitStack() as locks:
             for name in sorted(fault.targets):
-                await held.enter_async_context(self.process_locks[name])
-            await self._carry_out(fault)
+                await locks.enter_async_context(self.process_locks[name])
+            await self._inject(fault)
 
-    async def _carry_out(self, fault: ScheduledFault) -> None:
-        if fault.kind in KILLING:
+    async def _inject(self, fault: ScheduledFault) -> None:
+        if fault.kind in KILL_KINDS:
             await self._kill(fault)
-        elif fault.kind in FREEZING:
+        elif fault.kind in FREEZE_KINDS:
             await self._freeze(fault)
         elif fault.kind is FaultKind.ROLLING_RESTART:
-            await self._restart_in_turn(fault)
+            await self._rolling_restart(fault)
         elif fault.kind is FaultKind.WORKER_LEAVES:
             await self._restart(fault.targets[0])
         elif fault.kind is FaultKind.RELOAD:
@@ -83,33 +90,33 @@
         elif fault.kind in (FaultKind.CONFIG_CHANGE, FaultKind.KEY_REVOCATION):
             await self._change_config(fault)
         elif fault.kind is FaultKind.FAULTY_WORKER:
-            await self._disturb_worker(fault)
+            await self._inject_worker_fault(fault)
         else:
-            await self._disturb_link(fault)
+            await self._inject_link_fault(fault)
 
     # ---- processes ---------------------------------------------------------------------------------
 
-    def look_for_ends(self, names: tuple[str, ...]) -> None:
-        """A process that is to be struck must still live."""
-        self.ended_by_themselves.extend(name for name in names if not self.fleet.is_alive(name))
+    def record_unexpected_exits(self, names: tuple[str, ...]) -> None:
+        """Records which of these processes, which a fault is about to hit, no longer run."""
+        self.unexpected_exits.extend(name for name in names if not self.fleet.is_alive(name))
 
     async def _kill(self, fault: ScheduledFault) -> None:
-        self.look_for_ends(fault.targets)
+        self.record_unexpected_exits(fault.targets)
         await asyncio.gather(*(self.fleet.kill(name) for name in fault.targets))
         await sleep_for(self.clock, fault.duration_micros)
         for name in fault.targets:
             self.fleet.start(name)
 
     async def _freeze(self, fault: ScheduledFault) -> None:
-        self.look_for_ends(fault.targets)
+        self.record_unexpected_exits(fault.targets)
         for name in fault.targets:
             self.fleet.send_signal(name, signal.SIGSTOP)
         await sleep_for(self.clock, fault.duration_micros)
         for name in fault.targets:
             self.fleet.send_signal(name, signal.SIGCONT)
 
-    async def _restart_in_turn(self, fault: ScheduledFault) -> None:
-        """One process is told to end shortly after the other, while those before it still drain."""
+    async def _rolling_restart(self, fault: ScheduledFault) -> None:
+        """Restarts processes one shortly after another, while earlier ones still drain."""
         gap_micros = fault.duration_micros // len(fault.targets)
         restarts = []
         for name in fault.targets:
@@ -118,26 +125,26 @@
         await asyncio.gather(*restarts)
 
     async def _restart(self, name: str) -> None:
-        self.look_for_ends((name,))
-        await self.fleet.stop_planned(name)
+        self.record_unexpected_exits((name,))
+        await self.fleet.stop_gracefully(name)
         self.fleet.start(name)
 
-    async def _disturb_worker(self, fault: ScheduledFault) -> None:
+    async def _inject_worker_fault(self, fault: ScheduledFault) -> None:
         name = fault.targets[0]
-        self.fleet.note_faulty(name, True)
-        await self._command(name, FAULTY_ANSWERS[fault.count % len(FAULTY_ANSWERS)])
+        self.fleet.record_worker_faulty(name, True)
+        await self._set_worker_faults(name, WORKER_FAULT_SETS[fault.count % len(WORKER_FAULT_SETS)])
         await sleep_for(self.clock, fault.duration_micros)
-        await self._command(name, SOUND)
-        self.fleet.note_faulty(name, False)
+        await self._set_worker_faults(name, SOUND)
+        self.fleet.record_worker_faulty(name, False)
 
-    async def _command(self, name: str, faults: dict[str, Any]) -> None:
+    async def _set_worker_faults(self, name: str, faults: dict[str, Any]) -> None:
         await ask(self.fleet.plan["processes"][name]["httpAddress"], "POST", "/site/command", faults)
 
     # ---- links -------------------------------------------------------------------------------------
 
-    async def _disturb_link(self, fault: ScheduledFault) -> None:
+    async def _inject_link_fault(self, fault: ScheduledFault) -> None:
         name = fault.targets[0]
-        self.fleet.disturb_link(name, self._link_fault(fault))
+        self.fleet.start_link_fault(name, self._link_fault(fault))
         await sleep_for(self.clock, fault.duration_micros)
         self.fleet.heal_link(name)
 
@@ -147,73 +154,73 @@
                 return LinkFault(delay_micros=LIST_DELAY_MICROS)
             case FaultKind.LIST_REFUSES:
                 return LinkFault(is_refusing=True)
-            case FaultKind.LIST_LIMITS:
-                return LinkFault(canned_answer=TOO_MANY_REQUESTS)
+            case FaultKind.LIST_RATE_LIMITS:
+                return LinkFault(canned_response=TOO_MANY_REQUESTS)
             case FaultKind.DELAY_LINK:
-                return LinkFault(delay_micros=DELAYS_MICROS[fault.count % len(DELAYS_MICROS)])
+                return LinkFault(delay_micros=LINK_DELAYS_MICROS[fault.count % len(LINK_DELAYS_MICROS)])
             case FaultKind.LOSE_ANSWERS:
-                return LinkFault(lost_share=0.02)
+                return LinkFault(loss_probability=0.02)
             case FaultKind.RESET_ANSWERS:
-                return LinkFault(reset_share=0.02)
+                return LinkFault(reset_probability=0.02)
             case _:
                 return LinkFault(is_cut=True)
 
     # ---- the operator ------------------------------------------------------------------------------
 
     async def _change_config(self, fault: ScheduledFault) -> None:
-        """One operator at a time, each on top of the newest configuration that it knows of."""
-        async with self.order_lock:
-            self.order_count += 1
-            held = self.fleet.plan["config"]
-            operator = self.fleet.open_operator(
-                self.operator_sink, fault.count, f"operator {self.seed} {self.order_count}"
+        """Changes the configuration as an operator: one change at a time, each based on the newest known one."""
+        async with self.operator_lock:
+            self.operation_count += 1
+            base_config = self.fleet.plan["config"]
+            operator = self.fleet.make_operator(
+                self.operator_sink, fault.count, f"operator {self.seed} {self.operation_count}"
             )
             is_revocation = fault.kind is FaultKind.KEY_REVOCATION
-            patch = self._revocation(held) if is_revocation else self._route_change(held)
-            config = apply_patch(held, patch)
-            if self.order_count % 2:
-                status = await operator.patch(patch, held)
+            patch = self._key_revocation_patch(base_config) if is_revocation else self._route_change_patch(base_config)
+            config = apply_patch(base_config, patch)
+            if self.operation_count % 2:
+                status = await operator.patch(patch, base_config)
             else:
-                status = await operator.put(config, held["Revision"])
+                status = await operator.put(config, base_config["Revision"])
             if status == 200:
-                self._hold(config)
+                self._use_config(config)
             else:
                 await self._resync()
 
     async def _resync(self) -> None:
-        """After an unclear answer the operator reads what is in force."""
-        operator = self.fleet.open_operator(self.operator_sink, 0, f"reader {self.seed} {self.order_count}")
+        """Reads the configuration in force, after a change whose outcome is unclear or that was refused."""
+        operator = self.fleet.make_operator(self.operator_sink, 0, f"reader {self.seed} {self.operation_count}")
         config = await operator.read()
         if config:
-            self._hold(config)
-
-    def _hold(self, config: dict[str, Any]) -> None:
-        self.fleet.hold_config(config, 200)
-        self.on_config(config)
-
-    def _route_change(self, held: dict[str, Any]) -> dict[str, Any]:
-        """Adds a route, or removes the oldest that was added."""
-        number = held["Revision"] + 1
-        routes = held["RouteTable"]
-        if len(routes) >= MOST_ROUTES:
-            return {"Revision": number, "Remove": {"RouteTable": [routes[OLDEST_ROUTES]["Name"]]}}
-        word = f"added{number}"
+            self._use_config(config)
+
+    def _use_config(self, config: dict[str, Any]) -> None:
+        self.fleet.save_config(config, 200)
+        self.on_config_accepted(config)
+
+    def _route_change_patch(self, base_config: dict[str, Any]) -> dict[str, Any]:
+        """A patch that adds a route, or removes the oldest added one if there are MAX_ROUTES."""
+        revision = base_config["Revision"] + 1
+        routes = base_config["RouteTable"]
+        if len(routes) >= MAX_ROUTES:
+            return {"Revision": revision, "Remove": {"RouteTable": [routes[INITIAL_ROUTE_COUNT]["Name"]]}}
+        label = f"added{revision}"
         return {
-            "Revision": number,
-            "Upsert": {"RouteTable": [{**routes[0], "Name": f"r-{word}", "Prefix": f"/{word}/"}]},
+            "Revision": revision,
+            "Upsert": {"RouteTable": [{**routes[0], "Name": f"r-{label}", "Prefix": f"/{label}/"}]},
         }
 
-    def _revocation(self, held: dict[str, Any]) -> dict[str, Any]:
-        """One tenant's first key is replaced by another."""
-        tenant = copy.deepcopy(self.chance.choice(held["Tenants"]))
+    def _key_revocation_patch(self, base_config: dict[str, Any]) -> dict[str, Any]:
+        """A patch that replaces the first key of a random tenant by a new one."""
+        tenant = copy.deepcopy(self.chance.choice(base_config["Tenants"]))
         tenant["Keys"] = [*tenant["Keys"][1:], self.chance.randbytes(10).hex()]
-        return {"Revision": held["Revision"] + 1, "Upsert": {"Tenants": [tenant]}}
+        return {"Revision": base_config["Revision"] + 1, "Upsert": {"Tenants": [tenant]}}
 
     async def _name_weights(self) -> None:
-        async with self.order_lock:
-            self.order_count += 1
-            self.version += 1
+        async with self.operator_lock:
+            self.operation_count += 1
+            self.weights_version += 1
             site = self.fleet.site
-            operator = self.fleet.open_operator(self.operator_sink, 0, f"weights {self.seed} {self.order_count}")
+            operator = self.fleet.make_operator(self.operator_sink, 0, f"weights {self.seed} {self.operation_count}")
             cloud = site.addresses("cloud", CLOUD_PORT)[0]
-            await operator.name_version(site.model, self.version, cloud, site.addresses("engine", WORKER_PORT))
+            await operator.name_version(site.model, self.weights_version, cloud, site.addresses("engine", WORKER_PORT))
--- a/src/pearhead/testbed/soak/fleet.py
+++ b/src/pearhead/testbed/soak/fleet.py
@@ -1,7 +1,8 @@
-"""The fleet of a soak run: an emulated site whose links to callers, workers, list and operator pass fault proxies.
+"""The fleet of a soak run: an emulated site with fault proxies in front of its processes.
 
-Messages between the product's own processes are not proxied: each process tells the others the address at which it
-listens itself, and there is no setting for another one.
+The proxies carry the connections from callers to front nodes, from operators to core nodes, and to the workers and the
+cloud API's list of workers. Messages between the product's own processes are not proxied: each process announces the
+address at which it listens, and no setting announces a different one.
 """
 
 from __future__ import annotations
@@ -30,63 +31,67 @@
 )
 from pearhead.testbed.emulator.wire import ask
 from pearhead.testbed.launcher import Launcher, find_deployment
-from pearhead.testbed.soak.faultproxy import SOUND_LINK, FaultProxy, LinkFault
+from pearhead.testbed.soak.faultproxy import NO_LINK_FAULT, FaultProxy, LinkFault
 from pearhead.testbed.soak.schedule import SoakProfile
 
-PROXY_OFFSET = 100
+PROXY_OCTET_OFFSET = 100
 PROXIED_PORTS = {"control_plane": CONTROL_PORT, "router": FRONT_PORT, "engine": WORKER_PORT, "cloud": CLOUD_PORT}
-POLL_MICROS = 50_000
-READY_MICROS = 60 * SECOND
-# Long enough for what a worker is still sent once the list shows that it leaves, and within `GraceS`.
+POLL_INTERVAL_MICROS = 50_000
+# For the front nodes to become ready, and for a process to disappear after SIGKILL.
+PROCESS_TIMEOUT_MICROS = 60 * SECOND
+# Long enough for the requests that a worker still gets once the list shows that it is leaving, and less than `GraceS`.
 WORKER_DRAIN_MICROS = 6 * SECOND
 LONG_OUTPUT_TOKENS = 500
-LONG_SHARE = 0.4
-LEAST_TRIES = 2
+LONG_REQUEST_SHARE = 0.4
+MIN_TRIES = 2
 
 
 class NotReadyError(Exception):
-    """The fleet did not become ready in time."""
+    """The front nodes that the message names did not become ready in time."""
 
 
 def proxy_ip(ip: str) -> str:
-    """Where the proxy of a machine listens: in the same block, with a third number of its own."""
+    """The address of a machine's proxy: in the same address block, with another third octet."""
     first, second, third, fourth = ip.split(".")
-    return f"{first}.{second}.{int(third) + PROXY_OFFSET}.{fourth}"
+    return f"{first}.{second}.{int(third) + PROXY_OCTET_OFFSET}.{fourth}"
 
 
 class ProxiedEntry(Entry):
-    """Callers reach front nodes through their proxies."""
+    """Sends callers to the front nodes' proxies instead of the nodes themselves."""
 
     def address(self, node: Machine) -> str:
-        """The proxy's address."""
+        """Address and port of the node's proxy."""
         return f"{proxy_ip(node.ip)}:{FRONT_PORT}"
 
 
 class SoakFleet(SiteLauncher):
-    """Starts, signals and awaits the processes of one run, inside one event loop."""
+    """Starts, signals and awaits the processes of one run, and disturbs their links, inside one event loop."""
 
     def __init__(self, folder: str) -> None:
         super().__init__(folder)
         self.proxies: dict[str, FaultProxy] = {}
 
-    def make(self, profile: SoakProfile, seed: int) -> None:
-        """Draws the site; some of its requests last for seconds, as those at work matter when a node drains."""
+    def prepare_site(self, profile: SoakProfile, seed: int) -> None:
+        """Draws the site and saves its plan.
+
+        Some of the requests are made to last for seconds, so that nodes that drain still have requests at work.
+        """
         self.make_site(find_deployment("academy"), SiteSize(profile.cores, profile.fronts, profile.workers), seed)
         site = self.site
         short, long = site.kinds
         site.kinds = [
-            RequestKind(**{**vars(short), "share": 1 - LONG_SHARE}),
-            RequestKind(**{**vars(long), "share": LONG_SHARE, "output_tokens": LONG_OUTPUT_TOKENS}),
+            RequestKind(**{**vars(short), "share": 1 - LONG_REQUEST_SHARE}),
+            RequestKind(**{**vars(long), "share": LONG_REQUEST_SHARE, "output_tokens": LONG_OUTPUT_TOKENS}),
         ]
         for route in site.config["RouteTable"]:
-            # Without a second try nothing would show whether what may have run is sent once more.
-            route["Tries"] = max(LEAST_TRIES, route["Tries"])
+            # With a single try a run couldn't reveal a request that is sent again although it may have run.
+            route["Tries"] = max(MIN_TRIES, route["Tries"])
         self.plan["site"] = site.fields()
         self.plan["config"] = site.config
         self._save_plan()
 
     def settings_of(self, name: str) -> dict[str, Any]:
-        """As the platform writes them, with the addresses of proxies where others are told of one."""
+        """The settings as the platform writes them, with proxy addresses for the workers and the worker list."""
         settings = super().settings_of(name)
         program = self.plan["processes"][name]["program"]
         if program == "engine":
@@ -101,7 +106,7 @@
     # ---- proxies -----------------------------------------------------------------------------------
 
     async def open_proxies(self, chance: random.Random) -> None:
-        """One proxy for each machine that callers, front nodes or operators connect to."""
+        """Opens a proxy for each core node, front node and worker, and for the cloud API. Raises OSError."""
         for machine in self.site.of(*PROXIED_PORTS):
             port = PROXIED_PORTS[machine.program]
             proxy = FaultProxy(f"{proxy_ip(machine.ip)}:{port}", f"{machine.ip}:{port}", chance)
@@ -109,69 +114,69 @@
             self.proxies[machine.name] = proxy
 
     async def close_proxies(self) -> None:
-        """Ends all proxies."""
+        """Closes all proxies with their connections."""
         await asyncio.gather(*(proxy.close() for proxy in self.proxies.values()))
 
-    def disturb_link(self, name: str, fault: LinkFault) -> None:
-        """Begins a fault of the link to a process and records it."""
+    def start_link_fault(self, name: str, fault: LinkFault) -> None:
+        """Starts a fault on the link to a process and records it."""
         self._note(name, "cut")
         self.proxies[name].set_fault(fault)
 
     def heal_link(self, name: str) -> None:
-        """Ends the fault of a link and records it."""
-        self.proxies[name].set_fault(SOUND_LINK)
+        """Ends the fault on the link to a process and records it."""
+        self.proxies[name].set_fault(NO_LINK_FAULT)
         self._note(name, "healed")
 
     # ---- processes ---------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        """Raises RuntimeError if the process lives: a second one would never be ended."""
+        """Starts a process. Raises RuntimeError if it runs already, as the first one would never be stopped then."""
         if self.is_alive(name):
-            raise RuntimeError(f"{name} lives already")
+            raise RuntimeError(f"{name} is already running")
         super().start(name)
 
     async def kill(self, name: str) -> None:
-        """SIGKILL; returns once the process is gone."""
+        """Sends SIGKILL and waits until the process is gone."""
         self.send_signal(name, signal.SIGKILL)
-        await self.wait_gone(name, READY_MICROS)
+        await self.wait_exited(name, PROCESS_TIMEOUT_MICROS)
 
-    async def stop_planned(self, name: str) -> None:
-        """SIGTERM as planned work, and SIGKILL once `GraceS` is over."""
+    async def stop_gracefully(self, name: str) -> None:
+        """Stops a process as planned work: SIGTERM, then SIGKILL if it still runs after `GraceS`."""
         if not self.send_signal(name, signal.SIGTERM):
             return
-        if not await self.wait_gone(name, BOUNDS["GraceS"] * SECOND):
-            # Not recorded as unplanned: what it cuts is a consequence of the planned stop.
+        if not await self.wait_exited(name, BOUNDS["GraceS"] * SECOND):
+            # Not recorded as an unplanned kill: the requests that it breaks are a consequence of the planned stop.
             Launcher.send_signal(self, name, signal.SIGKILL)
             self._note(name, "overran")
-            await self.wait_gone(name, READY_MICROS)
+            await self.wait_exited(name, PROCESS_TIMEOUT_MICROS)
 
-    async def wait_gone(self, name: str, limit_micros: int) -> bool:
-        """Whether the process has ended within the limit."""
+    async def wait_exited(self, name: str, limit_micros: int) -> bool:
+        """Waits for a process to end. Returns False if it still runs after the limit."""
         end_at = self.clock.now() + limit_micros
         while self.is_alive(name):
             if self.clock.now() >= end_at:
                 return False
-            await sleep_for(self.clock, POLL_MICROS)
+            await sleep_for(self.clock, POLL_INTERVAL_MICROS)
         return True
 
-    def note_faulty(self, name: str, is_faulty: bool) -> None:
-        """Records that a worker begins or ends to give faulty answers."""
+    def record_worker_faulty(self, name: str, is_faulty: bool) -> None:
+        """Records that a worker starts (`is_faulty`) or stops giving faulty responses."""
         self._note(name, "faulty" if is_faulty else "sound")
 
-    def thaw_all(self) -> None:
-        """Wakes what is still frozen."""
+    def resume_frozen(self) -> None:
+        """Sends SIGCONT to all processes that are still frozen."""
         for name in list(self.plan["frozen"]):
             self.send_signal(name, signal.SIGCONT)
 
-    async def wait_all_ready(self, limit_micros: int = READY_MICROS) -> None:
-        """Raises NotReadyError if a front node does not become ready within the limit."""
+    async def wait_all_ready(self, limit_micros: int = PROCESS_TIMEOUT_MICROS) -> None:
+        """Waits until all front nodes are ready. Raises NotReadyError if one is not within the limit."""
         end_at = self.clock.now() + limit_micros
-        while unready := await self._unready():
+        while unready := await self._unready_nodes():
             if self.clock.now() > end_at:
                 raise NotReadyError(", ".join(unready))
-            await sleep_for(self.clock, POLL_MICROS)
+            await sleep_for(self.clock, POLL_INTERVAL_MICROS)
 
-    async def _unready(self) -> list[str]:
+    async def _unready_nodes(self) -> list[str]:
         fronts = self.site.of("router")
         asked = [ask(f"{m.ip}:{READINESS_PORT}", "GET", "/v1/readiness") for m in fronts]
         answers = await asyncio.gather(*asked)
@@ -180,25 +185,31 @@
 
     # ---- the operator ------------------------------------------------------------------------------
 
-    def proxied_controls(self) -> list[str]:
-        """Where the operator sends orders: the proxies of the listed core nodes."""
+    def proxied_control_addresses(self) -> list[str]:
+        """Where operators send changes: the proxies of the core nodes that the platform lists."""
         listed = (address.rpartition(":") for address in self.listed_controls())
         return [f"{proxy_ip(ip)}:{port}" for ip, _, port in listed]
 
-    def open_operator(self, sink: LedgerFile, lost_answers: int, seed_text: str) -> SiteOperator:
-        """An operator whose answers may be lost so many times."""
-        return SiteOperator(self.proxied_controls, self.clock, sink, random.Random(seed_text), lost_answers)
+    def make_operator(self, sink: LedgerFile, lost_answers: int, seed_text: str) -> SiteOperator:
+        """Returns an operator that loses the first `lost_answers` responses to its changes.
+
+        `seed_text` seeds its choice of core nodes.
+        """
+        return SiteOperator(self.proxied_control_addresses, self.clock, sink, random.Random(seed_text), lost_answers)
 
-    def hold_config(self, config: dict[str, Any], status: int) -> None:
-        """Remembers a configuration that was acknowledged."""
+    def save_config(self, config: dict[str, Any], status: int) -> None:
+        """Saves the configuration that later changes are based on, if `status` says that it was accepted (200)."""
         self._hold(config, status)
 
-    def process_count(self) -> int:
-        """How many processes of this fleet live."""
+    def live_process_count(self) -> int:
+        """How many processes of this fleet are running."""
         return sum(self.is_alive(name) for name in self.plan["processes"])
 
-    def down_now(self) -> None:
-        """Kills all that lives; nothing is judged any more."""
+    def kill_all(self) -> None:
+        """Kills all running processes and releases the address block.
+
+        The kills are not recorded in the ledger, as nothing that happens after them is checked.
+        """
         for name in self.plan["ids"]:
             if self.is_alive(name):
                 os.kill(self.plan["ids"][name], signal.SIGKILL)
--- a/src/pearhead/testbed/soak/schedule.py
+++ b/src/pearhead/testbed/soak/schedule.py
@@ -1,6 +1,6 @@
-"""The schedule of a soak run: which faults begin when, on which processes, drawn from a seed.
+"""The schedule of a soak run: which faults begin when, and on which processes, drawn from a seed.
 
-The same seed and profile give the same schedule. Times are whole microseconds from the start of traffic.
+The same seed and profile give the same schedule. Times are whole microseconds from the start of the schedule.
 """
 
 from __future__ import annotations
@@ -13,14 +13,20 @@
 
 from pearhead.runtime.clock import MILLI, SECOND
 
+# A stretch is filled with parallel lanes; in each lane one fault follows another after a random gap.
 LANE_GAP_MICROS = 300 * MILLI
 LANES = 3
-DRAWS_FOR_TARGETS = 20
-LIST_NAME = "cloud"
+# How many random faults are tried for a moment at which processes are still busy with earlier ones.
+MAX_DRAWS = 20
+CLOUD_PROCESS = "cloud"
 
 
 class FaultKind(StrEnum):
-    """What may befall a fleet. Planned work is what an operator does on purpose."""
+    """Kinds of faults, with their names in schedules and journals.
+
+    Planned work, which an operator does on purpose, is scheduled like a fault. "Core" is a control plane node, "front"
+    a router node, and "list" the cloud API that lists the workers.
+    """
 
     ROLLING_RESTART = "rolling restart"
     RELOAD = "reload"
@@ -38,7 +44,7 @@
     FAULTY_WORKER = "faulty worker"
     LIST_SLOW = "list slow"
     LIST_REFUSES = "list refuses"
-    LIST_LIMITS = "list answers 429"
+    LIST_RATE_LIMITS = "list answers 429"
     CUT_LINK = "cut link"
     DELAY_LINK = "delay link"
     LOSE_ANSWERS = "lose answers"
@@ -54,7 +60,8 @@
     FaultKind.WORKER_LEAVES,
 )
 UNPLANNED_KINDS = tuple(kind for kind in FaultKind if kind not in PLANNED_KINDS)
-# Longest time from the beginning of a fault to the moment at which its process may be struck again.
+# For planned work that takes longer than its scheduled duration: the longest time from its beginning until the next
+# fault of the same process may begin.
 SETTLING_MICROS = {
     FaultKind.ROLLING_RESTART: 12 * SECOND,
     FaultKind.WORKER_LEAVES: 12 * SECOND,
@@ -63,7 +70,7 @@
 
 @dataclass(frozen=True)
 class ScheduledFault:
-    """One fault. `count`: lost acknowledgements of a change, or further details of its kind."""
+    """A fault on some processes. `count`: how many responses to a change are lost, or the variant of another kind."""
 
     begin_micros: int
     duration_micros: int
@@ -73,20 +80,29 @@
 
     @property
     def end_micros(self) -> int:
-        """When its processes may be struck again."""
+        """When the next fault of its processes may begin."""
         return self.begin_micros + max(self.duration_micros, SETTLING_MICROS.get(self.kind, 0))
 
     def fields(self) -> dict[str, Any]:
-        """As JSON."""
+        """The fault as a JSON object."""
         return asdict(self)
 
 
 @dataclass(frozen=True)
 class SoakProfile:
-    """The size of a fleet, its load, how long it runs, and what may befall it.
-
-    `stretches`: the kinds of faults that are drawn together; one stretch after another, over and over, each with a
-    calm after it. Planned work has stretches of its own, as the rules around it hold only while nothing else is wrong.
+    """The size of a fleet, its load, how long it runs, and the faults that it gets.
+
+    Attributes:
+        cores: Number of core nodes.
+        fronts: Number of front nodes.
+        workers: Number of workers.
+        clients: Number of concurrent callers.
+        seconds: Length of the schedule.
+        longest_pause_seconds: Longest pause of a caller between two requests.
+        stretch_seconds: Length of a stretch, a period with overlapping faults.
+        calm_seconds: Length of the period without new faults after each stretch.
+        stretches: The kinds of faults that each stretch draws from; repeated in this order. Planned work has stretches
+            of its own, as the rules for it hold only while nothing else is wrong.
     """
 
     cores: int = 3
@@ -115,7 +131,7 @@
             FaultKind.KILL_CORE,
             FaultKind.FREEZE_CORE,
             FaultKind.KILL_WORKER,
-            FaultKind.LIST_LIMITS,
+            FaultKind.LIST_RATE_LIMITS,
             FaultKind.CUT_LINK,
             FaultKind.RESET_ANSWERS,
             FaultKind.CONFIG_CHANGE,
@@ -125,8 +141,8 @@
 
 
 @dataclass
-class _Draft:
-    """Faults drawn so far, and until when each process is taken."""
+class _ScheduleDraft:
+    """The faults drawn so far, and until when each process is taken up by one."""
 
     faults: list[ScheduledFault] = field(default_factory=list)
     taken_until: dict[str, int] = field(default_factory=dict)
@@ -140,8 +156,8 @@
             self.taken_until[name] = max(self.taken_until.get(name, 0), fault.end_micros)
 
 
-class ScheduleMaker:
-    """Draws a schedule, in which two or three faults overlap throughout each stretch."""
+class ScheduleGenerator:
+    """Draws a schedule in which mostly two or three faults overlap throughout each stretch."""
 
     def __init__(self, profile: SoakProfile, seed: int) -> None:
         self.profile = profile
@@ -152,9 +168,9 @@
             "worker": tuple(f"engine-{n + 1}" for n in range(profile.workers)),
         }
 
-    def make(self) -> list[ScheduledFault]:
-        """All faults in the order of their beginnings."""
-        draft = _Draft()
+    def generate(self) -> list[ScheduledFault]:
+        """Returns the faults in the order of their beginnings. To be called once: each call draws on from the seed."""
+        draft = _ScheduleDraft()
         end_micros = round(self.profile.seconds * SECOND)
         begin_micros = SECOND
         for kinds in cycle(self.profile.stretches):
@@ -167,9 +183,9 @@
         return sorted(draft.faults, key=lambda f: f.begin_micros)
 
     def _fill_lane(
-        self, draft: _Draft, kinds: tuple[FaultKind, ...], lane: int, begin_micros: int, end_micros: int
+        self, draft: _ScheduleDraft, kinds: tuple[FaultKind, ...], lane: int, begin_micros: int, end_micros: int
     ) -> None:
-        """One fault after another; the lanes together make two or three faults overlap."""
+        """Draws faults one after another; faults of different lanes overlap."""
         at = begin_micros + self.chance.randrange(LANE_GAP_MICROS * (lane + 1))
         while kinds and at < end_micros:
             is_first = lane == 0 and at < begin_micros + SECOND and FaultKind.ROLLING_RESTART in kinds
@@ -181,9 +197,10 @@
             at += max(fault.duration_micros, LANE_GAP_MICROS) + self.chance.randrange(LANE_GAP_MICROS)
 
     def _draw(
-        self, draft: _Draft, kinds: tuple[FaultKind, ...], at: int, end_micros: int, is_first: bool
+        self, draft: _ScheduleDraft, kinds: tuple[FaultKind, ...], at: int, end_micros: int, is_first: bool
     ) -> ScheduledFault | None:
-        for _ in range(DRAWS_FOR_TARGETS):
+        """A fault whose processes are free at that time; None after MAX_DRAWS. `is_first`: draws a rolling restart."""
+        for _ in range(MAX_DRAWS):
             kind = FaultKind.ROLLING_RESTART if is_first else self.chance.choice(kinds)
             targets = self._draw_targets(kind)
             duration_micros = min(self._draw_duration(kind, len(targets)), end_micros - at)
@@ -195,11 +212,11 @@
         chance, names = self.chance, self.names
         match kind:
             case FaultKind.ROLLING_RESTART:
-                most = max(1, self.profile.fronts - 1)
-                return tuple(chance.sample(names["front"], chance.randint(min(2, most), most)))
+                max_count = max(1, self.profile.fronts - 1)
+                return tuple(chance.sample(names["front"], chance.randint(min(2, max_count), max_count)))
             case FaultKind.RELOAD:
-                every = (*names["core"], *names["front"])
-                return tuple(chance.sample(every, chance.randint(1, 4)))
+                reloadable = (*names["core"], *names["front"])
+                return tuple(chance.sample(reloadable, chance.randint(1, 4)))
             case FaultKind.CONFIG_CHANGE | FaultKind.KEY_REVOCATION | FaultKind.NAME_WEIGHTS:
                 return ()
             case FaultKind.KILL_ALL_CORES:
@@ -208,8 +225,8 @@
                 return (chance.choice(names["core"]),)
             case FaultKind.KILL_FRONT | FaultKind.FREEZE_FRONT:
                 return tuple(chance.sample(names["front"], chance.randint(1, 2)))
-            case FaultKind.LIST_SLOW | FaultKind.LIST_REFUSES | FaultKind.LIST_LIMITS:
-                return (LIST_NAME,)
+            case FaultKind.LIST_SLOW | FaultKind.LIST_REFUSES | FaultKind.LIST_RATE_LIMITS:
+                return (CLOUD_PROCESS,)
             case FaultKind.CUT_LINK | FaultKind.DELAY_LINK | FaultKind.LOSE_ANSWERS | FaultKind.RESET_ANSWERS:
                 group = chance.choice(("core", "front", "worker"))
                 return (chance.choice(names[group]),)
@@ -217,7 +234,7 @@
                 return (chance.choice(names["worker"]),)
 
     def _draw_duration(self, kind: FaultKind, target_count: int) -> int:
-        """How long it lasts; of planned work, how much later the next may begin."""
+        """How long a fault lasts; for planned work, the time until the next fault of its lane may begin."""
         match kind:
             case FaultKind.ROLLING_RESTART:
                 return target_count * self.chance.randrange(300 * MILLI, 1_500 * MILLI)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test: its schedules, its proxies, its scan of logs, what it makes of a broken fleet, and a short run."""
+"""The soak test itself: its schedules, fault proxies, log scan and checks of a broken fleet, and a short run."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from pearhead.testbed.emulator.plan import PlanMaker, SiteSize
 from pearhead.testbed.emulator.rules import SiteBounds, Touch
 from pearhead.testbed.emulator.wire import RawConnection
-from pearhead.testbed.soak.faultproxy import SOUND_LINK, TOO_MANY_REQUESTS, FaultProxy, LinkFault
+from pearhead.testbed.soak.faultproxy import NO_LINK_FAULT, TOO_MANY_REQUESTS, FaultProxy, LinkFault
 from pearhead.testbed.soak.faults import FaultRunner
 from pearhead.testbed.soak.fleet import NotReadyError, ProxiedEntry, SoakFleet
-from pearhead.testbed.soak.logscan import LogScan, fault_lines
-from pearhead.testbed.soak.run import look_at_the_end, play_seed
+from pearhead.testbed.soak.logscan import LogScanner, error_lines
+from pearhead.testbed.soak.run import check_final_state, run_seed
 from pearhead.testbed.soak.schedule import (
     SHORT_PROFILE,
     FaultKind,
     ScheduledFault,
-    ScheduleMaker,
+    ScheduleGenerator,
     SoakProfile,
 )
 from pearhead.testbed.soak.traffic import SoakClient
@@ -39,18 +39,18 @@
 class ScheduleTest(unittest.TestCase):
     def test_a_seed_gives_the_same_schedule_and_another_gives_another(self) -> None:
         profile = SoakProfile()
-        first = ScheduleMaker(profile, 1).make()
-        self.assertEqual(first, ScheduleMaker(profile, 1).make())
-        self.assertNotEqual(first, ScheduleMaker(profile, 2).make())
+        first = ScheduleGenerator(profile, 1).generate()
+        self.assertEqual(first, ScheduleGenerator(profile, 1).generate())
+        self.assertNotEqual(first, ScheduleGenerator(profile, 2).generate())
         self.assertEqual([f.begin_micros for f in first], sorted(f.begin_micros for f in first))
 
     def test_all_kinds_come_over_many_seeds(self) -> None:
-        kinds = {f.kind for seed in range(20) for f in ScheduleMaker(SoakProfile(), seed).make()}
+        kinds = {f.kind for seed in range(20) for f in ScheduleGenerator(SoakProfile(), seed).generate()}
         self.assertEqual(kinds, set(FaultKind))
 
     def test_two_or_three_overlap_at_most_moments_of_a_stretch(self) -> None:
         for seed in range(5):
-            faults = ScheduleMaker(SoakProfile(seconds=14.0), seed).make()
+            faults = ScheduleGenerator(SoakProfile(seconds=14.0), seed).generate()
             moments = range(2 * SECOND, 13 * SECOND, 250 * MILLI)
             counts = [sum(f.begin_micros <= at < f.begin_micros + f.duration_micros for f in faults) for at in moments]
             self.assertLessEqual(max(counts), 3)
@@ -59,7 +59,7 @@
     def test_no_process_is_struck_twice_at_a_time(self) -> None:
         for seed in range(20):
             taken: dict[str, ScheduledFault] = {}
-            for fault in ScheduleMaker(SoakProfile(), seed).make():
+            for fault in ScheduleGenerator(SoakProfile(), seed).generate():
                 for name in fault.targets:
                     if name in taken:
                         self.assertGreaterEqual(fault.begin_micros, taken[name].end_micros)
@@ -67,7 +67,7 @@
 
 
 class EchoServer:
-    """Answers each line with itself, in capitals."""
+    """Sends each line back in upper case."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
@@ -90,10 +90,10 @@
 
 
 class FaultProxyTest(unittest.TestCase):
-    def play(self, story: Coroutine[Any, Any, None]) -> None:
+    def run_scenario(self, scenario: Coroutine[Any, Any, None]) -> None:
         async def run() -> None:
             async with asyncio.timeout(20):
-                await story
+                await scenario
 
         asyncio.run(run())
 
@@ -110,7 +110,7 @@
         echo.server.close()
 
     def test_a_sound_link_passes_bytes_and_ends(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             echo, proxy, port = await self.open()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"one\n")
@@ -120,10 +120,10 @@
             writer.close()
             await self.close(echo, proxy)
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_a_cut_link_holds_bytes_until_it_heals(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             echo, proxy, port = await self.open()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"one\n")
@@ -133,17 +133,20 @@
             with self.assertRaises(TimeoutError):
                 await asyncio.wait_for(reader.readline(), 0.1)
             self.assertEqual(echo.lines, [b"one\n"])
-            proxy.set_fault(SOUND_LINK)
+            proxy.set_fault(NO_LINK_FAULT)
             self.assertEqual(await reader.readline(), b"TWO\n")
             writer.close()
             await self.close(echo, proxy)
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_what_was_sent_before_a_reset_does_not_arrive_once_a_cut_link_heals(self) -> None:
-        """A kernel drops what it holds when its owner resets the connection; an order must not arrive late."""
+        """A proxy must drop what it holds when the sender resets the connection, as a kernel does.
 
-        async def story() -> None:
+        Otherwise it would deliver a configuration change late, after its sender has given it up.
+        """
+
+        async def scenario() -> None:
             echo, proxy, port = await self.open()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"one\n")
@@ -153,16 +156,16 @@
             await asyncio.sleep(0.05)
             writer.transport.abort()
             await asyncio.sleep(0.05)
-            proxy.set_fault(SOUND_LINK)
+            proxy.set_fault(NO_LINK_FAULT)
             await asyncio.sleep(0.05)
             await self.close(echo, proxy)
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_a_connection_that_only_the_proxy_took_counts_as_unread(self) -> None:
-        """Without a proxy the caller's connection would have been refused."""
+        """Without the proxy the caller's connection would have been refused, so the request may be sent again."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             echo, proxy, port = await self.open()
             proxy.address = f"127.0.0.1:{port}"
             plan = PlanMaker(ACADEMY, SiteSize(1, 1, 1), 1, 9).make()
@@ -180,17 +183,17 @@
                 connection.close()
             await self.close(echo, proxy)
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_faults_of_answers(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             echo, proxy, port = await self.open()
-            proxy.set_fault(LinkFault(reset_share=1.0))
+            proxy.set_fault(LinkFault(reset_probability=1.0))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"one\n")
             with self.assertRaises(ConnectionResetError):
                 await reader.readline()
-            proxy.set_fault(LinkFault(lost_share=1.0))
+            proxy.set_fault(LinkFault(loss_probability=1.0))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"two\n")
             with self.assertRaises(TimeoutError):
@@ -201,7 +204,7 @@
             with self.assertRaises(ConnectionResetError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 await reader.readexactly(1)
-            proxy.set_fault(LinkFault(canned_answer=TOO_MANY_REQUESTS))
+            proxy.set_fault(LinkFault(canned_response=TOO_MANY_REQUESTS))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"GET / HTTP/1.1\r\n\r\n")
             self.assertTrue((await reader.read()).startswith(b"HTTP/1.1 429 "))
@@ -214,22 +217,23 @@
             writer.close()
             await self.close(echo, proxy)
 
-        self.play(story())
+        self.run_scenario(scenario())
 
 
 class LogScanTest(unittest.TestCase):
     def test_errors_and_tracebacks_are_told(self) -> None:
-        sound = "2026-12-02T03:36:44.250765Z WARNING consensus: The disk is full.\nERROR of another form\n"
-        fault = "2026-12-02T03:36:44.250765Z ERROR edge: A request ended by a fault."
-        self.assertEqual(fault_lines(sound), [])
-        self.assertEqual(fault_lines(sound + fault), [fault])
+        clean_log = "2026-12-02T03:36:44.250765Z WARNING consensus: The disk is full.\nERROR of another form\n"
+        error_line = "2026-12-02T03:36:44.250765Z ERROR edge: A request ended by a fault."
+        self.assertEqual(error_lines(clean_log), [])
+        self.assertEqual(error_lines(clean_log + error_line), [error_line])
         invariant = "2026-12-02T03:36:44.250765Z ERROR daemon: An invariant does not hold. invariant=order detail='x'"
-        self.assertEqual(fault_lines(invariant), [invariant])
-        self.assertEqual(len(fault_lines("Traceback (most recent call last):\n  File x\n")), 1)
+        self.assertEqual(error_lines(invariant), [invariant])
+        self.assertEqual(len(error_lines("Traceback (most recent call last):\n  File x\n")), 1)
         with tempfile.TemporaryDirectory() as folder:
-            Path(folder, "front-1.log").write_text(fault)
+            Path(folder, "front-1.log").write_text(error_line)
             self.assertEqual(
-                list(LogScan(Path(folder), Touch(SiteLedger(), SiteBounds()), 0).find()), [f"front-1: {fault}"]
+                list(LogScanner(Path(folder), Touch(SiteLedger(), SiteBounds()), 0).find_errors()),
+                [f"front-1: {error_line}"],
             )
 
     def test_an_old_list_of_workers_counts_only_where_list_and_node_are_in_touch(self) -> None:
@@ -248,12 +252,12 @@
             ledger = SiteLedger([Trouble(at * SECOND, name, "", what) for name, what, at in trouble])
             with self.subTest(trouble), tempfile.TemporaryDirectory() as folder:
                 Path(folder, "front-1.log").write_text(line)
-                found = list(LogScan(Path(folder), Touch(ledger, SiteBounds()), 0).find())
+                found = list(LogScanner(Path(folder), Touch(ledger, SiteBounds()), 0).find_errors())
                 self.assertEqual(len(found), count)
 
 
 class FakeFleet(SoakFleet):
-    """Processes that live or not, and front nodes that are ready or not, as a test says."""
+    """A fleet without processes: a test sets which are dead, and which front nodes are not ready."""
 
     def __init__(self, folder: str, dead: tuple[str, ...] = (), unready: tuple[str, ...] = ()) -> None:
         super().__init__(folder)
@@ -263,18 +267,18 @@
     def is_alive(self, name: str) -> bool:
         return name not in self.dead
 
-    async def _unready(self) -> list[str]:
+    async def _unready_nodes(self) -> list[str]:
         return list(self.unready)
 
 
 class OwnChecksTest(unittest.TestCase):
-    """Each check of the soak itself finds what is planted for it, and nothing else."""
+    """Each check that a soak run makes finds the failure that is set up for it, and nothing else."""
 
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
     def found_at_the_end(self, fleet: FakeFleet, done_count: int) -> list[str]:
-        return [b.rule for b in look_at_the_end(fleet, CallReport(Counter(done=done_count)))]
+        return [b.rule for b in check_final_state(fleet, CallReport(Counter(done=done_count)))]
 
     def test_what_is_down_or_not_served_at_the_end(self) -> None:
         self.assertEqual(self.found_at_the_end(FakeFleet(self.folder), 1), [])
@@ -284,31 +288,34 @@
     def test_a_process_that_ended_by_itself_before_it_was_struck(self) -> None:
         sink = LedgerFile(Path(self.folder, "operator.jsonl"))
         runner = FaultRunner(FakeFleet(self.folder, dead=("core-1",)), 1, sink, lambda config: None)
-        runner.look_for_ends(("front-1", "core-1"))
-        self.assertEqual(runner.ended_by_themselves, ["core-1"])
+        runner.record_unexpected_exits(("front-1", "core-1"))
+        self.assertEqual(runner.unexpected_exits, ["core-1"])
         sink.close()
 
     def test_a_fault_waits_for_an_earlier_one_of_the_same_process(self) -> None:
-        """On a busy machine a fault may end late; the next must not find its process down."""
+        """On a busy machine a fault may end late; the next one must not find its process still down.
+
+        It would be recorded as a process that ended by itself.
+        """
 
-        async def story() -> list[str]:
+        async def scenario() -> list[str]:
             sink = LedgerFile(Path(self.folder, "operator.jsonl"))
             runner = FaultRunner(FakeFleet(self.folder), 1, sink, lambda config: None)
-            begun: list[str] = []
+            events: list[str] = []
 
-            async def carry_out(fault: ScheduledFault) -> None:
-                begun.append(f"{fault.count} begins")
+            async def inject(fault: ScheduledFault) -> None:
+                events.append(f"{fault.count} begins")
                 await asyncio.sleep(0.05)
-                begun.append(f"{fault.count} ends")
+                events.append(f"{fault.count} ends")
 
-            runner._carry_out = carry_out  # type: ignore[method-assign]
+            runner._inject = inject  # type: ignore[method-assign]
             first = ScheduledFault(0, 1, FaultKind.KILL_CORE, ("core-1",), 1)
             both = ScheduledFault(10 * MILLI, 1, FaultKind.KILL_ALL_CORES, ("core-2", "core-1"), 2)
             await runner.run([first, both])
             sink.close()
-            return begun
+            return events
 
-        self.assertEqual(asyncio.run(story()), ["1 begins", "1 ends", "2 begins", "2 ends"])
+        self.assertEqual(asyncio.run(scenario()), ["1 begins", "1 ends", "2 begins", "2 ends"])
 
     def test_a_front_node_that_does_not_become_ready(self) -> None:
         asyncio.run(FakeFleet(self.folder).wait_all_ready(0))
@@ -320,7 +327,7 @@
 class ShortSoakTest(unittest.TestCase):
     def test_a_short_soak_breaks_no_rule(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            result = play_seed(SHORT_SEED, SHORT_PROFILE, Path(folder))
-            self.assertEqual(result.breaches, [], "\n".join(result.report()))
+            result = run_seed(SHORT_SEED, SHORT_PROFILE, Path(folder))
+            self.assertEqual(result.breaches, [], "\n".join(result.report_lines()))
             self.assertGreater(result.outcomes["done"], 0)
-            self.assertEqual(list(Path(folder).iterdir()), [], "a sound run keeps nothing")
+            self.assertEqual(list(Path(folder).iterdir()), [], "a run that breaks no rule leaves its folder behind")
