--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -1,4 +1,4 @@
-"""Broken builds of the control side (§9.8): one or more for each check of its worst days."""
+"""Mutations of the control plane (§9.8): one or more broken builds for each check of the control scenarios."""
 
 from __future__ import annotations
 
@@ -26,11 +26,13 @@
 
 MutationPatch = Callable[[SimFleet], None]
 UNBOUNDED_MICROS = 10**9 * SECOND
-RARE_SEND_INTERVAL_MICROS = 30 * SECOND
+RARE_SEND_INTERVAL_MICROS = 30 * SECOND  # Longer than any partition of the scenarios.
 
 
 @dataclass(frozen=True)
 class Mutation:
+    """A broken build: `prepare` applies it, and `scenario` must end with a breach of the check `wanted`."""
+
     prepare: MutationPatch
     scenario: str
     wanted: str
@@ -40,6 +42,11 @@
 
 
 def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
+    """Registers a control plane mutation under the function's name.
+
+    `scenario` is the run that must expose it, `wanted` the check that must report a breach there.
+    """
+
     def register(prepare: MutationPatch) -> MutationPatch:
         CONTROL_MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
         return prepare
@@ -49,38 +56,45 @@
 
 @mutation("operators-contend", "orders")
 def second_content_taken(fleet: SimFleet) -> None:
-    """Only the leader's look before the log keeps two apart, which both may pass at once."""
-    real_change = FleetState._apply_change
+    """Two changes of different content are both applied under one number.
+
+    Only the leader's check before the log is left, and concurrent changes may both pass that.
+    """
+    real_apply_change = FleetState._apply_change
 
     def apply(self: FleetState, index: int, command: ChangeDescription) -> dict[str, Any]:
         if not self.has_applied_change(command):
             self.description_number = command.base_number = command.number - 1
             command.checked_revision = self.description_revision
-        return real_change(self, index, command)
+        return real_apply_change(self, index, command)
 
     FleetState._apply_change = apply  # type: ignore[method-assign]
 
 
 @mutation("operators-contend", "orders")
 def repeats_refused(fleet: SimFleet) -> None:
+    """A repeat of an applied change is not recognized as such, and is refused."""
     FleetState.has_applied_change = lambda self, command: False  # type: ignore[method-assign]
 
 
 @mutation("operators-contend", "orders")
 def taken_changes_left_out_of_digests(fleet: SimFleet) -> None:
-    """A member that started from a digest knows no repeat of what came before it."""
-    real_load = FleetState.load_digest
+    """Snapshots restore without the applied changes.
+
+    A member that started from a snapshot recognizes no repeat of what was applied before it.
+    """
+    real_load_digest = FleetState.load_digest
 
-    def load(self: FleetState, digest_bytes: bytes) -> None:
-        real_load(self, digest_bytes)
+    def load_digest(self: FleetState, digest_bytes: bytes) -> None:
+        real_load_digest(self, digest_bytes)
         self.taken = OrderedDict()
 
-    FleetState.load_digest = load  # type: ignore[method-assign]
+    FleetState.load_digest = load_digest  # type: ignore[method-assign]
 
 
 @mutation("leader-cut-off", "orders")
 def description_read_unconfirmed(fleet: SimFleet) -> None:
-    """A leader that nobody follows any more tells what it holds as the description of now."""
+    """A leader that lost its followers still answers reads of the description, from its own stale state."""
 
     async def confirm() -> bool:
         return True
@@ -100,32 +114,37 @@
 
 @mutation("leader-cut-off", "late answer")
 def silence_unnoticed(fleet: SimFleet) -> None:
-    """A leader whom nobody answers leads on, and its orders wait."""
+    """A leader that no follower answers does not step down, and requests to it are kept waiting."""
     vars(replication)["CONTACT_TIMEOUT_MICROS"] = UNBOUNDED_MICROS
 
 
 @mutation("follower-cut-off", "old configuration")
 def cores_out_of_reach_not_counted(fleet: SimFleet) -> None:
-    """A node takes a majority of those that it reaches for one of all."""
+    """A node requires a majority of the cores that it can reach, instead of a majority of all members."""
 
     def change(node: NodeProcess) -> None:
         name = node.startup.address.partition(":")[0]
-        real_take = node.view_replica._apply_members
+        real_apply_members = node.view_replica._apply_members
 
-        def take(result: TermResult) -> None:
-            real_take(result)
-            held = node.view_replica.membership
-            reached = [m for m in held.members.member if not fleet.world.is_cut(m.address.partition(":")[0], name)]
-            node.view_replica.membership = Membership(0, Members(member=reached))
+        def apply_members(result: TermResult) -> None:
+            real_apply_members(result)
+            membership = node.view_replica.membership
+            reachable_members = [
+                m for m in membership.members.member if not fleet.world.is_cut(m.address.partition(":")[0], name)
+            ]
+            node.view_replica.membership = Membership(0, Members(member=reachable_members))
 
-        node.view_replica._apply_members = take  # type: ignore[method-assign]
+        node.view_replica._apply_members = apply_members  # type: ignore[method-assign]
 
     fleet.node_patch = change
 
 
 @mutation("leader-cut-off", "disturbed")
 def votes_without_trial(fleet: SimFleet) -> None:
-    """Who is cut off raises its term all the time, and the others' when it is back."""
+    """Elections start without a pre-vote.
+
+    An isolated core raises its term again and again, and the other cores' term when it is back.
+    """
     real_start = Elections.start
 
     def start(self: Elections, is_pre_vote: bool, is_transfer: bool) -> None:
@@ -136,52 +155,59 @@
 
 @mutation("leader-cut-off", "not in step")
 def silent_members_asked_seldom(fleet: SimFleet) -> None:
-    real_send = LeaderReplication.send_append
+    """The leader sends to a follower that was silent for over 1 s only every 30 s."""
+    real_send_append = LeaderReplication.send_append
 
-    def send(self: LeaderReplication, follower_identity: str, is_heartbeat: bool = False) -> None:
+    def send_append(self: LeaderReplication, follower_identity: str, is_heartbeat: bool = False) -> None:
         follower = self.state.followers[follower_identity]
         now_micros = self.clock.now()
         is_silent = now_micros - follower.heard_micros > SECOND
         if not is_silent or now_micros - follower.sent_micros > RARE_SEND_INTERVAL_MICROS:
-            real_send(self, follower_identity, is_heartbeat)
+            real_send_append(self, follower_identity, is_heartbeat)
 
-    LeaderReplication.send_append = send  # type: ignore[method-assign]
+    LeaderReplication.send_append = send_append  # type: ignore[method-assign]
 
 
 @mutation("losses-as-soon-as-settled", "not led in time")
 def successors_never_vote(fleet: SimFleet) -> None:
-    real_choose = MembershipController._choose_replacement_voter
+    """A learner never replaces a lost voter."""
+    real_choose_replacement_voter = MembershipController._choose_replacement_voter
 
-    def choose(self: MembershipController, outgoing: str) -> str | None:
-        return None if outgoing else real_choose(self, outgoing)
+    def choose_replacement_voter(self: MembershipController, outgoing: str) -> str | None:
+        return None if outgoing else real_choose_replacement_voter(self, outgoing)
 
-    MembershipController._choose_replacement_voter = choose  # type: ignore[method-assign]
+    MembershipController._choose_replacement_voter = choose_replacement_voter  # type: ignore[method-assign]
 
 
 @mutation("losses-after-a-planned-replacement", "not led in time")
 def leavers_counted_on(fleet: SimFleet) -> None:
-    """A planned replacement adds a voter, and raises for good how many are wanted; who left is one for long."""
-    real_care = MembershipController._reconcile_once
+    """A planned replacement adds a voter, and raises the target number of voters for good.
+
+    A core that leaves keeps its vote and only hands over leadership: it counts as a voter until it is removed as lost.
+    """
+    real_reconcile_once = MembershipController._reconcile_once
 
     async def leave(self: MembershipController) -> None:
         self.raft.transfer_leadership()
 
-    def target(self: MembershipController) -> int:
+    def target_voter_count(self: MembershipController) -> int:
         members = self.raft.members()
-        is_whole = all(self._is_responsive(m.identity) for m in members.member)
-        return max(members.wanted, len(members.member) if is_whole else 0)
+        are_all_responsive = all(self._is_responsive(m.identity) for m in members.member)
+        return max(members.wanted, len(members.member) if are_all_responsive else 0)
 
-    async def care(self: MembershipController) -> bool:
+    async def reconcile_once(self: MembershipController) -> bool:
         vars(membership_controller)["EXCHANGE_MICROS"] = self.startup.lostAfterMicros * MEMBER_REMOVAL_FACTOR
-        return await real_care(self)
+        return await real_reconcile_once(self)
 
     MembershipController.leave = leave  # type: ignore[method-assign]
-    MembershipController.target_voter_count = target  # type: ignore[method-assign]
-    MembershipController._reconcile_once = care  # type: ignore[method-assign]
+    MembershipController.target_voter_count = target_voter_count  # type: ignore[method-assign]
+    MembershipController._reconcile_once = reconcile_once  # type: ignore[method-assign]
 
 
 @mutation("follower-cut-off", "late answer")
 def relays_waited_for_long(fleet: SimFleet) -> None:
+    """A core that forwards a request waits 5 s for the leader's result, longer than an answer may take."""
+
     async def ask_leader(self: CoreProcess, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
         return await self.rpc_endpoint.call(self.raft.leader_address(), body_name, body, 5 * SECOND)
 
@@ -190,13 +216,17 @@
 
 @mutation("repeats-after-hundreds-of-changes", "orders")
 def few_changes_remembered(fleet: SimFleet) -> None:
+    """Cores remember only the last 256 changes, and take a repeat of an older one for a new, conflicting change."""
     vars(fleet_module)["TAKEN_LIMIT"] = 256
     FleetState.is_beyond_retained_changes = lambda self, command: False  # type: ignore[method-assign]
 
 
 @mutation("survivors-of-unlike-logs", "not led in time")
 def asked_epochs_adopted(fleet: SimFleet) -> None:
-    """A refused trial vote answers with the epoch that was asked, and the asker adopts it."""
+    """A refused pre-vote is answered with the term that was asked for, instead of the voter's own.
+
+    The candidate adopts that term, although nobody was elected in it.
+    """
 
     def answer(self: Elections, address: str, ask: VoteAsk, is_granted: bool) -> None:
         term = ask.epoch if ask.trial and not is_granted else self.state.term
@@ -208,11 +238,11 @@
 
 @mutation("promotion-known-to-one-alone", "not led in time")
 def votes_by_own_list(fleet: SimFleet) -> None:
-    """A member whose log lacks a promotion does not answer the promoted one."""
-    real_take = Elections.take_vote_ask
+    """A member whose log lacks the promotion of a voter does not answer that voter's vote requests."""
+    real_take_vote_ask = Elections.take_vote_ask
 
-    def take(self: Elections, identity: str, address: str, ask: VoteAsk) -> None:
+    def take_vote_ask(self: Elections, identity: str, address: str, ask: VoteAsk) -> None:
         if identity in self.state.log.membership().voters:
-            real_take(self, identity, address, ask)
+            real_take_vote_ask(self, identity, address, ask)
 
-    Elections.take_vote_ask = take  # type: ignore[method-assign]
+    Elections.take_vote_ask = take_vote_ask  # type: ignore[method-assign]
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -1,4 +1,4 @@
-"""Measurements (§9.9): counts and simulated times over seeds, printed as the tables of the docs."""
+"""Measurements (§9.9): counts and simulated times over several seeds, printed as the tables of the docs."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 
 
 def _sent_totals(fleet: SimFleet, name: str) -> tuple[int, int]:
+    """Number and bytes of the messages of this name that all current cores and nodes have sent."""
     processes: list[CoreProcess | NodeProcess] = [*fleet.cores.values(), *fleet.nodes.values()]
     return (
         sum(p.rpc_endpoint.sent_counts.get(name, 0) for p in processes),
@@ -29,7 +30,10 @@
 
 
 async def measure_purge(fleet: SimFleet) -> Figures:
-    """Datagrams and bytes a bump and a table, with every node listening to the volume."""
+    """Datagrams and bytes per revision bump, and per minute for revision tables.
+
+    Every node listens to the volume.
+    """
     owner, line = f"tenant:{fleet.deployment.tenant_names[0]}", fleet.deployment.line
     for node in fleet.nodes.values():
         for part in range(1, 21):
@@ -53,6 +57,7 @@
 
 
 async def _measure_prefill_savings(fleet: SimFleet, uses_index: bool) -> Figures:
+    """Share of prefill tokens saved, and median time of long jobs, with or without the cache index."""
     for node in fleet.nodes.values():
         node.nominator.uses_index = uses_index
     fleet.start_load(JOBS_PER_SECOND)
@@ -73,15 +78,17 @@
 
 
 async def measure_index(fleet: SimFleet) -> Figures:
+    """Prefill savings and times with workers chosen by the index of cached prefixes."""
     return await _measure_prefill_savings(fleet, True)
 
 
 async def measure_no_index(fleet: SimFleet) -> Figures:
+    """The same without the index, for comparison."""
     return await _measure_prefill_savings(fleet, False)
 
 
 async def measure_load_balance(fleet: SimFleet) -> Figures:
-    """Six times the usual load, after 8 s to warm up: how evenly workers are used, and how long jobs take."""
+    """How evenly workers are used, and how long jobs take, at six times the usual load, after 8 s of warm-up."""
     fleet.start_load(6 * JOBS_PER_SECOND)
     await pause(fleet.world, 8 * SECOND)
     warm_micros = fleet.world.now()
@@ -105,7 +112,7 @@
 
 
 async def measure_config_propagation(fleet: SimFleet) -> Figures:
-    """From an acknowledgement to every node serving by it."""
+    """Time from an acknowledged description until all nodes serve by it."""
     times = []
     for number in range(8):
         await fleet.apply(fleet.marked_description(str(number)))
@@ -122,16 +129,16 @@
 
 
 async def measure_weights(fleet: SimFleet) -> Figures:
-    """From an acknowledged naming to the first job on the new weights, and to the last on the old."""
+    """Time from an acknowledged weights change to the first job on the new weights, and to the last on the old ones."""
     fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, 2 * SECOND)
     await fleet.name_weights("w2")
     start_micros = fleet.world.now()
     await pause(fleet.world, 12 * SECOND)
     await fleet.end_load()
-    runs = [r for _, r in fleet.ledger.runs if r.at_micros > start_micros and "@" in r.loaded_model]
-    new_times = [r.at_micros for r in runs if r.loaded_model.endswith("@w2")]
-    old_times = [r.at_micros for r in runs if not r.loaded_model.endswith("@w2")]
+    model_runs = [r for _, r in fleet.ledger.runs if r.at_micros > start_micros and "@" in r.loaded_model]
+    new_times = [r.at_micros for r in model_runs if r.loaded_model.endswith("@w2")]
+    old_times = [r.at_micros for r in model_runs if not r.loaded_model.endswith("@w2")]
     failed_count = sum(t.outcome != "done" for t in fleet.ledger.jobs.values())
     return {
         "naming to first job on new weights, s": (min(new_times) - start_micros) / SECOND,
@@ -141,7 +148,7 @@
 
 
 async def measure_leader(fleet: SimFleet) -> Figures:
-    """From the kill of the leader to the next acknowledged command, and jobs lost meanwhile."""
+    """Time from the kill of the leader until a new one is settled, and the jobs not done in the run."""
     fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, 2 * SECOND)
     fleet.kill(fleet.leader())
@@ -158,7 +165,7 @@
 
 
 async def measure_retries(fleet: SimFleet) -> Figures:
-    """Four workers down for 8 s: retries as a share of the jobs."""
+    """Retries as a share of the jobs, with four workers down for 8 s."""
     fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, 3 * SECOND)
     for number in range(4):
@@ -176,7 +183,7 @@
 
 
 async def measure_leaving(fleet: SimFleet) -> Figures:
-    """From an acknowledged mark to the last job that began on the leaving worker."""
+    """Time from an acknowledged leaving mark to the last job that began on the worker."""
     fleet.start_load(3 * JOBS_PER_SECOND)
     await pause(fleet.world, 3 * SECOND)
     times = []
@@ -194,7 +201,10 @@
 
 
 async def measure_retry_after(fleet: SimFleet) -> Figures:
-    """A burst of long jobs for 6 s; each refused caller comes back once, when told, with a new job."""
+    """How well the advised retry time of refusals fits, in a burst of long jobs for 6 s.
+
+    Each refused caller comes back once, at the advised time, with a new job.
+    """
     description = fleet.marked_description("a")
     description["entries"][0].update(concurrency=2, queueLimit=16)
     await fleet.apply(description)
@@ -202,49 +212,49 @@
     fleet.start_load(JOBS_PER_SECOND)
     fleet.start_burst(fleet.deployment.tenant_names[0], 60.0, fleet.deployment.long_kind)
     retried_traces: list[JobTrace] = []
-    told: list[int] = []
+    advised_seconds: list[int] = []
 
-    async def come_back(trace: JobTrace) -> None:
+    async def retry_when_advised(trace: JobTrace) -> None:
         await pause(fleet.world, trace.come_back_seconds * SECOND)
         job = {**trace.job, "jobId": f"{trace.job['jobId']}-again"}
         retried_traces.append(await fleet.call(trace.node, trace.tenant, job))
 
-    seen: set[str] = set()
+    retried_job_ids: set[str] = set()
     tasks = []
     for step in range(200):
         await pause(fleet.world, 100 * MILLI)
         if step == 60:
             fleet.end_bursts()
         for job_id, trace in list(fleet.ledger.jobs.items()):
-            if trace.come_back_seconds and job_id not in seen and not job_id.endswith("-again"):
-                seen.add(job_id)
-                told.append(trace.come_back_seconds)
-                tasks.append(fleet.world.loop.create_task(come_back(trace)))
+            if trace.come_back_seconds and job_id not in retried_job_ids and not job_id.endswith("-again"):
+                retried_job_ids.add(job_id)
+                advised_seconds.append(trace.come_back_seconds)
+                tasks.append(fleet.world.loop.create_task(retry_when_advised(trace)))
     await fleet.end_load()
     for task in tasks:
         await task
-    kinds = fleet.ledger.outcomes()
+    outcomes = fleet.ledger.outcomes()
     return {
-        "refused, told when to come back": float(len(told)),
-        "told, s (mean)": statistics.mean(told),
-        "told, s (worst)": float(max(told)),
+        "refused, told when to come back": float(len(advised_seconds)),
+        "told, s (mean)": statistics.mean(advised_seconds),
+        "told, s (worst)": float(max(advised_seconds)),
         "done when they came back as told, share": sum(t.outcome == "done" for t in retried_traces)
         / len(retried_traces),
-        **{f"refused as {kind}": float(kinds[kind]) for kind in ("tenant_busy", "overloaded", "deadline_passed")},
+        **{f"refused as {kind}": float(outcomes[kind]) for kind in ("tenant_busy", "overloaded", "deadline_passed")},
     }
 
 
 async def measure_quiet(fleet: SimFleet) -> Figures:
-    """What a fleet without jobs says to itself, a second."""
+    """Messages and bytes per second that an idle fleet exchanges."""
     await pause(fleet.world, 2 * SECOND)
     names = ("hello", "hello_result", "term_ask", "term_result", "append_ask", "append_result", "command_ask")
     before = {name: _sent_totals(fleet, name) for name in names}
     await pause(fleet.world, 10 * SECOND)
     figures: Figures = {}
     for name in names:
-        count, size = _sent_totals(fleet, name)
+        count, byte_count = _sent_totals(fleet, name)
         figures[f"{name} messages a second"] = (count - before[name][0]) / 10
-        figures[f"{name} bytes a second"] = (size - before[name][1]) / 10
+        figures[f"{name} bytes a second"] = (byte_count - before[name][1]) / 10
     return figures
 
 
@@ -263,19 +273,25 @@
 }
 
 
-def run_measure(order: tuple[str, str, int, int]) -> Figures:
-    name, deployment_name, seed, node_count = order
+def run_measure(spec: tuple[str, str, int, int]) -> Figures:
+    """Runs one measurement in a fresh fleet on virtual time.
+
+    `spec` is the measurement's name, the deployment's, the seed, and the number of nodes (0: the deployment's). It is
+    one value, as process pools map over single arguments.
+    """
+    name, deployment_name, seed, node_count = spec
 
-    async def play(world: World) -> Figures:
+    async def run_in_world(world: World) -> Figures:
         fleet = SimFleet(world, DEPLOYMENTS[deployment_name], node_count)
         await fleet.up()
         return await MEASURES[name](fleet)
 
-    figures: Any = run_in_virtual_time(seed, play)
+    figures: Any = run_in_virtual_time(seed, run_in_world)
     return dict(figures)
 
 
 def summary_rows(rows: list[Figures]) -> list[str]:
+    """Markdown table rows with mean, least and greatest value of each figure over these runs."""
     lines = []
     for label in rows[0]:
         values = [row[label] for row in rows]
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -1,4 +1,8 @@
-"""Mutations (§9.8): deliberately broken builds, one or more a checker, which each must find."""
+"""Mutations (§9.8): deliberately broken builds, at least one per check of the simulator.
+
+A mutation patches the code before the fleet starts; the check that it names must then report a breach. This shows
+that each check can fail. The patches change modules and classes, so each mutated run needs a process of its own.
+"""
 
 from __future__ import annotations
 
@@ -27,6 +31,11 @@
 
 
 def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
+    """Registers a mutation under the function's name.
+
+    `scenario` is the run that must expose it, `wanted` the check that must report a breach there.
+    """
+
     def register(prepare: MutationPatch) -> MutationPatch:
         MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
         return prepare
@@ -35,18 +44,21 @@
 
 
 def _patch_nodes(fleet: SimFleet, change: Callable[[NodeProcess], None]) -> None:
+    """Applies `change` to each node process of this fleet right before it starts."""
     fleet.node_patch = change
 
 
 @mutation("calm", "streams")
 def line_lost(fleet: SimFleet) -> None:
+    """Nodes drop 5 % of the events of an upstream stream, except the one with the usage."""
+
     def change(node: NodeProcess) -> None:
-        real_carry = node.carrier.send_job
+        real_send_job = node.carrier.send_job
 
         async def send_job(
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
-            async for event in real_carry(worker_address, upstream_job, may_begin):
+            async for event in real_send_job(worker_address, upstream_job, may_begin):
                 if "usage" in event or node.chance.random() > 0.05:
                     yield event
 
@@ -57,16 +69,16 @@
 
 @mutation("workers-crash", "runs")
 def all_repeatable(fleet: SimFleet) -> None:
-    """Every failure is taken for one that left no byte."""
+    """Every broken stream is reported as not sent, so that jobs are retried that may have run."""
 
     def change(node: NodeProcess) -> None:
-        real_carry = node.carrier.send_job
+        real_send_job = node.carrier.send_job
 
         async def send_job(
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
             try:
-                async for event in real_carry(worker_address, upstream_job, may_begin):
+                async for event in real_send_job(worker_address, upstream_job, may_begin):
                     yield event
             except JobTransportError as fault:
                 raise JobTransportError("not_sent" if fault.stage == CUT else fault.stage, fault.detail) from fault
@@ -78,27 +90,31 @@
 
 @mutation("weights-under-load", "owners")
 def keys_without_weights(fleet: SimFleet) -> None:
-    real_keys, real_salt = chain_keys, cache_salt
-    vars(job_scheduler)["chain_keys"] = lambda owner, line, revision, parts: real_keys(owner, line, 0, parts)
-    vars(job_scheduler)["cache_salt"] = lambda owner, line, revision: real_salt(owner, line, 0)
+    """Cache keys and salts ignore the weights revision, and workers keep their cache over a load of new weights."""
+    real_chain_keys, real_cache_salt = chain_keys, cache_salt
+    vars(job_scheduler)["chain_keys"] = lambda owner, line, revision, parts: real_chain_keys(owner, line, 0, parts)
+    vars(job_scheduler)["cache_salt"] = lambda owner, line, revision: real_cache_salt(owner, line, 0)
     real_load = WorkerModel.load
 
     async def load(self: WorkerModel, fence: int, model: str) -> dict[str, Any]:
-        kept = dict(self.cache)
-        given_result = await real_load(self, fence, model)
-        self.cache.update(kept)
-        return given_result
+        cache_before_load = dict(self.cache)
+        load_result = await real_load(self, fence, model)
+        self.cache.update(cache_before_load)
+        return load_result
 
     WorkerModel.load = load  # type: ignore[method-assign]
 
 
 @mutation("calm", "owners")
 def tenants_shared(fleet: SimFleet) -> None:
+    """All tenants share one cache, whatever group they are in."""
     vars(job_scheduler)["owner_of"] = lambda tenant: "group:all"
 
 
 @mutation("node-cut-off-from-cores", "force")
 def term_unchecked(fleet: SimFleet) -> None:
+    """Nodes treat their view as current even when its term is over."""
+
     def change(node: NodeProcess) -> None:
         node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
 
@@ -107,9 +123,11 @@
 
 @mutation("all-killed", "lasting")
 def acknowledged_before_sync(fleet: SimFleet) -> None:
+    """Disk writes are acknowledged before they are synced, and any crash loses them."""
+
     async def append(self: SimDisk, file_name: str, content_bytes: bytes) -> None:
-        late_bytes = self.unsynced.get(file_name, b"")
-        self.unsynced[file_name] = late_bytes + content_bytes
+        unsynced_bytes = self.unsynced.get(file_name, b"")
+        self.unsynced[file_name] = unsynced_bytes + content_bytes
 
     def crash(self: SimDisk, loses_power: bool) -> None:
         self.unsynced = {}
@@ -120,15 +138,15 @@
 
 @mutation("operators-race", "force")
 def base_unchecked(fleet: SimFleet) -> None:
-    """A losing configuration is refused, and yet put in force."""
+    """A description on an outdated base is refused, and takes effect nevertheless."""
     real_apply = FleetState._apply_apply
 
     def apply(self: FleetState, index: int, command: Any) -> dict[str, Any]:
         is_conflicting = command.base_revision != self.description_revision
         if is_conflicting:
-            held, self.description = self.description, json.loads(command.description)
+            current_description, self.description = self.description, json.loads(command.description)
             self._set_description_sections(index)
-            self.description = held
+            self.description = current_description
         return real_apply(self, index, command)
 
     FleetState._apply_apply = apply  # type: ignore[method-assign]
@@ -136,6 +154,8 @@
 
 @mutation("weights-under-load", "weights")
 def old_weights_kept(fleet: SimFleet) -> None:
+    """Nodes use workers with old weights without a time limit, and lease holders load no new weights."""
+
     def change(node: NodeProcess) -> None:
         node.nominator.old_weights_micros = 10**12
         node.lease_controller._may_load = lambda *_: False  # type: ignore[method-assign]
@@ -145,6 +165,8 @@
 
 @mutation("workers-come-and-go", "leaving")
 def leaving_unseen(fleet: SimFleet) -> None:
+    """Nodes choose workers without regard to the leaving mark."""
+
     def change(node: NodeProcess) -> None:
         real_candidates = node.nominator._candidates
 
@@ -160,22 +182,23 @@
 
 @mutation("bumps-race", "bumps")
 def bumps_forgotten(fleet: SimFleet) -> None:
-    """A new leader begins its numbers anew."""
+    """All part revisions are lost when leadership changes, and a new leader counts from the start."""
 
     def change(core: CoreProcess) -> None:
-        real_take = core._on_leadership_change
+        real_on_leadership_change = core._on_leadership_change
 
-        def take(leads: bool) -> None:
+        def on_leadership_change(leads: bool) -> None:
             core.fleet.parts = {}
-            real_take(leads)
+            real_on_leadership_change(leads)
 
-        core._on_leadership_change = take  # type: ignore[method-assign]
+        core._on_leadership_change = on_leadership_change  # type: ignore[method-assign]
 
     fleet.core_patch = change
 
 
 @mutation("bumps-race", "bumps")
 def transactions_forgotten(fleet: SimFleet) -> None:
+    """A repeated bump is not recognized by its transaction, and gets a new revision."""
     real_apply = FleetState.apply
 
     def apply(self: FleetState, index: int, command_bytes: bytes) -> dict[str, Any]:
@@ -189,14 +212,16 @@
 
 @mutation("weights-under-load", "commands")
 def holds_for_all(fleet: SimFleet) -> None:
-    def hold(self: FleetState, index: int, command: TakeHold) -> dict[str, Any]:
-        held = self.holds.get(command.worker, {})
-        if held.get("holder") == command.holder:
-            return {"status": "done", "fence": held["fence"]}
+    """Every node considers itself first in rank for each worker, and the core grants the lease to whoever asks."""
+
+    def apply_hold(self: FleetState, index: int, command: TakeHold) -> dict[str, Any]:
+        grant = self.holds.get(command.worker, {})
+        if grant.get("holder") == command.holder:
+            return {"status": "done", "fence": grant["fence"]}
         self.holds[command.worker] = {"holder": command.holder, "fence": index}
         return {"status": "done", "fence": index}
 
-    FleetState._apply_hold = hold  # type: ignore[method-assign]
+    FleetState._apply_hold = apply_hold  # type: ignore[method-assign]
 
     def change(node: NodeProcess) -> None:
         node.lease_controller._is_first_ranked = lambda name: True  # type: ignore[method-assign]
@@ -206,6 +231,8 @@
 
 @mutation("core-cut-in-two", "histories")
 def reads_unconfirmed(fleet: SimFleet) -> None:
+    """A leader answers reads without having a majority confirm that it still leads."""
+
     def change(core: CoreProcess) -> None:
         async def confirm() -> bool:
             return True
@@ -223,6 +250,8 @@
 
 @mutation("planned-restarts", "planned")
 def drain_not_waited(fleet: SimFleet) -> None:
+    """A drain returns at once and does not wait for open jobs."""
+
     def change(node: NodeProcess) -> None:
         async def drain() -> None:
             node.is_draining = True
@@ -234,6 +263,8 @@
 
 @mutation("one-tenant-bursts", "small tenants starved")
 def first_come_first_served(fleet: SimFleet) -> None:
+    """Admission counts all tenants as one, so that no tenant has a fair share of the queue."""
+
     def change(node: NodeProcess) -> None:
         real_admit = node.admission.admit
 
@@ -245,15 +276,17 @@
             finally:
                 job.tenant = tenant
 
-        real_leave = node.admission.release_slot
+        release = node.admission.release_slot
         node.admission.admit = admit  # type: ignore[method-assign]
-        node.admission.release_slot = lambda entry, tenant_name, held_micros=0: real_leave(entry, "all", held_micros)  # type: ignore[method-assign]
+        node.admission.release_slot = lambda entry, tenant_name, held_micros=0: release(entry, "all", held_micros)  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
 
 @mutation("node-killed", "recovery")
 def never_current_again(fleet: SimFleet) -> None:
+    """Nodes that start later than 5 s into the run never have a current view."""
+
     def change(node: NodeProcess) -> None:
         if fleet.world.now() > 5_000_000:
             node.view_replica.is_current = lambda: False  # type: ignore[method-assign]
@@ -263,6 +296,8 @@
 
 @mutation("most-workers-down", "retries")
 def budget_unlimited(fleet: SimFleet) -> None:
+    """Every retry is allowed, and nodes do not avoid workers that failed or were reported as unhealthy."""
+
     def change(node: NodeProcess) -> None:
         def try_withdraw(service: str) -> bool:
             node.budget.retry_count += 1
@@ -277,6 +312,8 @@
 
 @mutation("nodes-freeze-as-they-connect", "force")
 def last_check_skipped(fleet: SimFleet) -> None:
+    """The check right before the first byte of a job always passes."""
+
     def change(node: NodeProcess) -> None:
         node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
 
@@ -285,15 +322,15 @@
 
 @mutation("entries-move-while-jobs-queue", "force")
 def matched_only_once(fleet: SimFleet) -> None:
-    """Key and entry are looked at before a job queues, and never again."""
+    """Key and entry are checked before a job queues, and not again after its wait."""
 
     def change(node: NodeProcess) -> None:
-        real_look = node._check_in_force
+        real_check = node._check_in_force
 
-        def look(job: Job) -> Any:
-            return Ok(None) if job.entry is not None else real_look(job)
+        def check_in_force(job: Job) -> Any:
+            return Ok(None) if job.entry is not None else real_check(job)
 
-        node._check_in_force = look  # type: ignore[method-assign]
+        node._check_in_force = check_in_force  # type: ignore[method-assign]
         node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
@@ -301,6 +338,8 @@
 
 @mutation("entries-move-while-jobs-queue", "held_back")
 def queues_never_reviewed(fleet: SimFleet) -> None:
+    """Queued jobs are not checked again when the configuration changes."""
+
     def change(node: NodeProcess) -> None:
         node.admission.recheck_waiting = lambda recheck: None  # type: ignore[method-assign]
 
@@ -309,6 +348,8 @@
 
 @mutation("holder-freezes-as-it-commands", "commands")
 def commands_unchecked(fleet: SimFleet) -> None:
+    """Lease holders send commands without a last check that they still hold the worker's lease."""
+
     def change(node: NodeProcess) -> None:
         node.lease_controller._is_lease_valid = lambda name, fence: True  # type: ignore[method-assign]
 
@@ -317,7 +358,10 @@
 
 @mutation("weights-under-load", "weights")
 def new_weights_never_served(fleet: SimFleet) -> None:
-    """Nothing runs on the old ones for too long, as nothing runs at all."""
+    """Workers refuse to load new weights and run nothing afterwards.
+
+    No job runs on old weights for too long, so only the check that jobs begin on the new ones can find this.
+    """
     real_load = WorkerModel.load
 
     async def load(self: WorkerModel, fence: int, model: str) -> dict[str, Any]:
@@ -330,7 +374,10 @@
 
 @mutation("half-the-workers-down", "recovery")
 def lost_workers_unseen(fleet: SimFleet) -> None:
-    """All would be well once the worker is back, and nothing is while it is gone."""
+    """Nodes neither avoid failed workers nor retry: jobs fail while workers are down, and succeed once they are back.
+
+    Only a check that also judges jobs sent while the fault lasts can find this.
+    """
 
     def change(node: NodeProcess) -> None:
         node.nominator.record_failure = lambda worker: None  # type: ignore[method-assign]
@@ -342,31 +389,32 @@
 
 @mutation("platform-against-operators", "leaving")
 def marks_overwritten(fleet: SimFleet) -> None:
-    """The platform's list is taken as it is, and takes operators' marks away."""
-    real_workers = FleetState._apply_workers
+    """The platform's full worker list replaces all records, and so removes the operators' leaving marks."""
+    real_apply_workers = FleetState._apply_workers
 
     def apply(self: FleetState, index: int, command: Any) -> dict[str, Any]:
         if not command.partial:
             self.workers = {}
-        return real_workers(self, index, command)
+        return real_apply_workers(self, index, command)
 
     FleetState._apply_workers = apply  # type: ignore[method-assign]
 
 
 @mutation("platform-against-operators", "two operators named weights at once, and both were told done")
 def weights_base_unchecked(fleet: SimFleet) -> None:
-    real_weights = FleetState._apply_weights
+    """A weights change ignores its base revision, so that two concurrent ones both succeed."""
+    real_apply_weights = FleetState._apply_weights
 
     def apply(self: FleetState, index: int, command: Any) -> dict[str, Any]:
         command.base_revision = 0
-        return real_weights(self, index, command)
+        return real_apply_weights(self, index, command)
 
     FleetState._apply_weights = apply  # type: ignore[method-assign]
 
 
 @mutation("parts-change", "changes")
 def changes_unheard(fleet: SimFleet) -> None:
-    """Reports of changed parts are read, and nothing is bumped for them."""
+    """Nodes read the reports of changed parts, but raise no revision for them."""
 
     def change(node: NodeProcess) -> None:
         async def bump(owner: str, line: str, part: int) -> None:
@@ -379,19 +427,22 @@
 
 @mutation("disk-back-empty", "not in time")
 def lost_disks_waited_for(fleet: SimFleet) -> None:
-    """A new identity at a voter's address is taken in only once that voter was silent for long."""
+    """A core with a new identity at a voter's address has to wait until the old identity counts as lost.
+
+    It is admitted only when the voter was silent for `lostAfterMicros`.
+    """
 
     def change(core: CoreProcess) -> None:
-        real_join = core._make_join_result
+        real_make_join_result = core._make_join_result
 
         async def join(identity: str, address: str, ask: JoinAsk) -> JoinResult:
             for member in core.raft.members().member:
                 follower = core.raft.followers.get(member.identity)
-                is_held = member.voter and member.address == ask.address and member.identity != identity
-                if is_held and follower is not None:
+                is_address_taken = member.voter and member.address == ask.address and member.identity != identity
+                if is_address_taken and follower is not None:
                     if core.clock.now() - follower.heard_micros < core.startup.lostAfterMicros:
                         return JoinResult()
-            return await real_join(identity, address, ask)
+            return await real_make_join_result(identity, address, ask)
 
         core._make_join_result = join  # type: ignore[method-assign]
 
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -1,4 +1,4 @@
-"""Scale (§9.12): what a fleet costs from 12 to 200 nodes, by counts on virtual time."""
+"""Scaling costs (§9.12): what a fleet of 12 to 200 nodes costs, by counts of messages on virtual time."""
 
 from __future__ import annotations
 
@@ -21,20 +21,22 @@
 DATAGRAM_LOSS_SHARE = 0.3
 
 
-def _totals(fleet: SimFleet) -> dict[str, tuple[int, int]]:
+def _sent_totals(fleet: SimFleet) -> dict[str, tuple[int, int]]:
+    """Number and bytes of all messages that the fleet's cores and nodes have sent, by message name."""
     totals: dict[str, tuple[int, int]] = {}
     processes: list[CoreProcess | NodeProcess] = [*fleet.cores.values(), *fleet.nodes.values()]
     for process in processes:
         for name, count in process.rpc_endpoint.sent_counts.items():
-            held_count, held_bytes = totals.get(name, (0, 0))
-            totals[name] = (held_count + count, held_bytes + process.rpc_endpoint.sent_bytes[name])
+            previous_count, previous_bytes = totals.get(name, (0, 0))
+            totals[name] = (previous_count + count, previous_bytes + process.rpc_endpoint.sent_bytes[name])
     return totals
 
 
 def _measure_fan_out(fleet: SimFleet, owner: str) -> Row:
-    """One cast on an object's channel, by the directory as it is: direct, or by one relay an area.
+    """Compares two ways to multicast on an object's channel: directly, or through one relay per area.
 
-    A relay is one of the listeners. `reached` is counted over 200 casts with 30 % of datagrams lost.
+    The listeners are taken from the directory of a running node; a relay is one of them. `reached` is the mean over 200
+    multicasts with 30 % of datagrams lost.
     """
     sender = fleet.nodes["node-1"].directory
     listeners = set(sender.listeners(object_channel(owner, fleet.deployment.line, 1)))
@@ -43,33 +45,33 @@
         if record.address in listeners:
             by_area.setdefault(record.area, []).append(record.address)
     chance = random.Random(1)
-    direct_count = relay_count = relay_sent = 0
+    direct_reached_count = relay_reached_count = relay_sent_count = 0
     for _ in range(BROADCAST_TRIALS):
-        direct_count += sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in listeners)
+        direct_reached_count += sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in listeners)
         for addresses in by_area.values():
-            relay_sent += 1
+            relay_sent_count += 1
             if chance.random() >= DATAGRAM_LOSS_SHARE:
-                relay_sent += len(addresses) - 1
-                relay_count += 1 + sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in addresses[1:])
+                relay_sent_count += len(addresses) - 1
+                relay_reached_count += 1 + sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in addresses[1:])
     return {
         "sender's burst, direct": len(listeners),
         "sender's burst, relays": len(by_area),
-        "reached, direct": direct_count / BROADCAST_TRIALS / max(1, len(listeners)),
-        "reached, relays": relay_count / BROADCAST_TRIALS / max(1, len(listeners)),
-        "datagrams a cast, relays": relay_sent / BROADCAST_TRIALS,
+        "reached, direct": direct_reached_count / BROADCAST_TRIALS / max(1, len(listeners)),
+        "reached, relays": relay_reached_count / BROADCAST_TRIALS / max(1, len(listeners)),
+        "datagrams a cast, relays": relay_sent_count / BROADCAST_TRIALS,
     }
 
 
 def measure_node_scaling(node_count: int) -> Row:
-    """Ten quiet seconds, one apply and one bump in a fleet of so many nodes."""
+    """Costs of ten idle seconds, one apply and one revision bump in a fleet of this many nodes."""
 
-    async def play(world: World) -> Row:
+    async def run_in_world(world: World) -> Row:
         fleet = SimFleet(world, ACADEMY, node_count)
         await fleet.up()
         await pause(world, 2 * SECOND)
-        before = _totals(fleet)
+        before = _sent_totals(fleet)
         await pause(world, 10 * SECOND)
-        quiet = _totals(fleet)
+        quiet = _sent_totals(fleet)
 
         def rate_per_second(*names: str) -> tuple[float, float]:
             counts = [(quiet[n][0] - before[n][0], quiet[n][1] - before[n][1]) for n in names if n in before]
@@ -81,16 +83,16 @@
         for node in fleet.nodes.values():
             node.listener.revision_of(owner, fleet.deployment.line, 1)
         await pause(world, 3 * SECOND)
-        bump_before = _totals(fleet)["purge_note"]
+        bump_before = _sent_totals(fleet)["purge_note"]
         await fleet.nodes["node-1"].listener.bump(owner, fleet.deployment.line, 1)
-        bump_after = _totals(fleet)["purge_note"]
+        bump_after = _sent_totals(fleet)["purge_note"]
         fan_out = _measure_fan_out(fleet, owner)
-        apply_before = _totals(fleet)["term_result"]
+        apply_before = _sent_totals(fleet)["term_result"]
         await fleet.apply(fleet.marked_description("a"))
         start_micros = world.now()
         while any(n.view_replica.view.description_revision < fleet.description_revision for n in fleet.nodes.values()):
             await pause(world, 5 * MILLI)
-        apply_after = _totals(fleet)["term_result"]
+        apply_after = _sent_totals(fleet)["term_result"]
         return {
             "nodes": node_count,
             "term messages/s a node": term_count / node_count,
@@ -104,14 +106,17 @@
             **fan_out,
         }
 
-    row: Row = run_in_virtual_time(1, play)
+    row: Row = run_in_virtual_time(1, run_in_world)
     return row
 
 
 def measure_entry_scaling(entry_count: int) -> Row:
-    """One small change to a description of so many entries: bytes to all nodes, and match cost."""
+    """Costs of one small change to a description with this many more entries.
 
-    async def play(world: World) -> Row:
+    The bytes are those sent to 12 nodes. The match time is real time on this machine, not virtual time.
+    """
+
+    async def run_in_world(world: World) -> Row:
         fleet = SimFleet(world, ACADEMY, 12)
         await fleet.up()
         description = fleet.marked_description("a")
@@ -129,13 +134,13 @@
         await pause(world, 3 * SECOND)
         sizes = []
         for change in (fleet.name_weights("w2"), fleet.apply({**description, "limits": {"retryShare": 0.05}})):
-            before = _totals(fleet)["term_result"][1]
+            before = _sent_totals(fleet)["term_result"][1]
             await change
             await pause(world, 2 * SECOND)
-            sizes.append(_totals(fleet)["term_result"][1] - before)
-        data = description_from_checked_data(description)
+            sizes.append(_sent_totals(fleet)["term_result"][1] - before)
+        parsed_description = description_from_checked_data(description)
         view = View()
-        view.__dict__["description"] = data
+        view.__dict__["description"] = parsed_description
         view.match(ACADEMY.line, "trial", "kind-0")
         start_seconds = time.perf_counter()
         for _ in range(10_000):
@@ -147,11 +152,12 @@
             "match, microseconds here": (time.perf_counter() - start_seconds) * 100,
         }
 
-    row: Row = run_in_virtual_time(1, play)
+    row: Row = run_in_virtual_time(1, run_in_world)
     return row
 
 
 def markdown_table(rows: list[Row]) -> list[str]:
+    """Formats rows of the same columns as the lines of a Markdown table."""
     names = list(rows[0])
     lines = ["| " + " | ".join(names) + " |", "| " + " | ".join("---" for _ in names) + " |"]
     return lines + ["| " + " | ".join(f"{row[n]:.4g}" for n in names) + " |" for row in rows]
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios (§9.7): each brings about one failure of the brief under load, then looks for breaches."""
+"""Scenarios (§9.7): each causes one kind of failure in a fleet under load, whose ledger then finds breaches."""
 
 from __future__ import annotations
 
@@ -26,29 +26,36 @@
 SCENARIOS: dict[str, ScenarioBody] = {}
 
 
-def scenario(play: ScenarioBody) -> ScenarioBody:
-    SCENARIOS[play.__name__.replace("_", "-")] = play
-    return play
+def scenario(body: ScenarioBody) -> ScenarioBody:
+    """Registers a scenario under its function's name, with hyphens for underscores."""
+    SCENARIOS[body.__name__.replace("_", "-")] = body
+    return body
 
 
 async def wait_for_recovery(fleet: SimFleet) -> None:
-    """What comes from 12 s after the last fault came or went must be served, while it stands and after."""
+    """Waits for 15 s after a fault began or ended.
+
+    Jobs sent from 12 s after that on must be served, also while the fault lasts; the ledger checks them.
+    """
     await pause(fleet.world, RECOVERY_LIMIT_MICROS + 3 * SECOND)
 
 
 def expect_no_node_serves(fleet: SimFleet) -> None:
+    """Records a breach if any node takes its view for current, and so serves."""
     if any(n.view_replica.is_current() for n in fleet.nodes.values()):
-        fleet.ledger.breaches.append("a node serves without a majority in reach")
+        fleet.ledger.breaches.append("a node serves although it reaches no majority of the cores")
 
 
 @scenario
 async def calm(fleet: SimFleet) -> None:
+    """No fault at all."""
     await pause(fleet.world, 5 * SECOND)
     await wait_for_recovery(fleet)
 
 
 @scenario
 async def leader_killed(fleet: SimFleet) -> None:
+    """The leading core is killed, and started again."""
     name = fleet.leader()
     fleet.kill(name)
     await wait_for_recovery(fleet)
@@ -58,6 +65,7 @@
 
 @scenario
 async def node_killed(fleet: SimFleet) -> None:
+    """Two nodes are killed, and started again."""
     fleet.kill("node-1")
     fleet.kill("node-2")
     await wait_for_recovery(fleet)
@@ -68,6 +76,7 @@
 
 @scenario
 async def all_killed(fleet: SimFleet) -> None:
+    """All cores and nodes lose power right after a description is acknowledged."""
     names = [*sorted(fleet.cores), *sorted(fleet.nodes)]
     await fleet.apply(fleet.marked_description("a"))
     for name in names:
@@ -80,7 +89,10 @@
 
 @scenario
 async def everything_loses_power(fleet: SimFleet) -> None:
-    """Every machine, workers and store too, right after a naming; they come back in any order over a second."""
+    """All machines, also workers and the store, lose power right after a weights change.
+
+    They start again in random order within a second.
+    """
     await fleet.apply(fleet.marked_description("a"))
     await fleet.name_weights("w2")
     names = sorted(fleet.world.machines)
@@ -96,7 +108,10 @@
 
 @scenario
 async def all_workers_killed(fleet: SimFleet) -> None:
-    """All at once, with the nodes that hold most of them, while weights are named."""
+    """All workers lose power at once, with up to three nodes that hold their leases.
+
+    The weights change while they are down.
+    """
     holders = [n for n, node in sorted(fleet.nodes.items()) if node.lease_controller.leases][:3]
     names = [*fleet.current_workers(), *holders]
     for name in names:
@@ -110,6 +125,7 @@
 
 @scenario
 async def core_cut_in_two(fleet: SimFleet) -> None:
+    """The leader is cut off from the other cores, while the description and the weights change."""
     leader = fleet.leader()
     others = [n for n in sorted(fleet.cores) if n != leader]
     fleet.world.note(f"cuts {leader} off from {others}")
@@ -124,6 +140,7 @@
 
 @scenario
 async def node_isolated(fleet: SimFleet) -> None:
+    """A node is cut off from all machines while a tenant is withdrawn."""
     all_machine_names = sorted(fleet.world.machines)
     fleet.world.note("isolates node-3")
     fleet.cut(["node-3"], all_machine_names)
@@ -138,6 +155,10 @@
 
 
 async def withdraw_tenant_key(fleet: SimFleet, tenant_name: str, description: dict[str, Any] | None = None) -> None:
+    """Applies a description without this tenant, and records when it was acknowledged.
+
+    The tenant is removed from the given `description` in place; by default a newly marked one is used.
+    """
     description = description or fleet.marked_description("withdrawn")
     description["tenants"] = [t for t in description["tenants"] if t["name"] != tenant_name]
     await fleet.apply(description)
@@ -145,26 +166,32 @@
 
 
 def freeze_nodes_on_connect(fleet: SimFleet, purpose: str, names: list[str]) -> list[tuple[str, str]]:
-    """Each of these nodes freezes as its next connection stands, before it sends a byte."""
-    caught: list[tuple[str, str]] = []
+    """Makes each of these nodes freeze when its next connection of this purpose is established, before a byte is sent.
 
-    def connect_hook(name: str, worker: Machine) -> None:
+    Returns a list that fills as it happens, with the names of the node and of the machine that it connected to.
+    """
+    frozen_connections: list[tuple[str, str]] = []
+
+    def freeze_on_connect(name: str, worker: Machine) -> None:
         fleet.freeze(name)
-        caught.append((name, worker.name))
+        frozen_connections.append((name, worker.name))
 
     for name in names:
-        fleet.world.connect_hooks[name, purpose] = functools.partial(connect_hook, name)
-    return caught
+        fleet.world.connect_hooks[name, purpose] = functools.partial(freeze_on_connect, name)
+    return frozen_connections
 
 
 @scenario
 async def nodes_freeze_as_they_connect(fleet: SimFleet) -> None:
-    """Keys, workers and weights go while connections stand that no byte has left by."""
+    """Half of the nodes freeze with established connections by which no byte was sent.
+
+    Before they wake and may send, a tenant's key is withdrawn, workers are marked as leaving, and the weights change.
+    """
     names = sorted(fleet.nodes)[: len(fleet.nodes) // 2]
-    caught = freeze_nodes_on_connect(fleet, JOB_CONNECTION, names)
-    await fleet.wait_until(lambda: len(caught) == len(names), "all are caught as they connect")
+    frozen_connections = freeze_nodes_on_connect(fleet, JOB_CONNECTION, names)
+    await fleet.wait_until(lambda: len(frozen_connections) == len(names), "all nodes freeze as they connect")
     await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
-    await fleet.mark_leaving(*sorted({worker for _, worker in caught if worker != "desk"})[:2])
+    await fleet.mark_leaving(*sorted({worker for _, worker in frozen_connections if worker != "desk"})[:2])
     await fleet.name_weights("w2")
     for name in names:
         await pause(fleet.world, 4 * SECOND)
@@ -174,22 +201,25 @@
 
 @scenario
 async def holder_freezes_as_it_commands(fleet: SimFleet) -> None:
-    """Each holder freezes between its check and its command, and wakes when another holds its workers."""
-    # Those that hold most go first: a node that holds nothing commands nothing, and is never caught.
+    """Lease holders freeze between their last check and their command.
+
+    They wake when others hold their workers' leases.
+    """
+    # Nodes with the most leases first: one without a lease sends no command, so it would never freeze.
     names = sorted(fleet.nodes, key=lambda name: (-len(fleet.nodes[name].lease_controller.leases), name))
-    caught = freeze_nodes_on_connect(fleet, COMMAND_CONNECTION, names[: len(names) - 2])
+    frozen_connections = freeze_nodes_on_connect(fleet, COMMAND_CONNECTION, names[: len(names) - 2])
     await fleet.name_weights("w2")
-    await fleet.wait_until(lambda: bool(caught), "a holder is caught as it commands")
+    await fleet.wait_until(lambda: bool(frozen_connections), "a lease holder freezes as it connects to a worker")
     await pause(fleet.world, fleet.world.chance.randrange(5 * SECOND, 10 * SECOND))
     fleet.world.connect_hooks.clear()
-    for name, _ in caught:
+    for name, _ in frozen_connections:
         fleet.wake(name)
     await wait_for_recovery(fleet)
 
 
 @scenario
 async def entries_move_while_jobs_queue(fleet: SimFleet) -> None:
-    """Queues are long; then an entry points elsewhere, another shuts a tenant out, and a key is withdrawn."""
+    """While jobs queue, a key is withdrawn, then their entry excludes tenants, and then it uses another service."""
     desk = fleet.back_ends["desk:2"].model
     assert isinstance(desk, ApplicationModel)
     desk.line_micros = 150 * MILLI
@@ -217,7 +247,10 @@
 
 @scenario
 async def node_cut_off_from_cores(fleet: SimFleet) -> None:
-    """A node reaches callers and workers, and neither cores nor colleagues, while all it knows changes."""
+    """A node reaches callers and workers, but neither cores nor other nodes.
+
+    Meanwhile a tenant is withdrawn, workers are marked as leaving, and the weights change.
+    """
     name = fleet.world.chance.choice(sorted(fleet.nodes))
     fleet.world.note(f"cuts {name} off from cores and nodes")
     fleet.cut([name], [*sorted(fleet.cores), *sorted(fleet.nodes)])
@@ -231,7 +264,10 @@
 
 @scenario
 async def core_cut_off_from_nodes(fleet: SimFleet) -> None:
-    """The core is sound and no node reaches it: nodes refuse, as each of them might be the one cut off."""
+    """The cores are healthy, but no node reaches them.
+
+    All nodes must refuse: each of them might be the only one that is cut off.
+    """
     fleet.cut(sorted(fleet.cores), sorted(fleet.nodes))
     await fleet.apply(fleet.marked_description("a"))
     await pause(fleet.world, 6 * SECOND)
@@ -242,7 +278,7 @@
 
 @scenario
 async def worker_freezes(fleet: SimFleet) -> None:
-    """A stopped process, whose kernel takes connections on, or a stopped machine."""
+    """A worker freezes: only its process, so that its kernel still accepts connections, or its whole machine."""
     name = f"worker-{fleet.world.chance.randrange(fleet.worker_count) + 1}"
     fleet.world.machine(name).kernel_accepts_connections = fleet.world.chance.random() < 0.7
     fleet.freeze(name)
@@ -252,12 +288,15 @@
 
 
 def register_final_fault(kind: str, inject_fault: Callable[[SimFleet, str], None]) -> None:
-    """A day that ends with one last fault: it is never healed, and the rest serves on."""
+    """Registers the scenario `ends-on-KIND`: a single fault that lasts to the end, while the rest must serve.
 
-    async def play(fleet: SimFleet) -> None:
+    The first word of `kind` is the target's role; `inject_fault` gets the fleet and the target's name.
+    """
+
+    async def body(fleet: SimFleet) -> None:
         await fleet.name_weights("w2")
         await pause(fleet.world, fleet.world.chance.randrange(15 * SECOND))
-        number = fleet.world.chance.randrange(100)
+        target_index = fleet.world.chance.randrange(100)
         names = {
             "leader": [fleet.leader() or "core-1"],
             "node": sorted(fleet.nodes),
@@ -266,22 +305,25 @@
             "core": sorted(fleet.cores),
             "area": list(fleet.deployment.areas),
         }[kind.split("-")[0]]
-        inject_fault(fleet, names[number % len(names)])
+        inject_fault(fleet, names[target_index % len(names)])
         await wait_for_recovery(fleet)
 
-    SCENARIOS[f"ends-on-{kind}"] = play
+    SCENARIOS[f"ends-on-{kind}"] = body
 
 
 def machines_in_area(fleet: SimFleet, area: str) -> list[str]:
+    """Names of all machines in an area, sorted."""
     return [n for n in sorted(fleet.world.machines) if fleet.area_of(n) == area]
 
 
 def cut_area_power(fleet: SimFleet, area: str) -> None:
+    """Lets all machines in an area lose power."""
     for name in machines_in_area(fleet, area):
         fleet.kill(name, loses_power=True)
 
 
 def isolate_machines(fleet: SimFleet, names: list[str]) -> None:
+    """Cuts these machines off from all others, but not from one another."""
     fleet.cut(names, [n for n in sorted(fleet.world.machines) if n not in names])
 
 
@@ -302,7 +344,7 @@
 
 @scenario
 async def node_sees_no_workers(fleet: SimFleet) -> None:
-    """A one-way loss: answers of workers don't reach one node."""
+    """A one-way partition: answers of workers don't reach one node."""
     workers = [n for n in sorted(fleet.world.machines) if n.startswith("worker-")]
     fleet.cut(workers, ["node-4"], both_ways=False)
     await wait_for_recovery(fleet)
@@ -312,6 +354,7 @@
 
 @scenario
 async def power_lost_after_yes(fleet: SimFleet) -> None:
+    """The leader loses power right after an acknowledgement, four times."""
     for number in range(4):
         await fleet.apply(fleet.marked_description(str(number)))
         name = fleet.leader() or "core-1"
@@ -324,8 +367,11 @@
 
 @scenario
 async def disk_lost_after_yes(fleet: SimFleet) -> None:
-    """A core's disk goes right after an acknowledgement; a machine comes back empty, at a new address."""
-    # Replacing a core is planned work too: no job may be dropped by it.
+    """The leader's disk is lost right after an acknowledgement, three times.
+
+    Each time an empty machine at a new address replaces it.
+    """
+    # The replacement of a core counts as planned work: no job may be dropped by it.
     fleet.ledger.planned_count += 1
     for number in range(3):
         await fleet.apply(fleet.marked_description(str(number)))
@@ -348,7 +394,10 @@
 
 @scenario
 async def disk_back_empty(fleet: SimFleet) -> None:
-    """Founders were told once; a core's disk goes, and its machine is back empty at its old address (§4.9)."""
+    """A core's disk is lost, and its machine comes back empty at its old address (§4.9).
+
+    The cores are not told their founders, as on any start but the first.
+    """
     for name in fleet.cores:
         fleet.startups[name] = dataclasses.replace(fleet.startups[name], founders=[])
     for number in range(4):
@@ -367,12 +416,17 @@
             2 * SECOND,
         )
         if fleet.ledger.breaches:
-            return  # The next disk would be lost beside this one, which no core survives.
+            # The wiped core doesn't vote yet. With the next disk the majority would be lost, which no core survives.
+            return
     await wait_for_recovery(fleet)
 
 
 @scenario
 async def operators_race(fleet: SimFleet) -> None:
+    """Two operators apply descriptions on the same base at once, and exactly one of them must succeed.
+
+    The leader is killed after the second of four rounds.
+    """
     tasks = []
     for number in range(4):
         base = fleet.description_revision
@@ -381,7 +435,7 @@
             tasks.append(fleet.world.loop.create_task(fleet.apply(description, base)))
         statuses = [await t for t in tasks[-2:]]
         if sorted(statuses) != ["conflict", "done"]:
-            fleet.ledger.breaches.append(f"a race ended {statuses}")
+            fleet.ledger.breaches.append(f"two concurrent operators got {statuses}")
         if number == 1:
             fleet.kill(fleet.leader())
     for name in sorted(fleet.cores):
@@ -392,6 +446,7 @@
 
 @scenario
 async def weights_under_load(fleet: SimFleet) -> None:
+    """The weights change three times; before the last change a worker is killed."""
     await fleet.name_weights("w2")
     await pause(fleet.world, 2 * SECOND)
     await fleet.name_weights("w3")
@@ -405,7 +460,10 @@
 
 @scenario
 async def weights_named_again_and_again(fleet: SimFleet) -> None:
-    """Each naming comes before the last roll-out is over, and a node is out of reach for some of them."""
+    """Each weights change comes before the roll-out of the previous one is over.
+
+    Two nodes are cut off from cores and other nodes during the first two changes.
+    """
     chance = fleet.world.chance
     names = sorted(fleet.nodes)[:2]
     fleet.world.note(f"cuts {names} off from cores and nodes")
@@ -420,6 +478,7 @@
 
 @scenario
 async def datagrams_lost(fleet: SimFleet) -> None:
+    """30 % of datagrams are lost and 10 % duplicated, while the weights change."""
     fleet.set_datagram_loss(0.3, 0.1)
     await fleet.name_weights("w2")
     await pause(fleet.world, 12 * SECOND)
@@ -428,6 +487,7 @@
 
 @scenario
 async def machines_freeze(fleet: SimFleet) -> None:
+    """The leader, a node and a worker freeze at once, and the weights change."""
     leader = fleet.leader()
     for name in (leader, "node-5", "worker-1"):
         fleet.freeze(name)
@@ -441,7 +501,7 @@
 
 @scenario
 async def disks_fail(fleet: SimFleet) -> None:
-    """Stalled, then full, then slow; always the leader's."""
+    """The leader's disk stalls, then the next leader's is full; at last all cores' disks are slow."""
     for mark, kind in (("a", "stalled"), ("b", "full")):
         name = fleet.leader()
         fleet.set_disk(name, kind, True)
@@ -457,6 +517,7 @@
 
 @scenario
 async def workers_come_and_go(fleet: SimFleet) -> None:
+    """Workers are marked as leaving, killed, started again, and unmarked."""
     await fleet.mark_leaving("worker-1", "worker-2", "worker-4")
     await pause(fleet.world, 7 * SECOND)
     fleet.kill("worker-1")
@@ -470,7 +531,10 @@
 
 @scenario
 async def platform_against_operators(fleet: SimFleet) -> None:
-    """The platform sends its whole list again and again; operators mark workers and name weights at once."""
+    """The platform sends its full worker list again and again while operators mark workers.
+
+    Then two operators change the weights at once, and exactly one of them must succeed.
+    """
     list_task = fleet.world.loop.create_task(resend_worker_list(fleet))
     for number in range(3):
         name = f"worker-{number + 1}"
@@ -486,6 +550,7 @@
 
 
 async def resend_worker_list(fleet: SimFleet) -> None:
+    """Sends the platform's full worker list every 300 ms, until cancelled."""
     while True:
         await fleet.set_workers()
         await pause(fleet.world, 300 * MILLI)
@@ -493,7 +558,10 @@
 
 @scenario
 async def clocks_of_unlike_rate(fleet: SimFleet) -> None:
-    """Each machine's clock counts up to 2 % too fast or too slow, while terms, holds, waves and tables run."""
+    """Each machine's clock runs up to 2 % too fast or too slow.
+
+    That affects view terms, worker leases, roll-out waves and revision tables, which all run during other faults.
+    """
     for name in sorted(fleet.world.machines):
         fleet.world.machine(name).set_rate(fleet.world.chance.uniform(0.98, 1.02))
     pairs = fleet.cut(["node-1"], [*sorted(fleet.cores), *sorted(fleet.nodes)])
@@ -513,7 +581,10 @@
 
 @scenario
 async def workers_replaced_until_none_is_left(fleet: SimFleet) -> None:
-    """Planned: each comes by another name and address before the next one leaves; weights are named meanwhile."""
+    """All workers are replaced as planned, one by one.
+
+    Each new one has another name and address, and is loaded before the old one leaves; meanwhile the weights change.
+    """
     fleet.ledger.planned_count += 1
     for number, name in enumerate(fleet.current_workers()):
         new_name = await fleet.add_worker()
@@ -531,8 +602,11 @@
 
 @scenario
 async def two_disks_fail_at_once(fleet: SimFleet) -> None:
-    """A majority of disks stalls, then is full, then a digest is cut meanwhile: nothing is acknowledged that is
-    not kept, nodes serve on what they know to be current, and all is well once one disk is."""
+    """The disks of a majority of the cores stall, then are full, while many changes are made and a snapshot may be due.
+
+    What is not on a majority of disks must not be acknowledged. Nodes serve on as long as their view is current, and
+    all recovers with the disks.
+    """
     names = sorted(fleet.cores, key=lambda n: n != fleet.leader())
     for kind in ("stalled", "full"):
         for name in names[:2]:
@@ -560,7 +634,7 @@
 
 @scenario
 async def workers_crash(fleet: SimFleet) -> None:
-    """One after another, each with jobs running on it."""
+    """Workers are killed one after another, each while it runs jobs."""
     for number in range(8):
         name = f"worker-{number % fleet.worker_count + 1}"
         fleet.kill(name)
@@ -572,6 +646,7 @@
 
 @scenario
 async def most_workers_down(fleet: SimFleet) -> None:
+    """All but two workers are down."""
     names = [f"worker-{n + 1}" for n in range(fleet.worker_count - 2)]
     for name in names:
         fleet.kill(name)
@@ -583,7 +658,7 @@
 
 @scenario
 async def half_the_workers_down(fleet: SimFleet) -> None:
-    """As many as the rest can do without: it serves all, while they are gone."""
+    """Half of the workers are down; the rest has capacity for all jobs, and must serve them meanwhile."""
     names = fleet.current_workers()
     fleet.world.chance.shuffle(names)
     for name in names[: len(names) // 2]:
@@ -596,6 +671,7 @@
 
 @scenario
 async def store_goes_and_comes_empty(fleet: SimFleet) -> None:
+    """The store of cached parts is killed, and starts again without content."""
     fleet.kill("store")
     await wait_for_recovery(fleet)
     fleet.start("store")
@@ -604,7 +680,7 @@
 
 @scenario
 async def bumps_race(fleet: SimFleet) -> None:
-    """Many nodes bump the same parts while datagrams are lost and leaders change."""
+    """Many nodes raise the revisions of the same parts, while datagrams are lost and leaders change."""
     fleet.set_datagram_loss(0.3, 0.2)
     owner = f"tenant:{fleet.deployment.tenant_names[0]}"
     tasks = []
@@ -619,16 +695,16 @@
             for name in sorted(fleet.cores):
                 if not fleet.world.machine(name).is_alive:
                     fleet.start(name)
-    given_results = [await t for t in tasks]
-    if None in given_results:
-        fleet.ledger.breaches.append(f"{given_results.count(None)} bumps were never answered")
+    bump_results = [await t for t in tasks]
+    if None in bump_results:
+        fleet.ledger.breaches.append(f"{bump_results.count(None)} bumps were never answered")
     fleet.set_datagram_loss(0.0)
     await wait_for_recovery(fleet)
 
 
 @scenario
 async def planned_restarts(fleet: SimFleet) -> None:
-    """Every core, node and worker is restarted in turn, and a description and weights land meanwhile."""
+    """Every core, every node and two workers restart in turn; the description and the weights change meanwhile."""
     for number, name in enumerate([*sorted(fleet.cores), *sorted(fleet.nodes), "worker-1", "worker-2"]):
         await fleet.stop_planned(name)
         await pause(fleet.world, 300 * MILLI)
@@ -645,7 +721,10 @@
 
 @scenario
 async def one_tenant_bursts(fleet: SimFleet) -> None:
-    """A large tenant sends many times what the workers bear; small ones must go on."""
+    """One large tenant sends many times what the workers can serve.
+
+    Of the other tenants' jobs at least 95 % must be served during the burst.
+    """
     bursting_tenant = fleet.deployment.tenant_names[0]
     description = fleet.marked_description("a")
     description["entries"][0].update(concurrency=2, queueLimit=16)
@@ -665,13 +744,14 @@
     served_count = sum(t.outcome == "done" for t in others)
     refused_count = sum(t.outcome in ("tenant_busy", "overloaded") for t in fleet.ledger.jobs.values())
     if not refused_count:
-        fleet.ledger.breaches.append("the burst was no overload")
+        fleet.ledger.breaches.append("the burst caused no overload")
     if served_count < 0.95 * len(others):
         fleet.ledger.breaches.append(f"small tenants starved: {served_count} of {len(others)} served")
 
 
 @scenario
 async def description_grows(fleet: SimFleet) -> None:
+    """A description with 3,000 more entries is applied, then one without lines."""
     description = fleet.marked_description("a")
     for number in range(3_000):
         description["entries"].append(
@@ -684,7 +764,7 @@
             }
         )
     if await fleet.apply(description) != "done":
-        fleet.ledger.breaches.append("a large description was not taken")
+        fleet.ledger.breaches.append("a large description was not accepted")
     await pause(fleet.world, 4 * SECOND)
     await fleet.apply({**fleet.marked_description("b"), "lines": []})
     await wait_for_recovery(fleet)
@@ -692,72 +772,85 @@
 
 @scenario
 async def digest_catches_up(fleet: SimFleet) -> None:
-    """A core is away for so long that the log it needs is gone; another joins with nothing."""
-    behind = next(n for n in sorted(fleet.cores) if n != fleet.leader())
-    fleet.kill(behind, loses_power=True)
+    """A core is down until the leader has truncated the log that it lacks.
+
+    It must catch up from a snapshot and hold the same part revisions as the leader.
+    """
+    lagging = next(n for n in sorted(fleet.cores) if n != fleet.leader())
+    fleet.kill(lagging, loses_power=True)
     leader_node = fleet.nodes["node-1"]
     owner = f"tenant:{fleet.deployment.tenant_names[0]}"
     for number in range(1_200):
         fleet.world.machine("node-1").task_group.start(leader_node.listener.bump(owner, fleet.deployment.line, number))
         if number % 60 == 0:
             await pause(fleet.world, 200 * MILLI)
-    fleet.start(behind)
+    fleet.start(lagging)
     if fleet.cores[fleet.leader()].raft.log.base_index == 0:
-        fleet.ledger.breaches.append("no log was ever cut")
+        fleet.ledger.breaches.append("no log was ever truncated")
     await fleet.wait_until(
         lambda: (
-            hasattr(fleet.cores[behind], "raft")
+            hasattr(fleet.cores[lagging], "raft")
             and bool(fleet.leader())
-            and fleet.cores[behind].fleet.index >= fleet.cores[fleet.leader()].raft.commit_index - 50
+            and fleet.cores[lagging].fleet.index >= fleet.cores[fleet.leader()].raft.commit_index - 50
         ),
-        f"{behind} is level again",
+        f"{lagging} has caught up",
     )
     await wait_for_recovery(fleet)
-    restored_fleet, leader_fleet = fleet.cores[behind].fleet, fleet.cores[fleet.leader()].fleet
+    restored_fleet, leader_fleet = fleet.cores[lagging].fleet, fleet.cores[fleet.leader()].fleet
     if restored_fleet.parts != leader_fleet.parts:
-        fleet.ledger.breaches.append(f"{behind} holds other part revisions than the leader")
+        fleet.ledger.breaches.append(f"{lagging} holds other part revisions than the leader")
 
 
 @scenario
 async def old_disk_returns(fleet: SimFleet) -> None:
-    """A core is replaced; then its old disk is found and started again beside the new one."""
-    gone = next(n for n in sorted(fleet.cores) if n != fleet.leader())
-    gone_identity = fleet.cores[gone].identity
-    fleet.kill(gone)
-    # In another area the old one would rightly vote again once it is level: votes are spread over the areas.
-    fleet.add_core("core-4", like=gone)
+    """A core is replaced, and later started again from its old disk, beside its replacement.
+
+    It must not vote, nor force a new term.
+    """
+    old_core = next(n for n in sorted(fleet.cores) if n != fleet.leader())
+    old_identity = fleet.cores[old_core].identity
+    fleet.kill(old_core)
+    # In the same area, as votes are spread over the areas: with the replacement in another one, the old core would
+    # rightly get its vote back once it has caught up.
+    fleet.add_core("core-4", like=old_core)
     await fleet.wait_until(
         lambda: (
             fleet.leader() != ""
-            and gone_identity not in fleet.cores[fleet.leader()].raft.voters()
+            and old_identity not in fleet.cores[fleet.leader()].raft.voters()
             and len(fleet.cores[fleet.leader()].raft.voters()) == 3
         ),
         "core-4 replaces it",
         30 * SECOND,
     )
     leader = fleet.leader()
-    epoch = fleet.cores[leader].raft.term
-    fleet.start(gone)
+    term_before = fleet.cores[leader].raft.term
+    fleet.start(old_core)
     await pause(fleet.world, 6 * SECOND)
     raft = fleet.cores[fleet.leader()].raft
-    if gone_identity in raft.voters() or raft.term != epoch:
-        fleet.ledger.breaches.append(f"the old disk had a say: epoch {epoch} to {raft.term}")
+    if old_identity in raft.voters() or raft.term != term_before:
+        fleet.ledger.breaches.append(
+            f"the core with the old disk votes, or disturbed the leader: term {term_before}, then {raft.term}"
+        )
     await wait_for_recovery(fleet)
 
 
 @scenario
 async def seeds_swapped(fleet: SimFleet) -> None:
-    """No original core is left; running nodes never notice, and a new node joins by the new seeds."""
+    """All original cores are replaced, one by one.
+
+    Running nodes must go on, and a node that knows only the new cores must be able to join.
+    """
     await disk_lost_after_yes(fleet)
     fleet.add_node("node-10")
     await pause(fleet.world, 4 * SECOND)
     if not fleet.nodes["node-10"].view_replica.is_current():
-        fleet.ledger.breaches.append("a new node did not come in by the new seeds")
+        fleet.ledger.breaches.append("a new node did not join through the new seeds")
     await wait_for_recovery(fleet)
 
 
 @scenario
 async def reports_late_or_never(fleet: SimFleet) -> None:
+    """Workers' event logs stay silent while the weights change, and for 8 s after."""
     for number in range(fleet.worker_count):
         fleet.worker(f"worker-{number + 1}").log.is_silent = True
     await fleet.name_weights("w2")
@@ -768,7 +861,11 @@
 
 
 async def report_changed_parts(fleet: SimFleet, limit_micros: int) -> list[str]:
-    """Workers and the store tell of parts that changed; once, twice, and from another one late."""
+    """Lets workers and the store report up to three of the most used parts as changed; returns their keys.
+
+    Each is reported once or twice by one holder, and later by the store and by another holder. From `limit_micros`
+    after the first report on, no job may run on the old copies; the ledger checks that.
+    """
     chance = fleet.world.chance
     hot_keys = [k for _, r in fleet.ledger.runs[-200:] for k in r.reused_keys]
     keys = sorted(set(hot_keys), key=lambda k: (-hot_keys.count(k), k))[:3]
@@ -784,18 +881,18 @@
         fleet.world.loop.call_later(chance.uniform(2.0, 4.0), late.log.append_event, "changed", key)
         fleet.ledger.changes.append((key, fleet.world.now(), limit_micros))
     if not keys:
-        fleet.ledger.breaches.append("no part was in use that could change")
+        fleet.ledger.breaches.append("no cached part was in use that could be reported as changed")
     return keys
 
 
 @scenario
 async def parts_change(fleet: SimFleet) -> None:
-    """What a worker tells as changed is bumped, once or more, and its old copies are used no more."""
+    """Parts that workers report as changed get a new revision, and no job uses old copies any more."""
     await pause(fleet.world, 4 * SECOND)
     await report_changed_parts(fleet, 2 * SECOND)
     await pause(fleet.world, 4 * SECOND)
-    # Then with a holder that sleeps over the report, a leader that dies, and datagrams lost: tables tell it,
-    # and a holder's term, the next one's first poll and the table's lifetime bound how late.
+    # Then with frozen lease holders, a killed leader and lost datagrams. Nodes now learn of the change from the
+    # revision tables, so it may take the holder's lease, the next holder's first poll and the table's lifetime.
     fleet.set_datagram_loss(0.3)
     for name in sorted(fleet.nodes)[:2]:
         fleet.freeze(name)
@@ -809,11 +906,12 @@
     await wait_for_recovery(fleet)
     volumes = fleet.cores[fleet.leader()].fleet.parts.values()
     if not any(revision > 1 for parts in volumes for revision in parts.values()):
-        fleet.ledger.breaches.append("no report ever raised a revision")
+        fleet.ledger.breaches.append("no report of a changed part ever raised a revision")
 
 
 @scenario
 async def worker_links_slow(fleet: SimFleet) -> None:
+    """Workers fetch cached parts 50 times more slowly."""
     for address, back_end in sorted(fleet.back_ends.items()):
         if address.startswith("worker-"):
             link = fleet.worker(back_end.machine.name).link
@@ -825,7 +923,7 @@
 
 @scenario
 async def quorum_lost(fleet: SimFleet) -> None:
-    """Two of three cores are gone for a while: nodes must refuse, and serve again after."""
+    """Two of three cores are down for a while: nodes must refuse, and serve again afterwards."""
     names = sorted(fleet.cores)[:2]
     for name in names:
         fleet.kill(name)
@@ -838,26 +936,29 @@
 
 @scenario
 async def two_disks_lost(fleet: SimFleet) -> None:
-    """Two core disks are gone at once: nodes refuse until an operator rescues the third."""
+    """Two of three core disks are lost at once: nodes refuse until an operator recovers from the third.
+
+    A recovery with a wrong identity, or without the required consent, must be refused.
+    """
     await fleet.apply(fleet.marked_description("a"))
-    left, *lost = [fleet.leader(), *(n for n in sorted(fleet.cores) if n != fleet.leader())]
+    survivor, *lost = [fleet.leader(), *(n for n in sorted(fleet.cores) if n != fleet.leader())]
     for name in lost:
         fleet.destroy_core(name)
     await pause(fleet.world, 3 * SECOND)
-    fleet.kill(left)
-    identity = fleet.cores[left].identity
-    machine = fleet.world.machine(left)
+    fleet.kill(survivor)
+    identity = fleet.cores[survivor].identity
+    machine = fleet.world.machine(survivor)
     machine.boot()
-    rescue = QuorumLossRecovery(machine.disk)
+    quorum_recovery = QuorumLossRecovery(machine.disk)
     for wrong_arguments in ((identity, "yes"), ("another", REQUIRED_CONSENT)):
-        if not isinstance(await rescue.run(wrong_arguments[0], f"{left}:1", wrong_arguments[1]), Err):
-            fleet.ledger.breaches.append("a rescue ran by accident")
-    (await rescue.run(identity, f"{left}:1", REQUIRED_CONSENT)).unwrap()
-    fleet.start(left)
+        if not isinstance(await quorum_recovery.run(wrong_arguments[0], f"{survivor}:1", wrong_arguments[1]), Err):
+            fleet.ledger.breaches.append("a recovery ran with a wrong identity or without consent")
+    (await quorum_recovery.run(identity, f"{survivor}:1", REQUIRED_CONSENT)).unwrap()
+    fleet.start(survivor)
     fleet.add_core("core-4")
     fleet.add_core("core-5")
     await fleet.wait_until(
-        lambda: fleet.leader() != "" and len(fleet.cores[fleet.leader()].raft.voters()) == 3, "three vote again"
+        lambda: fleet.leader() != "" and len(fleet.cores[fleet.leader()].raft.voters()) == 3, "three cores vote again"
     )
     await fleet.apply(fleet.marked_description("b"))
     await wait_for_recovery(fleet)
@@ -865,28 +966,28 @@
 
 @scenario
 async def mixed_faults(fleet: SimFleet) -> None:
-    """Random faults of every kind, one after another, each ended before the next."""
+    """Random faults of all kinds in turn; each ends before the next one begins."""
     chance = fleet.world.chance
     weights_number = 2
     for number in range(6):
-        pick = chance.choice(["kill", "freeze", "cut", "apply", "weights", "power", "loss"])
+        fault_kind = chance.choice(["kill", "freeze", "cut", "apply", "weights", "power", "loss"])
         name = chance.choice([n for n in sorted(fleet.world.machines) if n not in ("store", "desk")])
-        fleet.world.note(f"draws {pick} {name}")
-        if pick in ("kill", "power"):
-            fleet.kill(name, loses_power=pick == "power")
+        fleet.world.note(f"draws {fault_kind} {name}")
+        if fault_kind in ("kill", "power"):
+            fleet.kill(name, loses_power=fault_kind == "power")
             await pause(fleet.world, chance.randrange(500 * MILLI, 4 * SECOND))
             fleet.start(name)
-        elif pick == "freeze":
+        elif fault_kind == "freeze":
             fleet.freeze(name)
             await pause(fleet.world, chance.randrange(500 * MILLI, 6 * SECOND))
             fleet.wake(name)
-        elif pick == "cut":
+        elif fault_kind == "cut":
             fleet.cut([name], sorted(fleet.world.machines), both_ways=chance.random() < 0.6)
             await pause(fleet.world, chance.randrange(500 * MILLI, 5 * SECOND))
             fleet.heal()
-        elif pick == "apply":
+        elif fault_kind == "apply":
             await fleet.apply(fleet.marked_description(str(number)))
-        elif pick == "weights":
+        elif fault_kind == "weights":
             await fleet.name_weights(f"w{weights_number}")
             weights_number += 1
         else:
@@ -898,7 +999,7 @@
 
 @scenario
 async def overlapping_faults(fleet: SimFleet) -> None:
-    """Fourteen strikes of all kinds that overlap, and a last one that stays on."""
+    """Fourteen random faults of all kinds that overlap, and a last one that does not end."""
     await SimFaultInjector(fleet).inject_all()
     await wait_for_recovery(fleet)
 
@@ -908,7 +1009,10 @@
 
 
 def build_fleet(world: World, name: str, deployment_name: str, node_count: int) -> SimFleet:
-    """The deployment whole; for the control side's days as many cores as they say, and little beside these."""
+    """Builds the fleet for the scenario `name`.
+
+    It has the deployment's full size; for a control scenario it has the scenario's cores, and few nodes and workers.
+    """
     deployment = DEPLOYMENTS[deployment_name]
     control = CONTROL_SCENARIOS.get(name)
     if control is None:
@@ -926,7 +1030,13 @@
     record_path: str = "",
     excluded_faults: frozenset[int] = frozenset(),
 ) -> tuple[Ledger, World]:
-    async def play(world: World) -> tuple[Ledger, World]:
+    """Runs a scenario with this seed on virtual time, and returns its ledger and its world.
+
+    `prepare` gets the fleet before it starts, as mutations need it. `record_path` names a file for a recording of the
+    run. `excluded_faults` are numbers of faults that overlapping-faults leaves out.
+    """
+
+    async def run_in_world(world: World) -> tuple[Ledger, World]:
         fleet = build_fleet(world, name, deployment_name, node_count)
         fleet.excluded_faults = excluded_faults
         prepare(fleet)
@@ -944,5 +1054,5 @@
             fleet.ledger.breaches.extend(f"{machine.name}: a task ended by {f!r}" for f in machine.task_group.faults)
         return fleet.ledger, world
 
-    outcome: tuple[Ledger, World] = run_in_virtual_time(seed, play)
+    outcome: tuple[Ledger, World] = run_in_virtual_time(seed, run_in_world)
     return outcome
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -1,4 +1,8 @@
-"""The control side's worst days (§9.7): the fleets that they run on, and what operators write down of each attempt."""
+"""Control scenarios (§9.7): their fleets and checks, and how operators record the attempts of a change.
+
+A scenario without a mutation that its checks find, or an attempt recorded with a wrong outcome, would let faults of
+the control plane pass unseen.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 CHECKS = {"orders", "late answer", "not in step", "disturbed", "old configuration", "not led in time"}
 
 
-def run_day(play: Callable[[ControlScenarioRun], Awaitable[None]]) -> None:
+def run_in_control_scenario(play: Callable[[ControlScenarioRun], Awaitable[None]]) -> None:
     async def play_all(world: World) -> None:
         scenario_run = ControlScenarioRun(SimFleet(world, KLIPPVIK, 1, 2))
         await scenario_run.fleet.up()
@@ -46,19 +50,19 @@
         async def play(scenario_run: ControlScenarioRun) -> None:
             change = Change(0, 1, "a")
             leader, other = scenario_run.fleet.leader(), scenario_run.followers()[0]
-            lost = await scenario_run.operators.ask(change, leader, 1 * MILLI)
-            again = await scenario_run.operators.ask(change, other)
-            foreign = await scenario_run.operators.ask(Change(0, 1, "b"), other)
-            self.assertEqual([o.status for o in (lost, again, foreign)], [NO_ANSWER, DONE, CONFLICT])
-            self.assertEqual(again.reported_number, 1)
+            unanswered = await scenario_run.operators.ask(change, leader, 1 * MILLI)
+            repeat = await scenario_run.operators.ask(change, other)
+            conflicting = await scenario_run.operators.ask(Change(0, 1, "b"), other)
+            self.assertEqual([o.status for o in (unanswered, repeat, conflicting)], [NO_ANSWER, DONE, CONFLICT])
+            self.assertEqual(repeat.reported_number, 1)
             read = await scenario_run.operators.read(other)
             assert read is not None
             self.assertEqual((read.number, read.content, read.marks), (1, "a", frozenset("a")))
             self.assertEqual(scenario_run.operators.history.find_faults(), [])
-            foreign.status = DONE
+            conflicting.status = DONE
             self.assertTrue(scenario_run.operators.history.find_faults())
 
-        run_day(play)
+        run_in_control_scenario(play)
 
     def test_an_order_that_nobody_answers_and_a_day_without_a_leader_are_told(self) -> None:
         async def play(scenario_run: ControlScenarioRun) -> None:
@@ -73,4 +77,4 @@
             self.assertIn("not led in time", scenario_run.fleet.ledger.breaches[1])
             self.assertLess(scenario_run.world.now() - start_micros, 3 * SECOND)
 
-        run_day(play)
+        run_in_control_scenario(play)
--- a/tests/test_failures_page.py
+++ b/tests/test_failures_page.py
@@ -1,4 +1,8 @@
-"""The line-by-line sections of docs/failures.md: whatever they name exists, and no line is left open."""
+"""Checks the tables of docs/failures.md that answer the platform's pages line by line.
+
+Guards against rows that name tests, scenarios, mutations or methods that no longer exist, as after a rename, and
+against lines that are neither covered nor marked as not covered.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 LATER_HEADING = "## The platform's later pages, line by line"
 NEWEST_HEADING = "## The platform's newest pages, line by line"
-# How many lines each page has that is taken in; several rows may take in one line.
+# Number of lines of each page that the newest section covers; several rows may cover one line.
 LINES_OF_PAGES = {"18": 21, "22": 19}
 TEST = re.compile(r"`(test_\w+)(?:\.(test_\w+))?`")
 SCENARIO = re.compile(r"`([a-z]+(?:-[a-z]+)+)`")
@@ -24,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Names:
-    """What exists: test modules by name with their text, scenarios, mutations, and the text of each class."""
+    """What rows may name: the text of test modules and classes by name, scenarios and mutations."""
 
     tests: dict[str, str]
     scenarios: set[str]
@@ -41,7 +45,7 @@
 
 
 def read_classes(paths: list[Path]) -> dict[str, str]:
-    """The text of all classes of a name, each up to the next class."""
+    """Source text by class name; a name that several classes share has the text of all of them."""
     classes: dict[str, str] = {}
     for path in paths:
         for text in re.split(r"^(?=class )", path.read_text(), flags=re.MULTILINE)[1:]:
@@ -96,8 +100,8 @@
     def test_so_it_is_for_the_newest_pages(self) -> None:
         self.assertEqual(find_faults(self.newest, self.names), [])
         for page, line_count in LINES_OF_PAGES.items():
-            told = [PAGES.match(row[0]) for row in self.newest]
-            rows = [found for found in told if found is not None and page in found.group(1).split(", ")]
+            page_matches = [PAGES.match(row[0]) for row in self.newest]
+            rows = [match for match in page_matches if match is not None and page in match.group(1).split(", ")]
             self.assertGreaterEqual(len(rows), line_count, page)
         self.assertEqual([row[0] for row in self.newest if not PAGES.match(row[0])], [])
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,8 @@
-"""Every scenario on both deployments without a breach; every checker seen to fail; runs that repeat."""
+"""Runs every scenario on both deployments, and every mutation in its scenario.
+
+Guards against breaches in any scenario, checks that never fail (each must find its mutations), and runs that a seed
+does not repeat. Breaches listed in KNOWN-RED.txt are printed and passed over, and nothing else.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +19,8 @@
 
 class ScenariosTest(unittest.TestCase):
     def test_no_scenario_breaks_a_rule(self) -> None:
-        orders = [RunSpec(s, d, seed) for s in SCENARIOS for d in DEPLOYMENTS for seed in SEEDS]
-        results = run_specs(orders)
+        specs = [RunSpec(s, d, seed) for s in SCENARIOS for d in DEPLOYMENTS for seed in SEEDS]
+        results = run_specs(specs)
         known = read_known_red(KNOWN_RED_FILE.read_text() if KNOWN_RED_FILE.exists() else "")
         failures = []
         for result in results:
@@ -24,7 +28,7 @@
                 print(f"known red: {result.failure().splitlines()[0]}", flush=True)
             elif result.breaches:
                 failures.append(result.failure())
-        self.assertEqual(len(results), len(orders))
+        self.assertEqual(len(results), len(specs))
         self.assertEqual(failures, [], "\n\n".join(failures))
 
     def test_only_what_is_listed_is_passed_over(self) -> None:
@@ -38,17 +42,17 @@
         read_known_red(KNOWN_RED_FILE.read_text())
 
     def test_each_checker_finds_a_broken_build(self) -> None:
-        orders = [RunSpec(m.scenario, "klippvik", 1, name, 3) for name, m in MUTATIONS.items()]
-        for result in run_specs(orders):
+        specs = [RunSpec(m.scenario, "klippvik", 1, name, 3) for name, m in MUTATIONS.items()]
+        for result in run_specs(specs):
             wanted = MUTATIONS[result.spec.mutation].wanted
             found_checks = {breach.split(":")[0] for breach in result.breaches}
             with self.subTest(result.spec.mutation):
                 self.assertIn(wanted, found_checks, result.breaches[:3])
 
     def test_a_seed_gives_the_same_run(self) -> None:
-        orders = [RunSpec("mixed-faults", "klippvik", 5, node_count=3)] * 2 + [
+        specs = [RunSpec("mixed-faults", "klippvik", 5, node_count=3)] * 2 + [
             RunSpec("mixed-faults", "klippvik", 6, node_count=3)
         ]
-        first, again, other = run_specs(orders)
+        first, again, other = run_specs(specs)
         self.assertEqual((first.run_hash, first.outcomes), (again.run_hash, again.outcomes))
         self.assertNotEqual(first.run_hash, other.run_hash)
