--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -21,33 +21,33 @@
 CHECKS = {"orders", "late answer", "not in step", "disturbed", "old configuration", "not led in time"}
 
 
-def run_in_control_scenario(play: Callable[[ControlScenarioRun], Awaitable[None]]) -> None:
-    async def play_all(world: World) -> None:
+def run_in_control_scenario(body: Callable[[ControlScenarioRun], Awaitable[None]]) -> None:
+    async def run_in_world(world: World) -> None:
         scenario_run = ControlScenarioRun(SimFleet(world, KLIPPVIK, 1, 2))
         await scenario_run.fleet.up()
-        await play(scenario_run)
+        await body(scenario_run)
 
-    run_in_virtual_time(1, play_all)
+    run_in_virtual_time(1, run_in_world)
 
 
 class ControlDaysTest(unittest.TestCase):
     def test_each_is_a_scenario_on_as_many_cores_as_it_says(self) -> None:
         self.assertEqual(set(CONTROL_SCENARIOS) - set(SCENARIOS), set())
 
-        async def play(world: World) -> None:
+        async def body(world: World) -> None:
             for name, scenario in CONTROL_SCENARIOS.items():
                 fleet = build_fleet(world, name, "academy", 9)
                 self.assertEqual(len(fleet.core_addresses), scenario.core_count, name)
                 self.assertEqual(fleet.node_count, 1, name)
 
-        run_in_virtual_time(1, play)
+        run_in_virtual_time(1, body)
 
     def test_each_check_has_a_broken_build_on_one_of_them(self) -> None:
         found = {mutation.wanted for mutation in MUTATIONS.values() if mutation.scenario in CONTROL_SCENARIOS}
         self.assertEqual(found, CHECKS)
 
     def test_an_answer_given_up_is_none_and_the_repeat_elsewhere_is_acknowledged(self) -> None:
-        async def play(scenario_run: ControlScenarioRun) -> None:
+        async def body(scenario_run: ControlScenarioRun) -> None:
             change = Change(0, 1, "a")
             leader, other = scenario_run.fleet.leader(), scenario_run.followers()[0]
             unanswered = await scenario_run.operators.ask(change, leader, 1 * MILLI)
@@ -62,10 +62,10 @@
             conflicting.status = DONE
             self.assertTrue(scenario_run.operators.history.find_faults())
 
-        run_in_control_scenario(play)
+        run_in_control_scenario(body)
 
     def test_an_order_that_nobody_answers_and_a_day_without_a_leader_are_told(self) -> None:
-        async def play(scenario_run: ControlScenarioRun) -> None:
+        async def body(scenario_run: ControlScenarioRun) -> None:
             silent = scenario_run.followers()[0]
             scenario_run.fleet.freeze(silent)
             await scenario_run._request_at(silent)
@@ -77,4 +77,4 @@
             self.assertIn("not led in time", scenario_run.fleet.ledger.breaches[1])
             self.assertLess(scenario_run.world.now() - start_micros, 3 * SECOND)
 
-        run_in_control_scenario(play)
+        run_in_control_scenario(body)
