--- a/src/pearhead/testbed/emulator/addressblock.py
+++ b/src/pearhead/testbed/emulator/addressblock.py
@@ -14,8 +14,8 @@
 BLOCK_COUNT = 249
 CLAIM_PORT = 8161
 """Only the list of workers serves this port, and not at the claim's address."""
-STREAM_TABLE = Path("/proc/net/tcp")
-DATAGRAM_TABLE = Path("/proc/net/udp")
+TCP_SOCKET_TABLE = Path("/proc/net/tcp")
+UDP_SOCKET_TABLE = Path("/proc/net/udp")
 LISTEN_STATE = "0A"
 
 
@@ -34,9 +34,9 @@
             self.claim_socket.bind(self.claim_address)
             self.claim_socket.listen()
             self._check_free(ports)
-        except OSError as fault:
+        except OSError as error:
             self.release()
-            raise BlockTakenError(f"block {number}: {fault}") from fault
+            raise BlockTakenError(f"block {number}: {error}") from error
         except BlockTakenError:
             self.release()
             raise
@@ -50,7 +50,7 @@
         for port in ports:
             if port != CLAIM_PORT:
                 probe_port(self.claim_address[0], port)
-        for address in open_addresses():
+        for address in bound_addresses():
             if address != self.claim_address and address[0].startswith(f"127.{self.number}."):
                 raise BlockTakenError(f"block {self.number}: {address[0]}:{address[1]} is in use")
 
@@ -60,9 +60,9 @@
 
     Launchers that begin at once begin to look at numbers of their own.
     """
-    for step in range(BLOCK_COUNT):
+    for offset in range(BLOCK_COUNT):
         try:
-            return AddressBlock(1 + (first + step) % BLOCK_COUNT, ports)
+            return AddressBlock(1 + (first + offset) % BLOCK_COUNT, ports)
         except BlockTakenError:
             continue
     raise OSError("no free addresses on loopback")
@@ -75,10 +75,10 @@
         probe_socket.bind((ip, port))
 
 
-def open_addresses() -> Iterator[tuple[str, int]]:
+def bound_addresses() -> Iterator[tuple[str, int]]:
     """Where sockets of this machine listen for connections, or are bound for datagrams."""
-    yield from read_socket_table(STREAM_TABLE.read_text(), LISTEN_STATE)
-    yield from read_socket_table(DATAGRAM_TABLE.read_text())
+    yield from read_socket_table(TCP_SOCKET_TABLE.read_text(), LISTEN_STATE)
+    yield from read_socket_table(UDP_SOCKET_TABLE.read_text())
 
 
 def read_socket_table(table_text: str, state: str = "") -> Iterator[tuple[str, int]]:
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -17,10 +17,10 @@
 from pearhead.testbed.emulator.plan import RequestKind, SitePlan
 from pearhead.testbed.emulator.wire import Head, RawConnection, WireError
 
-PROMISES = (408, 421, 429, 503)
-LAST_WORDS = (400, 401, 404, 413, 431)
-SILENCE_MICROS = 2 * SECOND
-PAUSE_BETWEEN_TRIES = 20 * MILLI
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+FINAL_STATUSES = (400, 401, 404, 413, 431)
+MIN_SILENCE_MICROS = 2 * SECOND
+RETRY_PAUSE_MICROS = 20 * MILLI
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
 
     @property
     def silence_micros(self) -> int:
-        return max(SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
+        return max(MIN_SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
 
 
 class RequestDraw:
@@ -197,53 +197,53 @@
     """One caller: a kept connection to its node, one request at a time."""
 
     def __init__(
-        self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, further_tries: int = 1
+        self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, max_retries: int = 1
     ) -> None:
         self.name, self.entry, self.clock, self.chance, self.sink = name, entry, clock, chance, sink
-        self.further_tries = further_tries
-        self.kept: tuple[str, RawConnection] | None = None
+        self.max_retries = max_retries
+        self.kept_connection: tuple[str, RawConnection] | None = None
 
     async def call(self, request: SiteRequest, report: CallReport) -> Outcome:
         """The way of a request: tries within its deadline, each recorded."""
-        begun_at = self.clock.now()
-        end_at = begun_at + request.deadline_micros
+        started_at = self.clock.now()
+        end_at = started_at + request.deadline_micros
         tried: list[str] = []
         resumed_from = 0
-        for attempt in range(1 + self.further_tries):
-            outcome = await self._try(request, attempt, tried, resumed_from, end_at, report)
-            if outcome.is_whole or not self._may_go_on(request, outcome):
+        for attempt in range(1 + self.max_retries):
+            outcome = await self._attempt(request, attempt, tried, resumed_from, end_at, report)
+            if outcome.is_whole or not self._may_retry(request, outcome):
                 break
             if request.is_resumable:
                 resumed_from = max(resumed_from, outcome.last_number)
             left_micros = end_at - self.clock.now()
-            pause_micros = min(max(outcome.retry_micros, PAUSE_BETWEEN_TRIES), left_micros // 3)
-            if left_micros <= 0 or attempt == self.further_tries:
+            pause_micros = min(max(outcome.retry_micros, RETRY_PAUSE_MICROS), left_micros // 3)
+            if left_micros <= 0 or attempt == self.max_retries:
                 break
             await sleep_for(self.clock, pause_micros)
-        report.outcomes[self._word(outcome)] += 1
+        report.outcomes[self._outcome_label(outcome)] += 1
         if outcome.is_whole and outcome.first_at:
-            report.first_micros.append(outcome.first_at - begun_at)
+            report.first_micros.append(outcome.first_at - started_at)
         return outcome
 
     def close(self) -> None:
-        if self.kept is not None:
-            self.kept[1].close()
-            self.kept = None
+        if self.kept_connection is not None:
+            self.kept_connection[1].close()
+            self.kept_connection = None
 
-    def _word(self, outcome: Outcome) -> str:
+    def _outcome_label(self, outcome: Outcome) -> str:
         if outcome.is_whole:
             return "done"
         return str(outcome.status) if outcome.status else "unread" if outcome.is_unread else "cut"
 
-    def _may_go_on(self, request: SiteRequest, outcome: Outcome) -> bool:
-        if outcome.status in LAST_WORDS:
+    def _may_retry(self, request: SiteRequest, outcome: Outcome) -> bool:
+        if outcome.status in FINAL_STATUSES:
             return False
-        return outcome.status in PROMISES or outcome.is_unread or request.is_repeatable
+        return outcome.status in NOT_RUN_STATUSES or outcome.is_unread or request.is_repeatable
 
-    async def _try(
+    async def _attempt(
         self, request: SiteRequest, attempt: int, tried: list[str], resumed_from: int, end_at: int, report: CallReport
     ) -> Outcome:
-        held = self.kept
+        held = self.kept_connection
         node, connection = await self._connect(attempt, tried)
         is_kept = held is not None and held[1] is connection
         request_id = self.chance.randbytes(8).hex()
@@ -284,8 +284,8 @@
         return outcome
 
     async def _connect(self, attempt: int, tried: list[str]) -> tuple[str, RawConnection | None]:
-        if self.kept is not None and attempt == 0 and not self.kept[1].is_closed():
-            return self.kept
+        if self.kept_connection is not None and attempt == 0 and not self.kept_connection[1].is_closed():
+            return self.kept_connection
         self.close()
         node = self.entry.pick(self.name, attempt, tried)
         connection = RawConnection(self.entry.address(node))
@@ -293,8 +293,8 @@
             await connection.open()
         except (OSError, TimeoutError):
             return node.name, None
-        self.kept = (node.name, connection)
-        return self.kept
+        self.kept_connection = (node.name, connection)
+        return self.kept_connection
 
     async def _exchange(
         self, request: SiteRequest, request_id: str, connection: RawConnection, resumed_from: int, end_at: int
@@ -314,18 +314,18 @@
             headers["Last-Event-Id"] = str(resumed_from)
         try:
             await connection.send(request.method, request.path, headers, request.body)
-            head = await self._within(connection.read_head(), request, end_at)
+            head = await self._wait_for_bytes(connection.read_head(), request, end_at)
             outcome.status = head.status
             outcome.faults.extend(check_head(request_id, request, head))
             outcome.retry_micros = self._retry_micros(head)
-            await self._read(request, connection, head, outcome, resumed_from, end_at)
+            await self._read_response(request, connection, head, outcome, resumed_from, end_at)
         except WireError as fault:
             if fault.is_garbage:
                 outcome.faults.append(("MIXED", f"no answer: {fault}"))
-            self._cut(outcome)
+            self._mark_cut(outcome)
         except TimeoutError:
             outcome.is_given_up = True
-            self._cut(outcome)
+            self._mark_cut(outcome)
         else:
             if connection.stray_bytes():
                 outcome.faults.append(("MIXED", "bytes after a whole answer"))
@@ -333,11 +333,11 @@
                 self.close()
         return outcome
 
-    def _cut(self, outcome: Outcome) -> None:
+    def _mark_cut(self, outcome: Outcome) -> None:
         if 200 <= outcome.status < 300:
             outcome.status = 0
 
-    async def _read(
+    async def _read_response(
         self,
         request: SiteRequest,
         connection: RawConnection,
@@ -348,14 +348,14 @@
     ) -> None:
         is_success = 200 <= head.status < 300
         check = StreamCheck(request, read_seal(head.text("x-answer-seal")) or Seal("", "", 0), resumed_from)
-        told = head.text("x-weight-versions").strip()
-        check.take_version(int(told) if told.isdecimal() else 0)
+        version_text = head.text("x-weight-versions").strip()
+        check.take_version(int(version_text) if version_text.isdecimal() else 0)
         splitter = EventSplitter()
         body = connection.read_body(head)
         try:
             while True:
                 try:
-                    chunk = await self._within(anext(body), request, end_at)
+                    chunk = await self._wait_for_bytes(anext(body), request, end_at)
                 except StopAsyncIteration:
                     break
                 if not is_success:
@@ -372,7 +372,7 @@
         finally:
             outcome.faults.extend(check.faults)
 
-    async def _within(self, work: Any, request: SiteRequest, end_at: int) -> Any:
+    async def _wait_for_bytes(self, work: Any, request: SiteRequest, end_at: int) -> Any:
         """Waits for bytes until its deadline, or as long as it bears silence. Raises TimeoutError."""
         left_micros = min(request.silence_micros, end_at - self.clock.now())
         return await asyncio.wait_for(work, max(1, left_micros) / SECOND)
@@ -397,16 +397,16 @@
         await self.entry.poll()
         await self.entry.poll()
         poll_task = asyncio.ensure_future(self.entry.run(self.clock))
-        left = iter(range(request_count))
+        remaining = iter(range(request_count))
 
-        async def call_on(number: int) -> None:
+        async def run_client(number: int) -> None:
             client = SiteClient(f"client-{number}", self.entry, self.clock, self.chance, self.sink)
-            for _ in left:
+            for _ in remaining:
                 await client.call(draw.draw(), report)
             client.close()
 
         try:
-            await asyncio.gather(*(call_on(n) for n in range(at_once)))
+            await asyncio.gather(*(run_client(n) for n in range(at_once)))
         finally:
             poll_task.cancel()
         return report
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pearhead.testbed.emulator.keptparts import KeptPart, KeptParts, PartEvents, count_blocks
+from pearhead.testbed.emulator.keptparts import KeptPart, PartCache, PartEventLog, count_blocks
 from pearhead.testbed.emulator.ledger import OrderSeen, RecordSink, Run, Use
 
 DEFAULT_URGENCY = 5
@@ -70,16 +70,16 @@
     target: str = ""
 
 
-class TurnedAwayError(Exception):
+class RequestRejectedError(Exception):
     """The request did not run and never will. Statuses: 400, 421, 429, 503."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 @dataclass(frozen=True)
-class Begun:
+class RunStarted:
     ticket: int
     run: str
     version: int
@@ -87,19 +87,19 @@
 
 
 @dataclass(frozen=True)
-class PieceOut:
+class PieceProduced:
     ticket: int
     number: int
     version: int = 0
 
 
 @dataclass(frozen=True)
-class Ended:
+class RunFinished:
     ticket: int
 
 
 @dataclass(frozen=True)
-class Refused:
+class LateRejection:
     """Turned away after it had waited: not run."""
 
     ticket: int
@@ -107,14 +107,14 @@
 
 
 @dataclass(frozen=True)
-class TimedOut:
+class DeadlineExceeded:
     """The deadline passed while it ran: 504 before its first event, a cut after it."""
 
     ticket: int
 
 
 @dataclass(frozen=True)
-class Broken:
+class RunAborted:
     """Reset by an order."""
 
     ticket: int
@@ -133,29 +133,31 @@
     parts: tuple[KeptPart, ...]
 
 
-Output = Begun | PieceOut | Ended | Refused | TimedOut | Broken | FetchWanted | SaveWanted
+EngineOutput = (
+    RunStarted | PieceProduced | RunFinished | LateRejection | DeadlineExceeded | RunAborted | FetchWanted | SaveWanted
+)
 
 
 @dataclass
-class _Running:
+class _RequestState:
     ticket: int
     request: EngineRequest
     phase: str = "queued"
     fetched_at: int | None = None
     has_fetched: bool = False
-    position: int = 0
-    in_part: int = 0
+    part_index: int = 0
+    part_tokens_read: int = 0
     tail_tokens: int = 0
-    tail_read: int = 0
+    tail_tokens_read: int = 0
     private_blocks: int = 0
-    stood_on: list[KeptPart] = field(default_factory=list)
-    generated: int = 0
+    pinned_parts: list[KeptPart] = field(default_factory=list)
+    generated_tokens: int = 0
     is_begun: bool = False
-    told_version: int = 0
+    reported_version: int = 0
     next_piece: int = 1
 
     @property
-    def order(self) -> tuple[int, int]:
+    def priority(self) -> tuple[int, int]:
         return (self.request.urgency, self.ticket)
 
 
@@ -187,18 +189,18 @@
         self.named_versions = {version}
         self.chance = chance
         self.sink = sink
-        self.events = PartEvents(chance.randrange(1, 1 << 31), chance)
-        self.kept = KeptParts(settings.cache_tokens, self.events)
-        self.queue: list[_Running] = []
-        self.running: list[_Running] = []
-        self.outputs: list[Output] = []
+        self.events = PartEventLog(chance.randrange(1, 1 << 31), chance)
+        self.cache = PartCache(settings.cache_tokens, self.events)
+        self.queue: list[_RequestState] = []
+        self.running: list[_RequestState] = []
+        self.outputs: list[EngineOutput] = []
         self.step_end_at: int | None = None
-        self.stall_until = 0
+        self.stalled_until = 0
         self.link_free_at = 0
         self.link_slowness = 1.0
         self.load_slowness = 1.0
         self.step_slowness = 1.0
-        self._planned: dict[int, int] = {}
+        self._planned_tokens: dict[int, int] = {}
         self.load: _Load | None = None
         self.call_count = 0
         self.highest_fence = 0
@@ -212,26 +214,26 @@
         """Takes a request in and returns its ticket. Raises TurnedAwayError: 421 for another life or version, 400 for
         another model, 503 when it is full, too large, or being loaded."""
         if request.expected_instance not in ("", self.instance):
-            raise TurnedAwayError(421, "another worker")
+            raise RequestRejectedError(421, "another worker")
         if request.model != self.model:
-            raise TurnedAwayError(400, "no such model")
+            raise RequestRejectedError(400, "no such model")
         if request.expected_version not in (0, self.version):
-            raise TurnedAwayError(421, "other weights")
+            raise RequestRejectedError(421, "other weights")
         if self.load is not None:
-            raise TurnedAwayError(503, "an order is under way")
-        whole_tokens = request.prompt_tokens + request.output_tokens
-        needed_blocks = count_blocks(whole_tokens) + len(request.parts) + 1
-        if needed_blocks > self.kept.total_blocks:
-            raise TurnedAwayError(503, "larger than the memory")
+            raise RequestRejectedError(503, "an order is under way")
+        total_tokens = request.prompt_tokens + request.output_tokens
+        needed_blocks = count_blocks(total_tokens) + len(request.parts) + 1
+        if needed_blocks > self.cache.total_blocks:
+            raise RequestRejectedError(503, "larger than the memory")
         if len(self.queue) >= self.settings.queue_limit:
-            last = max(self.queue, key=lambda r: r.order)
+            last = max(self.queue, key=lambda r: r.priority)
             if last.request.urgency <= request.urgency:
-                raise TurnedAwayError(503, "full")
+                raise RequestRejectedError(503, "full")
             self.queue.remove(last)
-            self.outputs.append(Refused(last.ticket, 503))
+            self.outputs.append(LateRejection(last.ticket, 503))
         self.last_ticket += 1
-        entry = _Running(self.last_ticket, request)
-        self._begin_anew(entry)
+        entry = _RequestState(self.last_ticket, request)
+        self._reset_progress(entry)
         self.queue.append(entry)
         self._admit(now)
         return entry.ticket
@@ -240,7 +242,7 @@
         """Its connection closed: it is dropped wherever it stands."""
         for entry in [*self.queue, *self.running]:
             if entry.ticket == ticket:
-                self._leave(entry)
+                self._remove(entry)
         self._admit(now)
 
     def take_fetch(self, now: int, ticket: int, parts: list[KeptPart] | None, is_far: bool = False) -> None:
@@ -257,29 +259,29 @@
         if not parts:
             entry.fetched_at = now + self.settings.miss_micros
             return
-        begin_at = max(now, self.link_free_at)
-        if begin_at - now > self.settings.move_wait_micros:
+        start_at = max(now, self.link_free_at)
+        if start_at - now > self.settings.move_wait_micros:
             entry.fetched_at = now
             return
-        self.link_free_at = begin_at + self._move_micros(sum(p.tokens for p in parts), is_far)
+        self.link_free_at = start_at + self._transfer_micros(sum(p.tokens for p in parts), is_far)
         entry.fetched_at = self.link_free_at
         for part in parts:
-            self.kept.keep(now, KeptPart(part.salt, part.model, part.part, part.tokens, part.version, part.tenant))
+            self.cache.insert(now, KeptPart(part.salt, part.model, part.part, part.tokens, part.version, part.tenant))
 
-    def lend(self, keys: list[tuple[str, str, str]]) -> list[KeptPart]:
+    def get_cached_prefix(self, keys: list[tuple[str, str, str]]) -> list[KeptPart]:
         """What another worker finds here of the prompt that it asks for, in order, up to the first part missing."""
         found = []
         for key in keys:
-            part = self.kept.get(key)
+            part = self.cache.get(key)
             if part is None:
                 break
             found.append(part)
-        self.kept.use(found)
+        self.cache.touch(found)
         return found
 
     def order(self, now: int, body: dict[str, Any]) -> int:
         """Takes an order and returns its status: 202, 200, 400, 409 or 412."""
-        status = self._judge_order(body)
+        status = self._check_order(body)
         if status != 400:
             self.sink.take(
                 OrderSeen(
@@ -294,7 +296,7 @@
                 )
             )
         if status == 202:
-            self._take_order(now, body)
+            self._start_order(now, body)
         return status
 
     def name_version(self, version: int) -> None:
@@ -302,13 +304,13 @@
 
     def list_parts(self, now: int) -> dict[str, object]:
         """The whole list. It holds up the worker's work."""
-        self.stall_until = max(self.stall_until, now + self.settings.list_stall_micros)
-        return {"Incarnation": self.events.incarnation, "NextPage": self.events.number, "Held": self.kept.held_rows()}
+        self.stalled_until = max(self.stalled_until, now + self.settings.list_stall_micros)
+        return {"Incarnation": self.events.incarnation, "NextPage": self.events.number, "Held": self.cache.list_rows()}
 
     def report(self, now: int) -> dict[str, Any]:
         """The worker's state as it stood some hundred milliseconds ago."""
-        old = [r for at, r in self.reports if at <= now - self.settings.report_lag_micros]
-        return old[-1] if old else (self.reports[0][1] if self.reports else self.state())
+        visible_reports = [r for at, r in self.reports if at <= now - self.settings.report_lag_micros]
+        return visible_reports[-1] if visible_reports else (self.reports[0][1] if self.reports else self.state())
 
     def state(self) -> dict[str, Any]:
         return {
@@ -318,7 +320,7 @@
             "CallSeq": self.call_count,
             "Queued": len(self.queue),
             "Active": len(self.running),
-            "CacheUsed": (self.kept.used_blocks - self.kept.loose_blocks()) * 16,
+            "CacheUsed": (self.cache.used_blocks - self.cache.evictable_blocks()) * 16,
             "CacheTotal": self.settings.cache_tokens,
             "Handles": 0,
         }
@@ -327,155 +329,155 @@
 
     def next_at(self) -> int | None:
         """When something next happens by itself; None if nothing will."""
-        moments = [r.request.deadline_at for r in (*self.queue, *self.running)]
+        event_times = [r.request.deadline_at for r in (*self.queue, *self.running)]
         if self.step_end_at is not None:
-            moments.append(self.step_end_at)
+            event_times.append(self.step_end_at)
         if self.load is not None and self.load.end_at is not None:
-            moments.append(self.load.end_at)
-        moments.extend(r.fetched_at for r in self.running if r.phase == "fetching" and r.fetched_at is not None)
-        return min(moments) if moments else None
+            event_times.append(self.load.end_at)
+        event_times.extend(r.fetched_at for r in self.running if r.phase == "fetching" and r.fetched_at is not None)
+        return min(event_times) if event_times else None
 
-    def advance(self, now: int) -> list[Output]:
+    def advance(self, now: int) -> list[EngineOutput]:
         """Lets time pass up to `now`; what happened, in order."""
-        while (moment := self.next_at()) is not None and moment <= now:
-            self._happen(moment)
-        self._note_state(now)
+        while (event_at := self.next_at()) is not None and event_at <= now:
+            self._process_due_events(event_at)
+        self._record_state(now)
         outputs, self.outputs = self.outputs, []
         return outputs
 
-    def _note_state(self, now: int) -> None:
+    def _record_state(self, now: int) -> None:
         """Notes the state for reports: some times in their lag, and whenever an order begins or ends."""
         state = self.state()
         is_due = not self.reports or now - self.reports[-1][0] >= self.settings.report_lag_micros // 4
         if is_due or any(state[n] != self.reports[-1][1][n] for n in ("Saturated", "CallSeq", "Models")):
             self.reports.append((now, state))
 
-    def _happen(self, now: int) -> None:
+    def _process_due_events(self, now: int) -> None:
         if self.step_end_at is not None and self.step_end_at <= now:
             self.step_end_at = None
-            self._end_step(now)
+            self._finish_step(now)
         for entry in list(self.running):
             if entry.phase == "fetching" and entry.fetched_at is not None and entry.fetched_at <= now:
                 entry.phase = "prefill"
-                self._stand_on_kept(now, entry)
+                self._pin_cached_parts(now, entry)
         for entry in [r for r in (*self.queue, *self.running) if r.request.deadline_at <= now]:
-            self._pass_deadline(now, entry)
+            self._expire(now, entry)
         if self.load is not None and self.load.end_at is not None and self.load.end_at <= now:
-            self._end_load(now)
-        self._go_on_loading(now)
+            self._finish_load(now)
+        self._continue_load(now)
         self._admit(now)
 
-    def _pass_deadline(self, now: int, entry: _Running) -> None:
+    def _expire(self, now: int, entry: _RequestState) -> None:
         was_queued = entry in self.queue
-        self._leave(entry)
+        self._remove(entry)
         if was_queued and not entry.is_begun:
-            self.outputs.append(Refused(entry.ticket, 503))
+            self.outputs.append(LateRejection(entry.ticket, 503))
             return
         if not entry.is_begun:
-            self._note_run(now, entry, 504)
-        self.outputs.append(TimedOut(entry.ticket))
+            self._record_run(now, entry, 504)
+        self.outputs.append(DeadlineExceeded(entry.ticket))
 
     # ---- admission and memory ----------------------------------------------------------------------
 
-    def _begin_anew(self, entry: _Running) -> None:
-        total = self._piece_count(entry.request)
+    def _reset_progress(self, entry: _RequestState) -> None:
+        piece_count = self._piece_count(entry.request)
         if not entry.is_begun:
-            entry.next_piece = min(entry.request.resumed_from, total) + 1
-            entry.generated = self._tokens_before(entry.request, entry.next_piece)
+            entry.next_piece = min(entry.request.resumed_from, piece_count) + 1
+            entry.generated_tokens = self._tokens_before_piece(entry.request, entry.next_piece)
         entry.phase, entry.has_fetched, entry.fetched_at = "queued", False, None
-        entry.position = entry.in_part = entry.tail_read = 0
+        entry.part_index = entry.part_tokens_read = entry.tail_tokens_read = 0
         named_tokens = sum(p.tokens for p in entry.request.parts)
-        entry.tail_tokens = max(0, entry.request.prompt_tokens - named_tokens) + entry.generated
+        entry.tail_tokens = max(0, entry.request.prompt_tokens - named_tokens) + entry.generated_tokens
 
     def _piece_count(self, request: EngineRequest) -> int:
         return max(1, -(-request.output_tokens // self.settings.stride))
 
-    def _tokens_before(self, request: EngineRequest, piece_number: int) -> int:
+    def _tokens_before_piece(self, request: EngineRequest, piece_number: int) -> int:
         """Tokens that are out once the piece before this one is."""
         if piece_number <= 1:
             return 0
-        return self._tokens_for(request, piece_number - 1)
+        return self._tokens_through_piece(request, piece_number - 1)
 
-    def _tokens_for(self, request: EngineRequest, piece_number: int) -> int:
+    def _tokens_through_piece(self, request: EngineRequest, piece_number: int) -> int:
         if piece_number >= self._piece_count(request):
             return request.output_tokens
         return (piece_number - 1) * self.settings.stride + 1
 
     def _admit(self, now: int) -> None:
         if self.load is None:
-            for entry in sorted(self.queue, key=lambda r: r.order):
-                if len(self.running) >= self.settings.capacity or not self._let_in(now, entry):
+            for entry in sorted(self.queue, key=lambda r: r.priority):
+                if len(self.running) >= self.settings.capacity or not self._try_admit(now, entry):
                     break
-        self._begin_step(now)
+        self._start_step(now)
 
-    def _let_in(self, now: int, entry: _Running) -> bool:
-        held = self._kept_prefix(entry)
-        begun_part = self._begun_part(entry, len(held))
-        pinned = held if begun_part is None else [*held, begun_part]
+    def _try_admit(self, now: int, entry: _RequestState) -> bool:
+        cached = self._cached_prefix(entry)
+        partial_part = self._partial_part(entry, len(cached))
+        pinned = cached if partial_part is None else [*cached, partial_part]
         for part in pinned:
-            self.kept.pin(part)
-        unread = sum(count_blocks(p.tokens) for p in entry.request.parts[len(held) :])
+            self.cache.pin(part)
+        unread = sum(count_blocks(p.tokens) for p in entry.request.parts[len(cached) :])
         blocks = unread + count_blocks(entry.tail_tokens) + 1
-        is_let_in = self.kept.take_blocks(now, blocks)
-        if begun_part is not None:
-            self.kept.unpin(begun_part)
-        if not is_let_in:
-            for part in held:
-                self.kept.unpin(part)
+        is_allocated = self.cache.allocate_blocks(now, blocks)
+        if partial_part is not None:
+            self.cache.unpin(partial_part)
+        if not is_allocated:
+            for part in cached:
+                self.cache.unpin(part)
             return False
-        entry.stood_on = held
-        entry.position = len(held)
-        for part in held:
-            self._note_use(now, entry, part, part.tokens)
-        self.kept.use(held)
+        entry.pinned_parts = cached
+        entry.part_index = len(cached)
+        for part in cached:
+            self._record_use(now, entry, part, part.tokens)
+        self.cache.touch(cached)
         entry.private_blocks = blocks
         self.queue.remove(entry)
         self.running.append(entry)
-        missing = entry.request.parts[len(held) :]
+        missing = entry.request.parts[len(cached) :]
         if entry.request.source and missing and not entry.has_fetched:
             entry.phase, entry.has_fetched = "fetching", True
             keys = tuple((entry.request.salt, entry.request.model, p.part) for p in missing)
             self.outputs.append(FetchWanted(entry.ticket, entry.request.source, keys))
             return True
         entry.phase = "prefill"
-        self._stand_on_kept(now, entry)
+        self._pin_cached_parts(now, entry)
         return True
 
-    def _kept_prefix(self, entry: _Running) -> list[KeptPart]:
+    def _cached_prefix(self, entry: _RequestState) -> list[KeptPart]:
         """Parts kept whole from the start of the prompt on."""
-        held: list[KeptPart] = []
+        cached: list[KeptPart] = []
         for need in entry.request.parts:
-            part = self.kept.get((entry.request.salt, entry.request.model, need.part))
+            part = self.cache.get((entry.request.salt, entry.request.model, need.part))
             if part is None or part.tokens < need.tokens:
                 break
-            held.append(part)
-        return held
+            cached.append(part)
+        return cached
 
-    def _begun_part(self, entry: _Running, position: int) -> KeptPart | None:
+    def _partial_part(self, entry: _RequestState, part_index: int) -> KeptPart | None:
         """The part at a position, of which only the beginning is kept."""
-        if position == len(entry.request.parts):
+        if part_index == len(entry.request.parts):
             return None
-        return self.kept.get((entry.request.salt, entry.request.model, entry.request.parts[position].part))
+        return self.cache.get((entry.request.salt, entry.request.model, entry.request.parts[part_index].part))
 
-    def _stand_on_kept(self, now: int, entry: _Running) -> None:
+    def _pin_cached_parts(self, now: int, entry: _RequestState) -> None:
         """Pins what came to be kept since it was let in, and gives back the blocks that were taken for reading it."""
-        came = self._kept_prefix(entry)[entry.position :]
-        for part in came:
-            self.kept.pin(part)
-            entry.stood_on.append(part)
-            blocks = count_blocks(entry.request.parts[entry.position].tokens)
-            entry.position += 1
+        new_parts = self._cached_prefix(entry)[entry.part_index :]
+        for part in new_parts:
+            self.cache.pin(part)
+            entry.pinned_parts.append(part)
+            blocks = count_blocks(entry.request.parts[entry.part_index].tokens)
+            entry.part_index += 1
             entry.private_blocks -= blocks
-            self.kept.give_blocks(blocks)
-            self._note_use(now, entry, part, part.tokens)
-        self.kept.use(entry.stood_on)
-        begun_part = self._begun_part(entry, entry.position)
-        if begun_part is not None:
+            self.cache.release_blocks(blocks)
+            self._record_use(now, entry, part, part.tokens)
+        self.cache.touch(entry.pinned_parts)
+        partial_part = self._partial_part(entry, entry.part_index)
+        if partial_part is not None:
             # Kept in part: its beginning is not read again.
-            entry.in_part = begun_part.tokens
-            self._note_use(now, entry, begun_part, begun_part.tokens)
+            entry.part_tokens_read = partial_part.tokens
+            self._record_use(now, entry, partial_part, partial_part.tokens)
 
-    def _note_use(self, now: int, entry: _Running, part: KeptPart, tokens: int) -> None:
+    def _record_use(self, now: int, entry: _RequestState, part: KeptPart, tokens: int) -> None:
         self.sink.take(
             Use(
                 now,
@@ -492,137 +494,139 @@
             )
         )
 
-    def _leave(self, entry: _Running) -> None:
+    def _remove(self, entry: _RequestState) -> None:
         if entry in self.queue:
             self.queue.remove(entry)
         if entry in self.running:
             self.running.remove(entry)
-        self._let_go(entry)
+        self._release_memory(entry)
 
-    def _let_go(self, entry: _Running) -> None:
-        for part in entry.stood_on:
-            self.kept.unpin(part)
-        entry.stood_on = []
-        self.kept.give_blocks(entry.private_blocks)
+    def _release_memory(self, entry: _RequestState) -> None:
+        for part in entry.pinned_parts:
+            self.cache.unpin(part)
+        entry.pinned_parts = []
+        self.cache.release_blocks(entry.private_blocks)
         entry.private_blocks = 0
 
-    def _put_back(self, entry: _Running) -> None:
+    def _requeue(self, entry: _RequestState) -> None:
         """Memory ran out: it waits again, and is read anew."""
-        self._leave(entry)
-        self._begin_anew(entry)
+        self._remove(entry)
+        self._reset_progress(entry)
         self.queue.append(entry)
 
     # ---- steps -------------------------------------------------------------------------------------
 
-    def _begin_step(self, now: int) -> None:
+    def _start_step(self, now: int) -> None:
         is_paused = self.load is not None and self.load.end_at is not None
         active = [r for r in self.running if r.phase in ("prefill", "decode")]
         if self.step_end_at is not None or is_paused or not active:
             return
-        self._planned = self._plan_prefill(active)
-        context_tokens = sum(r.request.prompt_tokens + r.generated for r in active)
+        self._planned_tokens = self._plan_prefill(active)
+        context_tokens = sum(r.request.prompt_tokens + r.generated_tokens for r in active)
         step_micros = (
             self.settings.step_micros
             + self.settings.slot_micros * len(active)
             + self.settings.context_micros_per_k * context_tokens / 1_000
-            + 1_000 * sum(self._planned.values()) / self.settings.prefill_tokens_per_milli
+            + 1_000 * sum(self._planned_tokens.values()) / self.settings.prefill_tokens_per_milli
         )
-        self.step_end_at = max(now, self.stall_until) + round(step_micros * self.step_slowness)
+        self.step_end_at = max(now, self.stalled_until) + round(step_micros * self.step_slowness)
 
-    def _plan_prefill(self, active: list[_Running]) -> dict[int, int]:
+    def _plan_prefill(self, active: list[_RequestState]) -> dict[int, int]:
         """Tokens of prompts that this step reads, by ticket: one piece, the most urgent and oldest first."""
-        left_tokens, planned = self.settings.chunk_tokens, {}
-        for entry in sorted(active, key=lambda r: r.order):
-            if entry.phase == "prefill" and left_tokens:
-                tokens = min(left_tokens, self._unread_tokens(entry))
+        budget_tokens, planned = self.settings.chunk_tokens, {}
+        for entry in sorted(active, key=lambda r: r.priority):
+            if entry.phase == "prefill" and budget_tokens:
+                tokens = min(budget_tokens, self._unread_tokens(entry))
                 planned[entry.ticket] = tokens
-                left_tokens -= tokens
+                budget_tokens -= tokens
         return planned
 
-    def _unread_tokens(self, entry: _Running) -> int:
-        named_tokens = sum(p.tokens for p in entry.request.parts[entry.position :]) - entry.in_part
-        return named_tokens + entry.tail_tokens - entry.tail_read
+    def _unread_tokens(self, entry: _RequestState) -> int:
+        named_tokens = sum(p.tokens for p in entry.request.parts[entry.part_index :]) - entry.part_tokens_read
+        return named_tokens + entry.tail_tokens - entry.tail_tokens_read
 
-    def _end_step(self, now: int) -> None:
+    def _finish_step(self, now: int) -> None:
         decoding = [r for r in self.running if r.phase == "decode"]
-        for entry in [r for r in self.running if r.ticket in self._planned and r.phase == "prefill"]:
-            self._read_prompt(now, entry, self._planned[entry.ticket])
+        for entry in [r for r in self.running if r.ticket in self._planned_tokens and r.phase == "prefill"]:
+            self._read_prompt(now, entry, self._planned_tokens[entry.ticket])
             if entry.phase == "decode":
                 decoding.append(entry)
         for entry in decoding:
             if entry in self.running:
-                self._give_token(now, entry)
+                self._generate_token(now, entry)
 
-    def _read_prompt(self, now: int, entry: _Running, tokens: int) -> None:
+    def _read_prompt(self, now: int, entry: _RequestState, tokens: int) -> None:
         self.tokens_read += tokens
-        while tokens and entry.position < len(entry.request.parts):
-            need = entry.request.parts[entry.position]
-            read_tokens = min(tokens, need.tokens - entry.in_part)
-            entry.in_part += read_tokens
+        while tokens and entry.part_index < len(entry.request.parts):
+            need = entry.request.parts[entry.part_index]
+            read_tokens = min(tokens, need.tokens - entry.part_tokens_read)
+            entry.part_tokens_read += read_tokens
             tokens -= read_tokens
-            if entry.in_part == need.tokens:
-                self._keep_read(now, entry, need)
-        entry.tail_read += tokens
+            if entry.part_tokens_read == need.tokens:
+                self._cache_read_part(now, entry, need)
+        entry.tail_tokens_read += tokens
         if not self._unread_tokens(entry):
             entry.phase = "decode"
             if entry.request.target:
                 self._save(now, entry)
 
-    def _keep_read(self, now: int, entry: _Running, need: PartNeed) -> None:
+    def _cache_read_part(self, now: int, entry: _RequestState, need: PartNeed) -> None:
         request = entry.request
-        entry.position, entry.in_part = entry.position + 1, 0
+        entry.part_index, entry.part_tokens_read = entry.part_index + 1, 0
         entry.private_blocks -= count_blocks(need.tokens)
-        made = KeptPart(request.salt, request.model, need.part, need.tokens, self.version, request.tenant)
-        kept_part = self.kept.keep(now, made, has_blocks=True)
-        if kept_part is not None:
-            self.kept.pin(kept_part)
-            entry.stood_on.append(kept_part)
-
-    def _save(self, now: int, entry: _Running) -> None:
-        parts = tuple(p for p in entry.stood_on if self.kept.get(p.key) is p)
-        begin_at = max(now, self.link_free_at)
-        if parts and begin_at - now <= self.settings.move_wait_micros:
-            self.link_free_at = begin_at + self._move_micros(sum(p.tokens for p in parts), False)
+        new_part = KeptPart(request.salt, request.model, need.part, need.tokens, self.version, request.tenant)
+        cached_part = self.cache.insert(now, new_part, has_blocks=True)
+        if cached_part is not None:
+            self.cache.pin(cached_part)
+            entry.pinned_parts.append(cached_part)
+
+    def _save(self, now: int, entry: _RequestState) -> None:
+        parts = tuple(p for p in entry.pinned_parts if self.cache.get(p.key) is p)
+        start_at = max(now, self.link_free_at)
+        if parts and start_at - now <= self.settings.move_wait_micros:
+            self.link_free_at = start_at + self._transfer_micros(sum(p.tokens for p in parts), False)
             self.outputs.append(SaveWanted(entry.request.target, parts))
 
-    def _move_micros(self, tokens: int, is_far: bool) -> int:
+    def _transfer_micros(self, tokens: int, is_far: bool) -> int:
         bits = tokens * self.settings.token_bytes * 8
-        move_micros = bits / self.settings.link_mbps * (2 if is_far else 1) * self.link_slowness
-        return self.settings.setup_micros + round(move_micros)
+        transfer_micros = bits / self.settings.link_mbps * (2 if is_far else 1) * self.link_slowness
+        return self.settings.setup_micros + round(transfer_micros)
 
-    def _give_token(self, now: int, entry: _Running) -> None:
+    def _generate_token(self, now: int, entry: _RequestState) -> None:
         request = entry.request
-        entry.generated += 1
-        if entry.generated % 16 == 0 and not self._grow(now, entry):
+        entry.generated_tokens += 1
+        if entry.generated_tokens % 16 == 0 and not self._allocate_block(now, entry):
             return
-        total = self._piece_count(request)
+        piece_count = self._piece_count(request)
         if not entry.is_begun:
-            entry.is_begun, entry.told_version = True, self.version
-            self._note_run(now, entry, 200)
+            entry.is_begun, entry.reported_version = True, self.version
+            self._record_run(now, entry, 200)
             run = f"{self.instance}-{entry.ticket}"
-            self.outputs.append(Begun(entry.ticket, run, self.version, total))
-        while entry.next_piece <= total and entry.generated >= self._tokens_for(request, entry.next_piece):
-            version = 0 if entry.told_version == self.version else self.version
-            entry.told_version = self.version
-            self.outputs.append(PieceOut(entry.ticket, entry.next_piece, version))
+            self.outputs.append(RunStarted(entry.ticket, run, self.version, piece_count))
+        while entry.next_piece <= piece_count and entry.generated_tokens >= self._tokens_through_piece(
+            request, entry.next_piece
+        ):
+            version = 0 if entry.reported_version == self.version else self.version
+            entry.reported_version = self.version
+            self.outputs.append(PieceProduced(entry.ticket, entry.next_piece, version))
             entry.next_piece += 1
-        if entry.generated >= request.output_tokens:
-            self._leave(entry)
-            self.outputs.append(Ended(entry.ticket))
+        if entry.generated_tokens >= request.output_tokens:
+            self._remove(entry)
+            self.outputs.append(RunFinished(entry.ticket))
 
-    def _grow(self, now: int, entry: _Running) -> bool:
+    def _allocate_block(self, now: int, entry: _RequestState) -> bool:
         """One more block; False if the request itself had to be put back for it."""
-        while not self.kept.take_blocks(now, 1):
-            newest = max(self.running, key=lambda r: r.order)
+        while not self.cache.allocate_blocks(now, 1):
+            newest = max(self.running, key=lambda r: r.priority)
             if newest is entry:
-                entry.generated -= 1
-            self._put_back(newest)
+                entry.generated_tokens -= 1
+            self._requeue(newest)
             if newest is entry:
                 return False
         entry.private_blocks += 1
         return True
 
-    def _note_run(self, now: int, entry: _Running, status: int) -> None:
+    def _record_run(self, now: int, entry: _RequestState, status: int) -> None:
         request = entry.request
         self.sink.take(
             Run(
@@ -641,9 +645,9 @@
 
     # ---- orders ------------------------------------------------------------------------------------
 
-    def _judge_order(self, body: dict[str, Any]) -> int:
+    def _check_order(self, body: dict[str, Any]) -> int:
         holder, fence, version = body.get("Holder"), body.get("Fence"), body.get("Revision")
-        is_readable = (
+        is_valid_order = (
             body.get("Operation") == "Revision"
             and isinstance(holder, str)
             and holder
@@ -653,7 +657,7 @@
             and body.get("Model") == self.model
             and version in self.named_versions
         )
-        if not is_readable:
+        if not is_valid_order:
             return 400
         assert isinstance(fence, int)
         if self.settings.is_fenced and fence < self.highest_fence:
@@ -663,33 +667,33 @@
             return 409
         return 200 if version == self.version else 202
 
-    def _take_order(self, now: int, body: dict[str, Any]) -> None:
+    def _start_order(self, now: int, body: dict[str, Any]) -> None:
         self.call_count += 1
         self.load = _Load(body["Revision"], body.get("Mode", "wait"))
         for entry in [r for r in (*self.queue, *self.running) if not r.is_begun]:
-            self._leave(entry)
-            self.outputs.append(Refused(entry.ticket, 503))
+            self._remove(entry)
+            self.outputs.append(LateRejection(entry.ticket, 503))
         if self.load.mode == "preempt":
             for entry in [*self.queue, *self.running]:
-                self._leave(entry)
-                self.outputs.append(Broken(entry.ticket))
-        self._go_on_loading(now)
+                self._remove(entry)
+                self.outputs.append(RunAborted(entry.ticket))
+        self._continue_load(now)
 
-    def _go_on_loading(self, now: int) -> None:
+    def _continue_load(self, now: int) -> None:
         if self.load is None or self.load.end_at is not None:
             return
         if self.load.mode == "wait" and self.queue and not self.running:
             # Put back while it ran: its run has to end first.
-            for entry in sorted(self.queue, key=lambda r: r.order):
-                self._let_in(now, entry)
+            for entry in sorted(self.queue, key=lambda r: r.priority):
+                self._try_admit(now, entry)
         if self.load.mode != "wait" or not (self.running or self.queue):
             self.load.end_at = now + round(self.settings.load_micros * self.load_slowness)
             self.step_end_at = None
 
-    def _end_load(self, now: int) -> None:
+    def _finish_load(self, now: int) -> None:
         assert self.load is not None
         self.version = self.load.version
         self.load = None
-        self.kept.drop_all(now)
+        self.cache.clear(now)
         for entry in [r for r in self.running if r.phase != "decode"]:
-            self._put_back(entry)
+            self._requeue(entry)
--- a/src/pearhead/testbed/emulator/enginedriver.py
+++ b/src/pearhead/testbed/emulator/enginedriver.py
@@ -8,17 +8,24 @@
 from typing import Any, Protocol
 
 from pearhead.runtime.clock import Clock, Timer
-from pearhead.testbed.emulator.engine import Broken, EngineModel, EngineRequest, FetchWanted, Output, SaveWanted
+from pearhead.testbed.emulator.engine import (
+    EngineModel,
+    EngineOutput,
+    EngineRequest,
+    FetchWanted,
+    RunAborted,
+    SaveWanted,
+)
 from pearhead.testbed.emulator.keptparts import KeptPart, PartKey
 from pearhead.testbed.emulator.wire import ask
 
-Keys = tuple[PartKey, ...]
+PartKeys = tuple[PartKey, ...]
 
 
-class PartLink(Protocol):
+class PartTransfer(Protocol):
     """Moves kept parts. `fetch` returns None where the source is dead."""
 
-    async def fetch(self, address: str, keys: Keys) -> tuple[list[KeptPart], str] | None: ...
+    async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None: ...
 
     async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None: ...
 
@@ -26,37 +33,37 @@
 class HttpPartLink:
     """Between emulated processes, on paths of their own that the platform does not have."""
 
-    async def fetch(self, address: str, keys: Keys) -> tuple[list[KeptPart], str] | None:
+    async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None:
         answer = await ask(address, "POST", "/site/lend", {"keys": keys})
         if answer is None or answer.head.status != 200:
             return None
-        found = answer.fields()
-        return [KeptPart(**{**p, "pins": 0}) for p in found["parts"]], str(found["zone"])
+        result = answer.fields()
+        return [KeptPart(**{**p, "pins": 0}) for p in result["parts"]], str(result["zone"])
 
     async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None:
         await ask(address, "POST", "/site/keep", {"parts": [asdict(p) for p in parts]})
 
 
 class EngineDriver:
-    def __init__(self, model: EngineModel, clock: Clock, link: PartLink, zone: str) -> None:
-        self.model, self.clock, self.link, self.zone = model, clock, link, zone
-        self.waiting: dict[int, asyncio.Queue[Output]] = {}
+    def __init__(self, model: EngineModel, clock: Clock, transfer: PartTransfer, zone: str) -> None:
+        self.model, self.clock, self.transfer, self.zone = model, clock, transfer, zone
+        self.output_queues: dict[int, asyncio.Queue[EngineOutput]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.timer: Timer | None = None
 
-    def submit(self, request: EngineRequest) -> tuple[int, asyncio.Queue[Output]]:
+    def submit(self, request: EngineRequest) -> tuple[int, asyncio.Queue[EngineOutput]]:
         """Raises TurnedAwayError."""
         self.kick()
         ticket = self.model.submit(self.clock.now(), request)
-        queue: asyncio.Queue[Output] = asyncio.Queue()
-        self.waiting[ticket] = queue
+        queue: asyncio.Queue[EngineOutput] = asyncio.Queue()
+        self.output_queues[ticket] = queue
         self.kick()
         return ticket, queue
 
     def cancel(self, ticket: int) -> None:
-        queue = self.waiting.pop(ticket, None)
+        queue = self.output_queues.pop(ticket, None)
         if queue is not None:
-            queue.put_nowait(Broken(ticket))
+            queue.put_nowait(RunAborted(ticket))
         self.model.cancel(self.clock.now(), ticket)
         self.kick()
 
@@ -69,27 +76,27 @@
     def kick(self) -> None:
         """Lets the model's time come up to now, tells what happened, and sets the next moment."""
         for output in self.model.advance(self.clock.now()):
-            self._tell(output)
+            self._deliver(output)
         if self.timer is not None:
             self.timer.cancel()
-        moment = self.model.next_at()
-        self.timer = None if moment is None else self.clock.after(moment - self.clock.now(), self.kick)
+        next_at_micros = self.model.next_at()
+        self.timer = None if next_at_micros is None else self.clock.after(next_at_micros - self.clock.now(), self.kick)
 
-    def _tell(self, output: Output) -> None:
+    def _deliver(self, output: EngineOutput) -> None:
         if isinstance(output, FetchWanted):
             self._spawn(self._fetch(output))
         elif isinstance(output, SaveWanted):
-            self._spawn(self.link.save(output.target, output.parts))
-        elif output.ticket in self.waiting:
-            self.waiting[output.ticket].put_nowait(output)
+            self._spawn(self.transfer.save(output.target, output.parts))
+        elif output.ticket in self.output_queues:
+            self.output_queues[output.ticket].put_nowait(output)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _fetch(self, wanted: FetchWanted) -> None:
-        found = await self.link.fetch(wanted.source, wanted.keys)
-        parts, zone = found if found is not None else (None, self.zone)
-        self.model.take_fetch(self.clock.now(), wanted.ticket, parts, zone != self.zone)
+    async def _fetch(self, request: FetchWanted) -> None:
+        result = await self.transfer.fetch(request.source, request.keys)
+        parts, zone = result if result is not None else (None, self.zone)
+        self.model.take_fetch(self.clock.now(), request.ticket, parts, zone != self.zone)
         self.kick()
--- a/src/pearhead/testbed/emulator/enginefaults.py
+++ b/src/pearhead/testbed/emulator/enginefaults.py
@@ -30,17 +30,17 @@
     false_health: bool = False
     forgets_idle: bool = False
 
-    def change(self, given: dict[str, Any]) -> None:
+    def update(self, changes: dict[str, Any]) -> None:
         """Sets the named faults; names that are none are passed over."""
-        for known in fields(self):
-            if known.name in given:
-                setattr(self, known.name, type(getattr(self, known.name))(given[known.name]))
+        for known_field in fields(self):
+            if known_field.name in changes:
+                setattr(self, known_field.name, type(getattr(self, known_field.name))(changes[known_field.name]))
 
     def draw(self, chance: random.Random) -> str:
         """The fault of one answer, or none."""
-        pick = chance.random()
+        remaining = chance.random()
         for name in ("cut", "garble", "extra", "late", "lost", "fails", "split"):
-            pick -= getattr(self, name)
-            if pick < 0:
+            remaining -= getattr(self, name)
+            if remaining < 0:
                 return name
         return ""
--- a/src/pearhead/testbed/emulator/entry.py
+++ b/src/pearhead/testbed/emulator/entry.py
@@ -9,7 +9,7 @@
 from pearhead.testbed.emulator.plan import FRONT_PORT, READINESS_PORT, Machine
 from pearhead.testbed.emulator.wire import ask
 
-MISSES = 2
+MISS_LIMIT = 2
 
 
 class Entry:
@@ -23,7 +23,7 @@
         self.misses[name] = 0 if is_ready else self.misses[name] + 1
 
     def in_use(self) -> list[Machine]:
-        nodes = [m for m in self.fronts if self.misses[m.name] < MISSES]
+        nodes = [m for m in self.fronts if self.misses[m.name] < MISS_LIMIT]
         return nodes if 2 * len(nodes) >= len(self.fronts) else self.fronts
 
     def pick(self, client: str, attempt: int, tried: list[str]) -> Machine:
@@ -36,11 +36,11 @@
         return f"{node.ip}:{FRONT_PORT}"
 
     async def poll(self) -> None:
-        async def ask_one(node: Machine) -> None:
+        async def poll_node(node: Machine) -> None:
             answer = await ask(f"{node.ip}:{READINESS_PORT}", "GET", "/v1/readiness")
             self.take(node.name, answer is not None and answer.head.status == 200)
 
-        await asyncio.gather(*(ask_one(m) for m in self.fronts))
+        await asyncio.gather(*(poll_node(m) for m in self.fronts))
 
     async def run(self, clock: Clock) -> None:
         while True:
--- a/src/pearhead/testbed/emulator/keptparts.py
+++ b/src/pearhead/testbed/emulator/keptparts.py
@@ -65,7 +65,7 @@
         }
 
 
-class PartEvents:
+class PartEventLog:
     """Numbered events of one life. They show late, a share of them never, and only the newest are kept."""
 
     def __init__(self, incarnation: int, chance: random.Random) -> None:
@@ -76,7 +76,7 @@
         self.number = 0
         self.events: deque[PartEvent] = deque(maxlen=EVENT_LIMIT)
 
-    def tell(self, now: int, sign: str, part: KeptPart) -> None:
+    def append(self, now: int, sign: str, part: KeptPart) -> None:
         self.number += 1
         is_lost = self.chance.random() < self.lost_share
         self.events.append(PartEvent(self.number, sign, replace(part), now + self.lag_micros, is_lost))
@@ -93,10 +93,10 @@
         return EventPage(self.incarnation, next_page, is_dropped, [e.row() for e in shown if not e.is_lost])
 
 
-class KeptParts:
+class PartCache:
     """Blocks of memory, shared by what running requests hold and by kept parts; the longest unused give way."""
 
-    def __init__(self, total_tokens: int, events: PartEvents) -> None:
+    def __init__(self, total_tokens: int, events: PartEventLog) -> None:
         self.total_blocks = total_tokens // BLOCK_TOKENS
         self.used_blocks = 0
         self.events = events
@@ -105,46 +105,46 @@
     def get(self, key: PartKey) -> KeptPart | None:
         return self.parts.get(key)
 
-    def can_hold(self, blocks: int) -> bool:
+    def can_allocate(self, blocks: int) -> bool:
         """Whether so many blocks can be had once all that may give way has done so."""
         free_blocks = self.total_blocks - self.used_blocks
-        return blocks <= free_blocks or blocks <= free_blocks + self.loose_blocks()
+        return blocks <= free_blocks or blocks <= free_blocks + self.evictable_blocks()
 
-    def take_blocks(self, now: int, blocks: int) -> bool:
+    def allocate_blocks(self, now: int, blocks: int) -> bool:
         """Takes blocks for a running request; False, and nothing is taken, if they can't be had."""
-        if not self.can_hold(blocks):
+        if not self.can_allocate(blocks):
             return False
         self._make_room(now, blocks)
         self.used_blocks += blocks
         return True
 
-    def give_blocks(self, blocks: int) -> None:
+    def release_blocks(self, blocks: int) -> None:
         self.used_blocks -= blocks
 
-    def keep(self, now: int, part: KeptPart, has_blocks: bool = False) -> KeptPart | None:
+    def insert(self, now: int, part: KeptPart, has_blocks: bool = False) -> KeptPart | None:
         """Keeps a part. One that is there already, and as long, stays as it was first made. None if there is no room.
 
         `has_blocks`: the blocks were taken before by the request that read the part.
         """
-        held = self.parts.get(part.key)
+        existing = self.parts.get(part.key)
         blocks = count_blocks(part.tokens)
-        if held is not None and held.tokens >= part.tokens:
+        if existing is not None and existing.tokens >= part.tokens:
             if has_blocks:
-                self.give_blocks(blocks)
-            return held
-        if not has_blocks and not self.take_blocks(now, blocks):
+                self.release_blocks(blocks)
+            return existing
+        if not has_blocks and not self.allocate_blocks(now, blocks):
             return None
-        held = self.parts.get(part.key)
-        if held is not None:
+        existing = self.parts.get(part.key)
+        if existing is not None:
             # The longer one takes its place; the shorter stays only while runs stand on it.
-            self.parts.pop(held.key, None)
-            if not held.pins:
-                self.give_blocks(count_blocks(held.tokens))
+            self.parts.pop(existing.key, None)
+            if not existing.pins:
+                self.release_blocks(count_blocks(existing.tokens))
         self.parts[part.key] = part
-        self.events.tell(now, "+", part)
+        self.events.append(now, "+", part)
         return part
 
-    def use(self, parts: list[KeptPart]) -> None:
+    def touch(self, parts: list[KeptPart]) -> None:
         """Marks parts as used, the first of a prompt last, so that its end gives way before its beginning."""
         for part in reversed(parts):
             if part.key in self.parts:
@@ -156,24 +156,24 @@
     def unpin(self, part: KeptPart) -> None:
         part.pins -= 1
         if not part.pins and self.parts.get(part.key) is not part:
-            self.give_blocks(count_blocks(part.tokens))
+            self.release_blocks(count_blocks(part.tokens))
 
-    def drop_all(self, now: int) -> None:
+    def clear(self, now: int) -> None:
         """Drops what is kept; what running requests stand on stays theirs until they end."""
         for part in list(self.parts.values()):
-            self._drop(now, part)
+            self._evict(now, part)
 
-    def held_rows(self) -> list[list[object]]:
+    def list_rows(self) -> list[list[object]]:
         return [[p.salt, p.part, p.tokens, p.model] for p in self.parts.values()]
 
-    def loose_blocks(self) -> int:
+    def evictable_blocks(self) -> int:
         return sum(count_blocks(p.tokens) for p in self.parts.values() if not p.pins)
 
-    def _drop(self, now: int, part: KeptPart) -> None:
+    def _evict(self, now: int, part: KeptPart) -> None:
         del self.parts[part.key]
         if not part.pins:
-            self.give_blocks(count_blocks(part.tokens))
-        self.events.tell(now, "-", replace(part, tokens=0))
+            self.release_blocks(count_blocks(part.tokens))
+        self.events.append(now, "-", replace(part, tokens=0))
 
     def _make_room(self, now: int, blocks: int) -> None:
         if blocks <= self.total_blocks - self.used_blocks:
@@ -186,8 +186,8 @@
                 continue
             part_blocks = count_blocks(part.tokens)
             if part_blocks <= missing_blocks:
-                self._drop(now, part)
+                self._evict(now, part)
                 continue
-            self.give_blocks(missing_blocks)
+            self.release_blocks(missing_blocks)
             part.tokens = (part_blocks - missing_blocks) * BLOCK_TOKENS
-            self.events.tell(now, "-", part)
+            self.events.append(now, "-", part)
--- a/src/pearhead/testbed/emulator/store.py
+++ b/src/pearhead/testbed/emulator/store.py
@@ -11,91 +11,93 @@
 from tornado.web import Application, RequestHandler
 
 from pearhead.runtime.clock import MILLI, Clock, sleep_for
-from pearhead.testbed.emulator.keptparts import KeptPart, KeptParts, PartEvents
+from pearhead.testbed.emulator.keptparts import KeptPart, PartCache, PartEventLog
 
 
 class StoreModel:
     def __init__(self, total_tokens: int, chance: random.Random) -> None:
-        self.events = PartEvents(chance.randrange(1, 1 << 31), chance)
-        self.kept = KeptParts(total_tokens, self.events)
+        self.events = PartEventLog(chance.randrange(1, 1 << 31), chance)
+        self.cache = PartCache(total_tokens, self.events)
 
-    def keep(self, now: int, parts: list[KeptPart]) -> None:
+    def insert(self, now: int, parts: list[KeptPart]) -> None:
         for part in parts:
-            self.kept.keep(now, replace(part, pins=0))
+            self.cache.insert(now, replace(part, pins=0))
 
-    def lend(self, keys: list[tuple[str, str, str]]) -> list[KeptPart]:
+    def get_cached_prefix(self, keys: list[tuple[str, str, str]]) -> list[KeptPart]:
         """Parts in order, up to the first that is missing."""
         found = []
         for key in keys:
-            part = self.kept.get(key)
+            part = self.cache.get(key)
             if part is None:
                 break
             found.append(part)
-        self.kept.use(found)
+        self.cache.touch(found)
         return found
 
 
 class StoreSite:
-    def __init__(self, model: StoreModel, clock: Clock, zone: str, readers: int) -> None:
-        self.model, self.clock, self.zone, self.readers = model, clock, zone, readers
-        self.reading = 0
+    def __init__(self, model: StoreModel, clock: Clock, zone: str, reader_limit: int) -> None:
+        self.model, self.clock, self.zone, self.reader_limit = model, clock, zone, reader_limit
+        self.active_readers = 0
 
 
 class StoreHandler(RequestHandler):
-    def initialize(self, site: StoreSite) -> None:
-        self.site = site
-        self.model = site.model
+    def initialize(self, context: StoreSite) -> None:
+        self.context = context
+        self.model = context.model
 
 
-class KeepHandler(StoreHandler):
+class InsertPartsHandler(StoreHandler):
     def post(self) -> None:
-        given = json.loads(self.request.body)["parts"]
-        self.model.keep(self.site.clock.now(), [KeptPart(**p) for p in given])
+        rows = json.loads(self.request.body)["parts"]
+        self.model.insert(self.context.clock.now(), [KeptPart(**p) for p in rows])
         self.finish({})
 
 
-class LendHandler(StoreHandler):
+class CachedPrefixHandler(StoreHandler):
     def post(self) -> None:
         keys = [(str(a), str(b), str(c)) for a, b, c in json.loads(self.request.body)["keys"]]
-        self.finish({"parts": [asdict(p) for p in self.model.lend(keys)], "zone": self.site.zone})
+        self.finish({"parts": [asdict(p) for p in self.model.get_cached_prefix(keys)], "zone": self.context.zone})
 
 
-class EventsHandler(StoreHandler):
+class CacheEventsHandler(StoreHandler):
     async def get(self) -> None:
-        site, events = self.site, self.model.events
-        if site.reading >= site.readers:
+        context, events = self.context, self.model.events
+        if context.active_readers >= context.reader_limit:
             self.set_status(429)
             await self.finish()
             return
         since = int(self.get_argument("Since", "0"))
-        end_at = site.clock.now() + min(1_000, int(self.request.headers.get("Wait-Ms", "0"))) * MILLI
-        site.reading += 1
+        end_at = context.clock.now() + min(1_000, int(self.request.headers.get("Wait-Ms", "0"))) * MILLI
+        context.active_readers += 1
         try:
-            page = events.read(site.clock.now(), since)
-            while not page.events and not page.is_dropped and (now := site.clock.now()) < end_at:
-                await sleep_for(site.clock, min(10 * MILLI, end_at - now))
-                page = events.read(site.clock.now(), since)
+            page = events.read(context.clock.now(), since)
+            while not page.events and not page.is_dropped and (now := context.clock.now()) < end_at:
+                await sleep_for(context.clock, min(10 * MILLI, end_at - now))
+                page = events.read(context.clock.now(), since)
             await self.finish(page.body())
         except StreamClosedError:
             pass
         finally:
-            site.reading -= 1
+            context.active_readers -= 1
 
 
-class ListHandler(StoreHandler):
+class CacheListHandler(StoreHandler):
     def get(self) -> None:
         events = self.model.events
-        self.finish({"Incarnation": events.incarnation, "NextPage": events.number, "Held": self.model.kept.held_rows()})
+        self.finish(
+            {"Incarnation": events.incarnation, "NextPage": events.number, "Held": self.model.cache.list_rows()}
+        )
 
 
-def build_store(site: StoreSite) -> Application:
-    held = {"site": site}
+def build_store(context: StoreSite) -> Application:
+    handler_args = {"context": context}
     return Application(
         [
-            ("/v1/kv-events", EventsHandler, held),
-            ("/v1/kv-list", ListHandler, held),
-            ("/site/lend", LendHandler, held),
-            ("/site/keep", KeepHandler, held),
+            ("/v1/kv-events", CacheEventsHandler, handler_args),
+            ("/v1/kv-list", CacheListHandler, handler_args),
+            ("/site/lend", CachedPrefixHandler, handler_args),
+            ("/site/keep", InsertPartsHandler, handler_args),
         ],
         log_function=lambda handler: None,
     )
--- a/src/pearhead/testbed/emulator/wire.py
+++ b/src/pearhead/testbed/emulator/wire.py
@@ -14,14 +14,14 @@
 
 from pearhead.runtime.socketnet import split_address
 
-LINE_LIMIT = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
 class WireError(Exception):
     """The connection ended, or carried what is no answer. `is_garbage`: bytes came that are none."""
 
-    def __init__(self, why: str, is_garbage: bool = False) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, is_garbage: bool = False) -> None:
+        super().__init__(reason)
         self.is_garbage = is_garbage
 
 
@@ -44,10 +44,10 @@
     def fields(self) -> dict[str, Any]:
         """The body as JSON; empty if it is none."""
         try:
-            found = json.loads(self.body)
+            parsed = json.loads(self.body)
         except ValueError:
             return {}
-        return found if isinstance(found, dict) else {}
+        return parsed if isinstance(parsed, dict) else {}
 
 
 @dataclass
@@ -61,7 +61,7 @@
     async def open(self, timeout_seconds: float = 1.0) -> None:
         host_name, port_number = split_address(self.address)
         self.reader, self.writer = await asyncio.wait_for(
-            asyncio.open_connection(host_name, port_number, limit=LINE_LIMIT), timeout_seconds
+            asyncio.open_connection(host_name, port_number, limit=MAX_LINE_BYTES), timeout_seconds
         )
 
     def close(self) -> None:
@@ -80,12 +80,12 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
         try:
             await self.writer.drain()
-        except OSError as fault:
-            raise WireError(str(fault)) from fault
+        except OSError as error:
+            raise WireError(str(error)) from error
 
     async def read_head(self) -> Head:
-        start = await self._read_line()
-        version, _, rest = start.partition(" ")
+        status_line = await self._read_line()
+        version, _, rest = status_line.partition(" ")
         status_text = rest[:3]
         if not version.startswith("HTTP/1.") or not status_text.isdigit():
             raise WireError("no status line", is_garbage=True)
@@ -125,17 +125,17 @@
     async def _read_line(self) -> str:
         try:
             line = await self.reader.readuntil(b"\r\n")
-        except (asyncio.IncompleteReadError, OSError) as fault:
-            raise WireError(f"the connection ended: {fault}") from fault
-        except asyncio.LimitOverrunError as fault:
-            raise WireError("an endless line", is_garbage=True) from fault
+        except (asyncio.IncompleteReadError, OSError) as error:
+            raise WireError(f"the connection ended: {error}") from error
+        except asyncio.LimitOverrunError as error:
+            raise WireError("an endless line", is_garbage=True) from error
         return line[:-2].decode("latin-1")
 
     async def _read_exactly(self, size: int) -> bytes:
         try:
             return await self.reader.readexactly(size)
-        except (asyncio.IncompleteReadError, OSError) as fault:
-            raise WireError(f"the connection ended: {fault}") from fault
+        except (asyncio.IncompleteReadError, OSError) as error:
+            raise WireError(f"the connection ended: {error}") from error
 
 
 async def ask(
@@ -149,12 +149,12 @@
     """One request on a connection of its own, for the calls that are no client's. None if no whole answer came."""
     connection = RawConnection(address)
     body_bytes = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-    sent = {"Host": address, "Connection": "close", "Content-Type": "application/json", **(headers or {})}
+    sent_headers = {"Host": address, "Connection": "close", "Content-Type": "application/json", **(headers or {})}
     try:
         async with asyncio.timeout(timeout_seconds):
             await connection.open(timeout_seconds)
             try:
-                await connection.send(method, path, sent, body_bytes)
+                await connection.send(method, path, sent_headers, body_bytes)
                 head = await connection.read_head()
                 chunks = [chunk async for chunk in connection.read_body(head)]
             finally:
--- a/tests/test_site_addresses.py
+++ b/tests/test_site_addresses.py
@@ -71,11 +71,13 @@
 
     def test_no_block_is_free(self) -> None:
         with (
-            mock.patch("pearhead.testbed.emulator.addressblock.AddressBlock", side_effect=BlockTakenError) as tried,
+            mock.patch(
+                "pearhead.testbed.emulator.addressblock.AddressBlock", side_effect=BlockTakenError
+            ) as constructed,
             self.assertRaises(OSError),
         ):
             claim_free_block(CLAIMED_PORTS, 0)
-        numbers = {call.args[0] for call in tried.call_args_list}
+        numbers = {call.args[0] for call in constructed.call_args_list}
         self.assertEqual(numbers, set(range(1, BLOCK_COUNT + 1)))
 
     def test_socket_tables(self) -> None:
--- a/tests/test_site_engine.py
+++ b/tests/test_site_engine.py
@@ -9,22 +9,22 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.emulator.cloud import CloudModel
 from pearhead.testbed.emulator.engine import (
-    Begun,
-    Broken,
-    Ended,
+    DeadlineExceeded,
     EngineModel,
+    EngineOutput,
     EngineRequest,
     EngineSettings,
     FetchWanted,
-    Output,
+    LateRejection,
     PartNeed,
-    PieceOut,
-    Refused,
+    PieceProduced,
+    RequestRejectedError,
+    RunAborted,
+    RunFinished,
+    RunStarted,
     SaveWanted,
-    TimedOut,
-    TurnedAwayError,
 )
-from pearhead.testbed.emulator.keptparts import KeptPart, KeptParts, PartEvents
+from pearhead.testbed.emulator.keptparts import KeptPart, PartCache, PartEventLog
 from pearhead.testbed.emulator.ledger import SiteLedger
 from pearhead.testbed.emulator.store import StoreModel
 
@@ -63,16 +63,16 @@
         engine.name_version(2)
         return engine
 
-    def run_out(self, engine: EngineModel | None = None, limit: int = 60 * SECOND) -> list[tuple[int, Output]]:
+    def run_out(self, engine: EngineModel | None = None, limit: int = 60 * SECOND) -> list[tuple[int, EngineOutput]]:
         """All that happens up to a time, each with its moment."""
         model = engine or self.engine
-        seen: list[tuple[int, Output]] = []
-        while (moment := model.next_at()) is not None and moment <= limit:
-            seen.extend((moment, output) for output in model.advance(moment))
+        seen: list[tuple[int, EngineOutput]] = []
+        while (event_at := model.next_at()) is not None and event_at <= limit:
+            seen.extend((event_at, output) for output in model.advance(event_at))
         seen.extend((limit, output) for output in model.advance(limit))
         return seen
 
-    def of(self, seen: list[tuple[int, Output]], kind: type[Output], ticket: int) -> list[tuple[int, Any]]:
+    def of(self, seen: list[tuple[int, EngineOutput]], kind: type[EngineOutput], ticket: int) -> list[tuple[int, Any]]:
         return [(at, o) for at, o in seen if isinstance(o, kind) and getattr(o, "ticket", 0) == ticket]
 
 
@@ -80,21 +80,21 @@
     def test_a_stream_has_a_piece_for_each_stride_and_ends(self) -> None:
         ticket = self.engine.submit(0, request("a", ("p", 612), out=15))
         seen = self.run_out()
-        self.assertEqual([o.number for _, o in self.of(seen, PieceOut, ticket)], [1, 2, 3])
-        self.assertEqual([o.pieces for _, o in self.of(seen, Begun, ticket)], [3])
-        self.assertEqual(len(self.of(seen, Ended, ticket)), 1)
-        first_at = self.of(seen, PieceOut, ticket)[0][0]
+        self.assertEqual([o.number for _, o in self.of(seen, PieceProduced, ticket)], [1, 2, 3])
+        self.assertEqual([o.pieces for _, o in self.of(seen, RunStarted, ticket)], [3])
+        self.assertEqual(len(self.of(seen, RunFinished, ticket)), 1)
+        first_at = self.of(seen, PieceProduced, ticket)[0][0]
         # One step that reads 612 tokens at 61.2 a millisecond.
         self.assertAlmostEqual(first_at, 3_370 + 10_000, delta=100)
-        self.assertEqual(self.engine.kept.used_blocks, 39, "only the kept part stays in memory")
+        self.assertEqual(self.engine.cache.used_blocks, 39, "only the kept part stays in memory")
 
     def test_a_long_prompt_is_read_in_pieces_between_the_tokens_of_others(self) -> None:
         short = self.engine.submit(0, request("short", ("p", 16), out=50))
         self.run_out(limit=5 * MILLI)
         long = self.engine.submit(5 * MILLI, request("long", ("q", 10_240), out=7))
         seen = self.run_out()
-        begun_at = self.of(seen, Begun, long)[0][0]
-        before = [at for at, _ in self.of(seen, PieceOut, short) if at < begun_at]
+        begun_at = self.of(seen, RunStarted, long)[0][0]
+        before = [at for at, _ in self.of(seen, PieceProduced, short) if at < begun_at]
         self.assertGreaterEqual(len(before), 1)
         gaps = [b - a for a, b in zip(before, before[1:], strict=False)]
         self.assertLess(max(gaps, default=0), 7 * 22 * MILLI)
@@ -118,14 +118,14 @@
     def test_capacity_then_a_queue_then_a_refusal(self) -> None:
         engine = self.make(capacity=2, queue_limit=2)
         tickets = [engine.submit(0, request(f"r{n}", (f"p{n}", 16))) for n in range(4)]
-        with self.assertRaises(TurnedAwayError) as caught:
+        with self.assertRaises(RequestRejectedError) as caught:
             engine.submit(0, request("late", ("x", 16)))
         self.assertEqual(caught.exception.status, 503)
         urgent = engine.submit(0, request("urgent", ("y", 16), urgency=0))
         seen = self.run_out(engine)
-        self.assertEqual(len(self.of(seen, Refused, tickets[3])), 1, "the last one gave its place")
-        self.assertEqual(len(self.of(seen, Ended, urgent)), 1)
-        self.assertLess(self.of(seen, Begun, urgent)[0][0], self.of(seen, Begun, tickets[2])[0][0])
+        self.assertEqual(len(self.of(seen, LateRejection, tickets[3])), 1, "the last one gave its place")
+        self.assertEqual(len(self.of(seen, RunFinished, urgent)), 1)
+        self.assertLess(self.of(seen, RunStarted, urgent)[0][0], self.of(seen, RunStarted, tickets[2])[0][0])
         self.assertNotIn("r3", [r.request_id for r in self.ledger.runs])
 
     def test_memory_runs_out_and_the_newest_is_put_back_and_read_anew(self) -> None:
@@ -134,11 +134,11 @@
         second = engine.submit(0, request("second", ("q", 160), out=100))
         seen = self.run_out(engine)
         for ticket in (first, second):
-            numbers = [o.number for _, o in self.of(seen, PieceOut, ticket)]
+            numbers = [o.number for _, o in self.of(seen, PieceProduced, ticket)]
             self.assertEqual(numbers, list(range(1, 16)), "no piece twice, none missing")
         self.assertGreater(engine.tokens_read, 320, "one was read anew")
         self.assertEqual(len(self.ledger.runs), 2)
-        with self.assertRaises(TurnedAwayError):
+        with self.assertRaises(RequestRejectedError):
             engine.submit(0, request("huge", ("z", 16 * 30)))
 
     def test_the_longest_unused_part_gives_way_from_its_end_and_events_tell(self) -> None:
@@ -163,36 +163,36 @@
         queued = engine.submit(0, request("queued", ("q", 16), deadline_at=100 * MILLI))
         reading = engine.submit(0, request("reading", ("r", 100_000), deadline_at=700 * MILLI))
         seen = self.run_out(engine)
-        self.assertEqual(len(self.of(seen, Refused, queued)), 1)
-        self.assertEqual(self.of(seen, TimedOut, running)[0][0], 500 * MILLI)
-        self.assertEqual(self.of(seen, TimedOut, reading)[0][0], 700 * MILLI)
+        self.assertEqual(len(self.of(seen, LateRejection, queued)), 1)
+        self.assertEqual(self.of(seen, DeadlineExceeded, running)[0][0], 500 * MILLI)
+        self.assertEqual(self.of(seen, DeadlineExceeded, reading)[0][0], 700 * MILLI)
         self.assertEqual([(r.request_id, r.status) for r in self.ledger.runs], [("running", 200), ("reading", 504)])
 
     def test_a_request_names_another_life_or_version(self) -> None:
         for more in ({"expected_instance": "i-2"}, {"expected_version": 2}):
-            with self.assertRaises(TurnedAwayError) as caught:
+            with self.assertRaises(RequestRejectedError) as caught:
                 self.engine.submit(0, request("a", ("p", 16), **more))
             self.assertEqual(caught.exception.status, 421)
 
     def test_a_resumed_stream_goes_on_after_its_last_piece(self) -> None:
         ticket = self.engine.submit(0, request("a", ("p", 160), out=50, resumed_from=3))
         seen = self.run_out()
-        self.assertEqual([o.number for _, o in self.of(seen, PieceOut, ticket)], [4, 5, 6, 7, 8])
+        self.assertEqual([o.number for _, o in self.of(seen, PieceProduced, ticket)], [4, 5, 6, 7, 8])
         self.assertEqual(self.engine.tokens_read, 160 + 15, "what was put out before is read too")
 
     def test_a_dropped_request_leaves_no_memory(self) -> None:
         ticket = self.engine.submit(0, request("a", ("p", 5_000)))
         self.engine.advance(SECOND // 100)
         self.engine.cancel(SECOND // 100, ticket)
-        self.assertEqual((self.engine.kept.used_blocks, self.engine.running), (0, []))
+        self.assertEqual((self.engine.cache.used_blocks, self.engine.running), (0, []))
         self.assertEqual(self.ledger.runs, [])
 
 
 class MemoryTest(EngineCase):
     def count_used(self, engine: EngineModel) -> int:
         """Blocks of all parts, kept or only stood on, and those of running requests."""
-        parts = {id(p): p for p in engine.kept.parts.values()}
-        parts |= {id(p): p for r in engine.running for p in r.stood_on}
+        parts = {id(p): p for p in engine.cache.parts.values()}
+        parts |= {id(p): p for r in engine.running for p in r.pinned_parts}
         return sum(-(-p.tokens // 16) for p in parts.values()) + sum(r.private_blocks for r in engine.running)
 
     def test_no_block_is_lost_or_given_twice(self) -> None:
@@ -225,10 +225,10 @@
                     )
                     try:
                         tickets.append(engine.submit(now, wanted))
-                    except TurnedAwayError:
+                    except RequestRejectedError:
                         continue
-                self.assertEqual(engine.kept.used_blocks, self.count_used(engine), (seed, number))
-                self.assertLessEqual(engine.kept.used_blocks, engine.kept.total_blocks)
+                self.assertEqual(engine.cache.used_blocks, self.count_used(engine), (seed, number))
+                self.assertLessEqual(engine.cache.used_blocks, engine.cache.total_blocks)
                 self.assertGreaterEqual(engine.state()["CacheUsed"], 0)
             self.run_out(engine, now + 5 * SECOND)
             self.assertEqual((engine.running, engine.queue, engine.state()["CacheUsed"]), ([], [], 0))
@@ -246,11 +246,11 @@
         self.assertEqual((use.made_version, use.made_tenant, use.version, use.tenant), (7, "two", 1, "one"))
 
     def test_moves_go_one_after_another_and_a_far_one_takes_twice_as_long(self) -> None:
-        moment = 1_600 * 163_840 * 8 / 1_100_000
+        transfer_micros = 1_600 * 163_840 * 8 / 1_100_000
         for number, is_far in enumerate((False, True)):
             ticket = self.engine.submit(0, request(f"r{number}", (f"p{number}", 1_600), source="peer"))
             self.engine.take_fetch(0, ticket, [KeptPart("s", "m", f"p{number}", 1_600, 1, "one")], is_far)
-        self.assertAlmostEqual(self.engine.link_free_at, 2 * 1_700 + 3 * moment, delta=2)
+        self.assertAlmostEqual(self.engine.link_free_at, 2 * 1_700 + 3 * transfer_micros, delta=2)
 
     def test_a_miss_a_dead_source_and_a_long_wait_are_read_instead(self) -> None:
         delays = []
@@ -261,7 +261,7 @@
             engine.take_fetch(0, ticket, found)
             seen = self.run_out(engine)
             self.assertEqual(engine.tokens_read, 160)
-            delays.append(self.of(seen, Begun, ticket)[0][0])
+            delays.append(self.of(seen, RunStarted, ticket)[0][0])
         self.assertGreater(delays[0], 100 * MILLI)
         self.assertLess(max(delays[1:]), 10 * MILLI)
 
@@ -269,27 +269,27 @@
         self.engine.submit(0, request("a", ("p", 160), target="store"))
         saved = [o for _, o in self.run_out() if isinstance(o, SaveWanted)][0]
         store = StoreModel(16 * 20, random.Random(1))
-        store.keep(0, list(saved.parts))
-        store.keep(0, [KeptPart("s", "m", "p", 160, 2, "two")])
-        self.assertEqual([(p.version, p.tenant) for p in store.lend([("s", "m", "p")])], [(1, "one")])
-        store.keep(0, [KeptPart("s", "m", "q", 240, 2, "two")])
+        store.insert(0, list(saved.parts))
+        store.insert(0, [KeptPart("s", "m", "p", 160, 2, "two")])
+        self.assertEqual([(p.version, p.tenant) for p in store.get_cached_prefix([("s", "m", "p")])], [(1, "one")])
+        store.insert(0, [KeptPart("s", "m", "q", 240, 2, "two")])
         self.assertEqual(store.events.read(SECOND, 0).events[1][1], "-")
 
 
 class EventsTest(EngineCase):
     def test_events_are_late_lost_and_forgotten(self) -> None:
-        events = PartEvents(5, random.Random(3))
-        kept = KeptParts(16 * 100_000, events)
-        kept.keep(0, KeptPart("s", "m", "p0", 16, 1, "one"))
+        events = PartEventLog(5, random.Random(3))
+        cache = PartCache(16 * 100_000, events)
+        cache.insert(0, KeptPart("s", "m", "p0", 16, 1, "one"))
         self.assertEqual(events.read(0, 0).next_page, 0, "not yet shown")
         self.assertEqual(events.read(80 * MILLI, 0).next_page, 1)
         events.lost_share = 1.0
-        kept.keep(0, KeptPart("s", "m", "p1", 16, 1, "one"))
+        cache.insert(0, KeptPart("s", "m", "p1", 16, 1, "one"))
         page = events.read(SECOND, 1)
         self.assertEqual((page.events, page.next_page, page.is_dropped), ([], 2, False), "a gap that nothing tells")
         events.lost_share = 0.0
         for number in range(4_001):
-            kept.keep(0, KeptPart("s", "m", f"n{number}", 16, 1, "one"))
+            cache.insert(0, KeptPart("s", "m", f"n{number}", 16, 1, "one"))
         self.assertTrue(events.read(SECOND, 1).is_dropped)
         self.assertTrue(events.read(SECOND, 9_999).is_dropped, "of another life")
 
@@ -298,7 +298,7 @@
         self.engine.list_parts(0)
         ticket = self.engine.submit(0, request("a", ("p", 16), out=200))
         seen = self.run_out(limit=120 * MILLI)
-        self.assertGreaterEqual(self.of(seen, Begun, ticket)[0][0], 5 * MILLI)
+        self.assertGreaterEqual(self.of(seen, RunStarted, ticket)[0][0], 5 * MILLI)
         self.assertEqual(self.engine.report(60 * MILLI)["Active"], 0)
         self.assertEqual(self.engine.report(240 * MILLI)["Active"], 1)
 
@@ -324,34 +324,34 @@
         reading = self.engine.submit(20 * MILLI, request("reading", ("q", 20_000)))
         self.run_out(limit=30 * MILLI)
         self.engine.order(30 * MILLI, order(2))
-        with self.assertRaises(TurnedAwayError):
+        with self.assertRaises(RequestRejectedError):
             self.engine.submit(30 * MILLI, request("later", ("r", 16)))
         seen = self.run_out()
-        self.assertEqual(len(self.of(seen, Ended, running)), 1)
-        self.assertEqual(len(self.of(seen, Refused, reading)), 1)
-        self.assertEqual((self.engine.version, self.engine.kept.used_blocks), (2, 0))
+        self.assertEqual(len(self.of(seen, RunFinished, running)), 1)
+        self.assertEqual(len(self.of(seen, LateRejection, reading)), 1)
+        self.assertEqual((self.engine.version, self.engine.cache.used_blocks), (2, 0))
         self.assertEqual([r.request_id for r in self.ledger.runs], ["running"])
 
     def test_preempt_resets_and_retain_goes_on_under_the_new_version(self) -> None:
-        for mode, kind in (("preempt", Broken), ("retain", Ended)):
+        for mode, kind in (("preempt", RunAborted), ("retain", RunFinished)):
             engine = self.make()
             ticket = engine.submit(0, request("a", ("p", 16), out=60))
             self.run_out(engine, 20 * MILLI)
             engine.order(20 * MILLI, order(2, mode=mode))
             seen = self.run_out(engine)
             self.assertEqual(len(self.of(seen, kind, ticket)), 1, mode)
-            versions = [o.version for _, o in self.of(seen, PieceOut, ticket) if o.version]
+            versions = [o.version for _, o in self.of(seen, PieceProduced, ticket) if o.version]
             self.assertEqual(versions, [2] if mode == "retain" else [])
-            self.assertEqual((engine.version, engine.kept.used_blocks), (2, 0))
+            self.assertEqual((engine.version, engine.cache.used_blocks), (2, 0))
 
     def test_reports_show_an_order_a_lag_after_it_began_and_ended(self) -> None:
         self.engine.advance(0)
         self.engine.order(10 * MILLI, order(2))
         self.engine.advance(10 * MILLI)
         shown = []
-        for moment in (100, 111, 409, 411, 511):
-            self.engine.advance(moment * MILLI)
-            report = self.engine.report(moment * MILLI)
+        for at_millis in (100, 111, 409, 411, 511):
+            self.engine.advance(at_millis * MILLI)
+            report = self.engine.report(at_millis * MILLI)
             shown.append((report["Saturated"], report["CallSeq"], report["Models"][0]["Revision"]))
         self.assertEqual(shown, [(False, 0, 1), (True, 1, 1), (True, 1, 1), (True, 1, 1), (False, 1, 2)])
 
@@ -360,7 +360,7 @@
         self.run_out(limit=SECOND)
         self.engine.order(SECOND, order(2))
         self.run_out(limit=2 * SECOND)
-        self.assertEqual(self.engine.kept.held_rows(), [])
+        self.assertEqual(self.engine.cache.list_rows(), [])
         self.assertEqual(self.engine.events.read(2 * SECOND, 1).events[0][1:5], ["-", "s", "p", 0])
 
 
@@ -371,7 +371,7 @@
     def test_the_list_lags_has_pages_and_a_rate(self) -> None:
         cloud = CloudModel(800 * MILLI, 10, page_size=2)
         for number in range(3):
-            cloud.take_beat(1_000 * MILLI, self.entry(number))
+            cloud.record_heartbeat(1_000 * MILLI, self.entry(number))
         self.assertEqual(cloud.page(1_500 * MILLI, "", "")[1]["Servers"], [])
         status, body = cloud.page(1_900 * MILLI, "", "")
         self.assertEqual((status, len(body["Servers"]), body["NextPage"]), (200, 2, "p-2"))
@@ -383,14 +383,14 @@
 
     def test_a_silent_worker_stays_some_seconds_and_a_new_life_takes_its_place(self) -> None:
         cloud = CloudModel(0, 1_000)
-        cloud.take_beat(0, self.entry(1))
+        cloud.record_heartbeat(0, self.entry(1))
         self.assertEqual(len(cloud.page(3 * SECOND, "", "")[1]["Servers"]), 1)
         self.assertEqual(len(cloud.page(5 * SECOND, "", "")[1]["Servers"]), 0)
-        cloud.take_beat(6 * SECOND, self.entry(1))
-        cloud.take_beat(7 * SECOND, {**self.entry(1), "Id": "i-next"})
+        cloud.record_heartbeat(6 * SECOND, self.entry(1))
+        cloud.record_heartbeat(7 * SECOND, {**self.entry(1), "Id": "i-next"})
 
         def listed(at: int) -> list[str]:
-            cloud.take_beat(at, {**self.entry(1), "Id": "i-next"})
+            cloud.record_heartbeat(at, {**self.entry(1), "Id": "i-next"})
             return [e["Id"] for e in cloud.page(at, "", "")[1]["Servers"]]
 
         self.assertEqual(listed(10 * SECOND), ["i-1", "i-next"], "the crashed one stays beside its successor")
@@ -403,8 +403,8 @@
         def state_at(at: int) -> list[str]:
             return [e["State"] for e in cloud.page(at, "", "")[1]["Servers"]]
 
-        cloud.take_beat(0, self.entry(1, State="ready"))
-        cloud.take_beat(2 * SECOND, self.entry(1, State="draining"))
+        cloud.record_heartbeat(0, self.entry(1, State="ready"))
+        cloud.record_heartbeat(2 * SECOND, self.entry(1, State="draining"))
         self.assertEqual(state_at(2_799 * MILLI), ["ready"])
         self.assertEqual(state_at(2_800 * MILLI), ["draining"])
         self.assertEqual(state_at(6 * SECOND + 1), ["draining"], "it lags in showing that one is gone, too")
@@ -415,7 +415,7 @@
     def test_pages_join_to_the_whole_list_of_a_zone(self) -> None:
         cloud = CloudModel(0, 1_000, page_size=2)
         for number in range(7):
-            cloud.take_beat(0, self.entry(number, zone="z" if number % 2 else "y"))
+            cloud.record_heartbeat(0, self.entry(number, zone="z" if number % 2 else "y"))
         pages, token = [], ""
         while token is not None:
             status, body = cloud.page(0, "y", token)
--- a/tests/test_site_sockets.py
+++ b/tests/test_site_sockets.py
@@ -31,10 +31,12 @@
 
 POLL_SECONDS = 0.005
 SLOW_STEP_MICROS = 50_000
-FAST = EngineSettings(step_micros=200, prefill_tokens_per_milli=10_000.0, load_micros=1_000, dead_source_micros=1_000)
+FAST_SETTINGS = EngineSettings(
+    step_micros=200, prefill_tokens_per_milli=10_000.0, load_micros=1_000, dead_source_micros=1_000
+)
 
 
-class OneAddress(Entry):
+class FixedAddressEntry(Entry):
     """All nodes are one worker: callers reach it without a front node."""
 
     where = ""
@@ -51,16 +53,16 @@
         self.ledger = SiteLedger()
         self.plan = PlanMaker(ACADEMY, SiteSize(1, 1, 1), 1, 9).make()
         self.model = EngineModel(
-            FAST, "w1", "i-1", self.plan.service, self.plan.model, 1, random.Random(1), self.ledger
+            FAST_SETTINGS, "w1", "i-1", self.plan.service, self.plan.model, 1, random.Random(1), self.ledger
         )
         self.model.name_version(2)
         driver = EngineDriver(self.model, self.clock, HttpPartLink(), "north")
-        self.site = EngineSite(driver, self.clock, random.Random(2), self.ledger, 1, connection_limit)
+        self.engine_context = EngineSite(driver, self.clock, random.Random(2), self.ledger, 1, connection_limit)
         self.servers: list[HTTPServer] = []
-        self.engine_address = self.serve(build_engine_server(self.site, "/health"))
+        self.engine_address = self.serve(build_engine_server(self.engine_context, "/health"))
         self.store = StoreModel(1_000_000, random.Random(1))
         self.store_address = self.serve(HTTPServer(build_store(StoreSite(self.store, self.clock, "north", 1))))
-        entry = OneAddress(self.plan.of("router"))
+        entry = FixedAddressEntry(self.plan.of("router"))
         entry.where = self.engine_address
         self.client = SiteClient("c", entry, self.clock, random.Random(3), self.ledger)
         self.draw = RequestDraw(self.plan, self.plan.config, random.Random(4))
@@ -95,37 +97,39 @@
 
 
 class SocketsCase(unittest.TestCase):
-    def play(self, story: Coroutine[Any, Any, None]) -> None:
+    def run_scenario(self, scenario: Coroutine[Any, Any, None]) -> None:
         async def run() -> None:
             async with asyncio.timeout(20):
-                await story
+                await scenario
 
         asyncio.run(run())
 
-    def outcome_of(self, faults: dict[str, float], next_settings: EngineSettings = FAST) -> tuple[Outcome, World]:
+    def outcome_of(
+        self, faults: dict[str, float], second_settings: EngineSettings = FAST_SETTINGS
+    ) -> tuple[Outcome, World]:
         """What a caller makes of an answer with a fault, and what it makes of the next one.
 
         `next_settings`: the worker's pace for the next one. The caller stays until the worker has run both.
         """
         held: list[Any] = []
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
-            world.site.apply_faults(faults)
+            world.engine_context.apply_faults(faults)
             held.extend([await world.call(world.short()), world])
-            world.site.apply_faults(dict.fromkeys(faults, 0.0))
-            world.model.settings = next_settings
+            world.engine_context.apply_faults(dict.fromkeys(faults, 0.0))
+            world.model.settings = second_settings
             held.append(await world.call(world.short()))
             await world.wait_idle()
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
         return held[0], held[1]
 
 
 class WorkerOnSocketsTest(SocketsCase):
     def test_sound_streams_on_a_kept_connection(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             for _ in range(30):
                 self.assertTrue((await world.call(world.draw.draw())).is_whole)
@@ -134,7 +138,7 @@
             self.assertGreater(min(world.report.first_micros), 0)
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_what_callers_make_of_a_worker_in_trouble(self) -> None:
         for fault, rule in (("cut", ""), ("lost", ""), ("split", ""), ("garble", "MIXED"), ("extra", "MIXED")):
@@ -151,7 +155,7 @@
         """Its caller has its outcome at once; the slow worker runs it well after that."""
         for fault in ("extra", "late"):
             with self.subTest(fault):
-                _, world = self.outcome_of({fault: 1.0}, replace(FAST, step_micros=SLOW_STEP_MICROS))
+                _, world = self.outcome_of({fault: 1.0}, replace(FAST_SETTINGS, step_micros=SLOW_STEP_MICROS))
                 self.assertEqual(len(world.ledger.runs), 2, "run once each, whenever the caller had its outcome")
                 self.assertEqual(world.report.tries, 2)
 
@@ -161,7 +165,7 @@
 
     async def begin_slow_run(self, world: World) -> tuple[RawConnection, Head]:
         """A request that the worker is at work on, and the head of its answer."""
-        world.model.settings = replace(FAST, step_micros=200_000)
+        world.model.settings = replace(FAST_SETTINGS, step_micros=200_000)
         request = world.draw.draw()
         headers = {"Host": "h", "X-Request-Id": "left", "X-Deadline": "9000", **request.headers}
         connection = RawConnection(world.engine_address)
@@ -174,7 +178,7 @@
     def test_only_what_the_worker_itself_breaks_off_is_recorded_as_broken_off(self) -> None:
         """A node that closes in the middle of an answer is no excuse for itself."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             connection, _ = await self.begin_slow_run(world)
             connection.close()
@@ -182,20 +186,20 @@
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
             self.assertEqual((world.ledger.broken_off, world.ledger.finished), ([], []))
-            world.model.settings = FAST
+            world.model.settings = FAST_SETTINGS
             self.assertTrue((await world.call(world.short())).is_whole)
             self.assertEqual(len(world.ledger.finished), 1)
-            world.site.apply_faults({"cut": 1.0})
+            world.engine_context.apply_faults({"cut": 1.0})
             await world.call(world.short())
             self.assertEqual(len(world.ledger.broken_off), 1)
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_a_worker_that_ends_at_work_does_not_end_its_answer_as_whole(self) -> None:
         """Tornado finishes the answer of a handler that is cancelled, as all are when the process ends."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             connection, head = await self.begin_slow_run(world)
             for task in asyncio.all_tasks():
@@ -208,10 +212,10 @@
             self.assertEqual(len(world.ledger.broken_off), 1)
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_turned_away_not_run(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             headers = {
                 "X-Request-Id": "r",
@@ -232,10 +236,10 @@
             self.assertEqual(world.ledger.runs, [])
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_orders_reports_events_lists_and_health(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             await world.call(world.short())
             address = world.engine_address
@@ -251,9 +255,9 @@
             self.assertEqual(page["Incarnation"], held["Incarnation"])
             self.assertEqual([e[1] for e in page["Events"]], ["+", "+"][: len(page["Events"])])
             first = asyncio.ensure_future(get("/v1/kv-events?Since=9", Wait_Ms="1000"))
-            world.site.reading += 1
+            world.engine_context.active_readers += 1
             self.assertEqual((await get("/v1/kv-events?Since=2")).head.status, 429)
-            world.site.reading -= 1
+            world.engine_context.active_readers -= 1
             first.cancel()
             self.assertEqual((await get("/v1/report")).fields()["Models"][0]["Revision"], 1)
             order = {
@@ -269,33 +273,33 @@
             self.assertEqual(answer.head.status, 202)
             health = await get("/health")
             self.assertEqual((health.head.status, health.head.text("x-instance")), (200, "i-1"))
-            world.site.is_draining = True
+            world.engine_context.is_draining = True
             self.assertEqual((await get("/health")).head.status, 503)
-            world.site.apply_faults({"false_health": True})
+            world.engine_context.apply_faults({"false_health": True})
             self.assertEqual((await get("/health")).head.status, 200)
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_parts_go_to_the_store_and_come_back_from_it(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             target = {"X-Cache-Target": world.store_address}
             request = world.short()
             await world.call(replace(request, headers={**request.headers, **target}))
-            while not world.store.kept.parts:
+            while not world.store.cache.parts:
                 await asyncio.sleep(0)
-            world.model.kept.drop_all(world.clock.now())
+            world.model.cache.clear(world.clock.now())
             read = world.model.tokens_read
             source = {"X-Cache-Source": world.store_address}
             await world.call(replace(request, headers={**request.headers, **source}))
             self.assertEqual(world.model.tokens_read, read, "all of it came from the store")
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
     def test_connections_beyond_the_limit_are_reset(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(connection_limit=1)
             held = RawConnection(world.engine_address)
             await held.open()
@@ -304,7 +308,7 @@
             held.close()
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
 
 
 class OperatorOnSocketsTest(SocketsCase):
@@ -320,7 +324,7 @@
             b"404 No\r\n",
         ]
 
-        async def story() -> None:
+        async def scenario() -> None:
             where = ""
 
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -343,7 +347,7 @@
             self.assertEqual([c.status for c in ledger.configs], [200, 412, 404, 0])
             server.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
         self.assertEqual(heads[:3], ["PUT /v1/config HTTP/1.1", "PUT /v1/config HTTP/1.1", "PUT /v1/other HTTP/1.1"])
 
 
@@ -356,7 +360,7 @@
         return self.now_micros
 
 
-class FakeControls:
+class FakeControlNodes:
     """Nodes that serve orders, each with scripted answers (200 after the last); what came is kept in order.
 
     An answer of 0 is silence. `redirects_to`: where a 307 points.
@@ -400,12 +404,12 @@
 
 
 class OperatorsRulesTest(SocketsCase):
-    def put(self, controls: FakeControls, lost_answers: int = 0) -> tuple[int, SiteLedger]:
+    def put(self, controls: FakeControlNodes, lost_answers: int = 0) -> tuple[int, SiteLedger]:
         """Status of one change that is sent to such nodes, and what was recorded of it."""
         ledger = SiteLedger()
         statuses = []
 
-        async def story() -> None:
+        async def scenario() -> None:
             await controls.open()
             operator = SiteOperator(
                 controls.addresses, BootClock(), ledger, random.Random(5), lost_answers, silence_seconds=0.05
@@ -413,11 +417,11 @@
             statuses.append(await operator.put({"Revision": 3}, 0))
             controls.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
         return statuses[0], ledger
 
     def test_after_a_lost_answer_the_same_order_goes_to_other_nodes_first(self) -> None:
-        controls = FakeControls([], [], [])
+        controls = FakeControlNodes([], [], [])
         status, ledger = self.put(controls, lost_answers=3)
         self.assertEqual(status, 200)
         nodes = [number for number, _, _ in controls.seen]
@@ -430,23 +434,23 @@
     def test_it_goes_on_after_these(self) -> None:
         for status in (500, 503, 408, 429, 0):
             with self.subTest(status):
-                controls = FakeControls([status], [status])
-                told, ledger = self.put(controls)
-                self.assertEqual((told, sorted(n for n, _, _ in controls.seen[:2])), (200, [0, 1]))
+                controls = FakeControlNodes([status], [status])
+                final_status, ledger = self.put(controls)
+                self.assertEqual((final_status, sorted(n for n, _, _ in controls.seen[:2])), (200, [0, 1]))
                 self.assertEqual([t.status for t in ledger.config_tries], [status, status, 200])
 
     def test_it_ends_at_once_on_these(self) -> None:
         for status in (400, 409, 412, 413, 422):
             with self.subTest(status):
-                controls = FakeControls([status], [status])
+                controls = FakeControlNodes([status], [status])
                 self.assertEqual(self.put(controls)[0], status)
                 self.assertEqual(len(controls.seen), 1)
 
     def test_it_follows_twice_and_not_a_third_time(self) -> None:
-        controls = FakeControls([307, 307])
+        controls = FakeControlNodes([307, 307])
         self.assertEqual(self.put(controls)[0], 200)
         self.assertEqual([line.split()[1] for _, line, _ in controls.seen], ["/v1/config", "/v1/other", "/v1/other"])
-        controls = FakeControls([307, 307, 307])
+        controls = FakeControlNodes([307, 307, 307])
         self.assertEqual(self.put(controls)[0], 200)
         self.assertEqual(controls.seen[3][1].split()[1], "/v1/config", "the fourth is sent anew")
 
@@ -465,7 +469,7 @@
 
 class CloudOnSocketsTest(SocketsCase):
     def test_beats_and_names(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             address = world.serve(HTTPServer(build_cloud(CloudModel(0, 5), world.clock)))
             await ask(address, "POST", "/site/name", {"Model": "m", "Revision": 4})
@@ -478,4 +482,4 @@
             self.assertEqual(json.loads(answer.body)["Servers"][0]["Id"], "i")
             world.close()
 
-        self.play(story())
+        self.run_scenario(scenario())
