--- a/src/pearhead/testbed/emulator/addressblock.py
+++ b/src/pearhead/testbed/emulator/addressblock.py
@@ -1,7 +1,7 @@
-"""AddressBlock (§9.13): the block 127.X.0.0/16 of one emulated site, which no other site on the machine shares.
+"""Loopback address block 127.X.0.0/16 of one emulated site (§9.13), which no other site on the machine shares.
 
-Two things keep a block for its site: a claim, which its launcher holds from the draw on, and the listening sockets of
-the site's processes, which outlive a launcher that has ended.
+Two things reserve a block for its site: a listening socket, the claim, which the site's launcher holds from the moment
+it picks the block, and the listening sockets of the site's processes, which may outlive the launcher.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 BLOCK_COUNT = 249
 CLAIM_PORT = 8161
-"""Only the list of workers serves this port, and not at the claim's address."""
+"""Only the emulated cloud API serves this port, and not at the address of the claim."""
 TCP_SOCKET_TABLE = Path("/proc/net/tcp")
 UDP_SOCKET_TABLE = Path("/proc/net/udp")
 LISTEN_STATE = "0A"
 
 
 class BlockTakenError(Exception):
-    """Another site holds the block, or sockets are open in it."""
+    """Another site has claimed the block, or sockets are open in it."""
 
 
 class AddressBlock:
-    """A claim of one block. `number`: the X of 127.X.0.0. Raises BlockTakenError where it is taken."""
+    """A claim on one block. `number` is the X of 127.X.0.0. Raises BlockTakenError if the block is taken."""
 
     def __init__(self, number: int, ports: Sequence[int]) -> None:
         self.number = number
@@ -42,11 +42,11 @@
             raise
 
     def release(self) -> None:
-        """Ends the claim."""
+        """Gives up the claim."""
         self.claim_socket.close()
 
     def _check_free(self, ports: Sequence[int]) -> None:
-        """Raises OSError where a port is served on all addresses, BlockTakenError where a socket is in the block."""
+        """Raises OSError if a port is served on all addresses, BlockTakenError if a socket is open in the block."""
         for port in ports:
             if port != CLAIM_PORT:
                 probe_port(self.claim_address[0], port)
@@ -56,9 +56,9 @@
 
 
 def claim_free_block(ports: Sequence[int], first: int) -> AddressBlock:
-    """Claims the next free block from `first` on. Raises OSError if there is none.
+    """Claims the next free block after number `first`. Raises OSError if there is none.
 
-    Launchers that begin at once begin to look at numbers of their own.
+    Launchers that start at the same time pass different numbers, so that they look at different blocks first.
     """
     for offset in range(BLOCK_COUNT):
         try:
@@ -69,20 +69,20 @@
 
 
 def probe_port(ip: str, port: int) -> None:
-    """Raises OSError where no server could listen."""
+    """Raises OSError if no server could listen there."""
     with socket.socket() as probe_socket:
         probe_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         probe_socket.bind((ip, port))
 
 
 def bound_addresses() -> Iterator[tuple[str, int]]:
-    """Where sockets of this machine listen for connections, or are bound for datagrams."""
+    """Addresses where sockets of this machine listen for connections or are bound for datagrams."""
     yield from read_socket_table(TCP_SOCKET_TABLE.read_text(), LISTEN_STATE)
     yield from read_socket_table(UDP_SOCKET_TABLE.read_text())
 
 
 def read_socket_table(table_text: str, state: str = "") -> Iterator[tuple[str, int]]:
-    """The local addresses in a table of the kernel (proc(5), /proc/net/tcp), of all sockets or of those in a state."""
+    """Yields the local addresses in a kernel table (proc(5), /proc/net/tcp) of sockets, all or in one state."""
     for line in table_text.splitlines()[1:]:
         _, local_text, _, state_text, *_ = line.split()
         if state in ("", state_text):
--- a/src/pearhead/testbed/emulator/answers.py
+++ b/src/pearhead/testbed/emulator/answers.py
@@ -1,4 +1,7 @@
-"""What an emulated worker answers (§9.13): every piece follows from the request, so that its caller can check it."""
+"""Format of an emulated worker's responses (§9.13).
+
+Every piece is derived from the request, so that the caller can check that it belongs to its own request.
+"""
 
 from __future__ import annotations
 
@@ -7,17 +10,18 @@
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Method, path with its query, and body of a request."""
+    """Digest of a request's method, path with query, and body."""
     return hashlib.sha256(f"{method} {path}\n".encode() + body).hexdigest()[:16]
 
 
 def piece_text(digest: str, number: int) -> str:
+    """Text of a piece, from the digest of its request."""
     return f"{digest}/{number}"
 
 
 @dataclass(frozen=True)
 class Seal:
-    """The stamp of an answer: its request, the run that gave it, how many pieces it has, and its status."""
+    """Header that identifies a response: its request, the run that produced it, its number of pieces, its status."""
 
     digest: str
     run: str
@@ -25,11 +29,12 @@
     status: int = 200
 
     def text(self) -> str:
+        """The value of the header X-Answer-Seal."""
         return f"{self.digest}.{self.run}.{self.pieces}.{self.status}"
 
 
 def read_seal(text: str) -> Seal | None:
-    """None if it is no seal."""
+    """Parses a header value; None if it is not a seal."""
     fields = text.split(".")
     if len(fields) != 4 or not fields[2].isdigit() or not fields[3].isdigit():
         return None
@@ -38,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Piece:
-    """One event of a stream. `version`: the weights, told where they changed; 0 otherwise."""
+    """One event of a stream. `version`: the weights version where it has changed, otherwise 0."""
 
     number: int
     run: str
@@ -46,12 +51,13 @@
     version: int = 0
 
     def encode(self) -> bytes:
+        """The event as bytes, with its closing blank line."""
         head = f"x-weight-versions: {self.version}\n" if self.version else ""
         return f"{head}id: {self.number}\ndata: {self.run} {self.text}\n\n".encode()
 
 
 def read_piece(event_bytes: bytes) -> Piece | None:
-    """Reads one event without its closing blank line. None if it is none of ours."""
+    """Parses an event without its closing blank line; None if a worker did not produce it."""
     fields = dict(line.split(": ", 1) for line in event_bytes.decode("latin-1").split("\n") if ": " in line)
     run, _, text = fields.get("data", "").partition(" ")
     number_text = fields.get("id", "")
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -1,5 +1,8 @@
-"""SiteCaller (§9.13): callers of the emulated platform, with the page's rules for trying again. Each checks every
-answer against what its own request must get: seal, whole body, order, id."""
+"""Clients of the emulated platform (§9.13), which follow its rules for retries.
+
+Each client checks every response against what its own request must get: the seal, a complete body, the order of the
+pieces, the request id.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,9 @@
 from pearhead.testbed.emulator.plan import RequestKind, SitePlan
 from pearhead.testbed.emulator.wire import Head, RawConnection, WireError
 
+# With these statuses the platform promises that the request has not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
+# Another attempt would get the same answer.
 FINAL_STATUSES = (400, 401, 404, 413, 431)
 MIN_SILENCE_MICROS = 2 * SECOND
 RETRY_PAUSE_MICROS = 20 * MILLI
@@ -25,7 +30,11 @@
 
 @dataclass(frozen=True)
 class SiteRequest:
-    """What a caller asks. Times in whole microseconds; `pause_micros`: the longest pause still in time."""
+    """A client's request. Times are whole microseconds.
+
+    `aim_micros` is the route's target for the first piece, `pause_micros` the longest gap between pieces within its
+    target.
+    """
 
     route: str
     kind: str
@@ -42,19 +51,25 @@
 
     @property
     def is_repeatable(self) -> bool:
+        """Whether the request may be sent again after it may have run."""
         return self.kind == "safe" or self.is_resumable
 
     @property
     def digest(self) -> str:
+        """Digest that the response's seal and pieces must carry."""
         return request_digest(self.method, self.path, self.body)
 
     @property
     def silence_micros(self) -> int:
+        """How long the client waits for further bytes before it gives up."""
         return max(MIN_SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
 
 
 class RequestDraw:
-    """Draws requests on the routes of a configuration: a few large tenants, prompts that share their first parts."""
+    """Draws random requests for the routes of a configuration.
+
+    A few tenants send most of the requests, and prompts on the same subject share their first part.
+    """
 
     def __init__(self, plan: SitePlan, config: dict[str, Any], chance: random.Random) -> None:
         self.routes = {r["Name"]: r for r in config["RouteTable"]}
@@ -64,6 +79,7 @@
         self.chance = chance
 
     def draw(self) -> SiteRequest:
+        """Returns the next request."""
         kind = self.chance.choices(self.kinds, [k.share for k in self.kinds])[0]
         route = self.routes[kind.route]
         weights = [8, 6, 4, *([1] * len(self.tenants))][: len(self.tenants)]
@@ -100,9 +116,9 @@
 
 @dataclass
 class StreamCheck:
-    """What is wrong with the pieces of one answer. Breaches are pairs of a rule's name and a sentence.
+    """Checks the pieces of one response. Each fault is a pair of the broken rule's name and a sentence.
 
-    `version`: of the weights, as told last, by the head or by an event; 0 while nothing was told.
+    `version` is the weights version last announced, in the head or in an event; 0 before any was.
     """
 
     request: SiteRequest
@@ -116,6 +132,7 @@
         self.last_number = self.resumed_from
 
     def take(self, piece: Piece | None) -> None:
+        """Checks the next event; None is one that could not be parsed."""
         if piece is None:
             self.faults.append(("MIXED", "bytes that are no event"))
             return
@@ -129,19 +146,19 @@
         self.last_number = piece.number
 
     def take_version(self, version: int) -> None:
-        """The head or an event told it; 0 where it told nothing."""
+        """Checks the weights version that the head or an event announces; 0 if it announces none."""
         if 0 < version < self.version:
             self.faults.append(("ORDER", f"weights {version} follow weights {self.version}"))
         self.version = version or self.version
 
     def end(self) -> None:
-        """The answer ended as whole."""
+        """Checks that a response that ended regularly had all its pieces."""
         if self.last_number < self.seal.pieces:
             self.faults.append(("ORDER", f"ended as whole after {self.last_number} of {self.seal.pieces} pieces"))
 
 
 def check_head(request_id: str, request: SiteRequest, head: Head) -> list[tuple[str, str]]:
-    """What is wrong with the head of an answer."""
+    """Returns what is wrong with the head of a response."""
     faults = []
     echoed = head.text("x-request-id")
     if echoed and echoed != request_id:
@@ -161,19 +178,23 @@
 
 
 class EventSplitter:
-    """Cuts a body into its events."""
+    """Splits a body into its events. `held` is the beginning of an incomplete one."""
 
     def __init__(self) -> None:
         self.held = b""
 
     def take(self, chunk: bytes) -> list[bytes]:
+        """Returns the events that this chunk completes."""
         *events, self.held = (self.held + chunk).split(b"\n\n")
         return events
 
 
 @dataclass
 class Outcome:
-    """How one try ended. `status`: 0 if it was cut or not reached. `is_unread`: no node read the request."""
+    """How one attempt ended. `status`: 0 if it was cut off or reached no node. `is_unread`: no node read the request.
+
+    `is_given_up`: the client ended it, for silence or its deadline. `last_number`: the last piece that came.
+    """
 
     status: int = 0
     is_whole: bool = False
@@ -187,6 +208,8 @@
 
 @dataclass
 class CallReport:
+    """What clients saw: outcomes by label, faults found in responses, number of attempts, times to first piece."""
+
     outcomes: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
     tries: int = 0
@@ -194,7 +217,7 @@
 
 
 class SiteClient:
-    """One caller: a kept connection to its node, one request at a time."""
+    """One client with a kept connection to its node; it sends one request at a time."""
 
     def __init__(
         self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, max_retries: int = 1
@@ -204,7 +227,7 @@
         self.kept_connection: tuple[str, RawConnection] | None = None
 
     async def call(self, request: SiteRequest, report: CallReport) -> Outcome:
-        """The way of a request: tries within its deadline, each recorded."""
+        """Sends a request and retries it within its deadline. Each attempt is recorded; returns the last outcome."""
         started_at = self.clock.now()
         end_at = started_at + request.deadline_micros
         tried: list[str] = []
@@ -226,6 +249,7 @@
         return outcome
 
     def close(self) -> None:
+        """Closes the kept connection."""
         if self.kept_connection is not None:
             self.kept_connection[1].close()
             self.kept_connection = None
@@ -236,6 +260,7 @@
         return str(outcome.status) if outcome.status else "unread" if outcome.is_unread else "cut"
 
     def _may_retry(self, request: SiteRequest, outcome: Outcome) -> bool:
+        """Whether the platform's rules allow another attempt."""
         if outcome.status in FINAL_STATUSES:
             return False
         return outcome.status in NOT_RUN_STATUSES or outcome.is_unread or request.is_repeatable
@@ -243,9 +268,9 @@
     async def _attempt(
         self, request: SiteRequest, attempt: int, tried: list[str], resumed_from: int, end_at: int, report: CallReport
     ) -> Outcome:
-        held = self.kept_connection
+        previous = self.kept_connection
         node, connection = await self._connect(attempt, tried)
-        is_kept = held is not None and held[1] is connection
+        is_kept = previous is not None and previous[1] is connection
         request_id = self.chance.randbytes(8).hex()
         sent_at = self.clock.now()
         outcome = Outcome(is_unread=True)
@@ -373,7 +398,7 @@
             outcome.faults.extend(check.faults)
 
     async def _wait_for_bytes(self, work: Any, request: SiteRequest, end_at: int) -> Any:
-        """Waits for bytes until its deadline, or as long as it bears silence. Raises TimeoutError."""
+        """Waits until the request's deadline or the limit for silence. Raises TimeoutError."""
         left_micros = min(request.silence_micros, end_at - self.clock.now())
         return await asyncio.wait_for(work, max(1, left_micros) / SECOND)
 
@@ -385,13 +410,14 @@
 
 
 class SiteCaller:
-    """Many clients at once, on the routes of the configuration that they are told of."""
+    """Many concurrent clients that send requests on the routes of a given configuration."""
 
     def __init__(self, plan: SitePlan, clock: Clock, chance: random.Random, sink: RecordSink) -> None:
         self.plan, self.clock, self.chance, self.sink = plan, clock, chance, sink
         self.entry = Entry(plan.of("router"))
 
     async def run(self, request_count: int, at_once: int, config: dict[str, Any] | None = None) -> CallReport:
+        """Sends `request_count` requests, `at_once` of them at a time, and reports what the clients saw."""
         report = CallReport()
         draw = RequestDraw(self.plan, config or self.plan.config, self.chance)
         await self.entry.poll()
--- a/src/pearhead/testbed/emulator/cloud.py
+++ b/src/pearhead/testbed/emulator/cloud.py
@@ -1,4 +1,7 @@
-"""CloudSite (§9.13): the platform's list of workers, in pages, behind by a lag, and with a rate for all nodes."""
+"""Emulated cloud API of the platform (§9.13): its list of workers.
+
+The list comes in pages, shows changes after a lag, and has one rate limit for all nodes together.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class RateLimiter:
-    """Lets through so many calls a second, from all callers together."""
+    """Token bucket: allows so many calls per second, from all callers together."""
 
     def __init__(self, per_second: float) -> None:
         self.per_second = per_second
@@ -24,6 +27,7 @@
         self.filled_at = 0
 
     def try_acquire(self, now: int) -> bool:
+        """Returns whether one more call is allowed at `now`, in microseconds."""
         refill = (now - self.filled_at) * self.per_second / SECOND
         self.tokens, self.filled_at = min(self.per_second, self.tokens + refill), now
         if self.tokens < 1:
@@ -33,8 +37,11 @@
 
 
 class CloudModel:
-    """Workers tell it that they live; a worker that falls silent stays listed for some seconds, also when another life
-    has taken its address. `sink` gets what the list shows, and from when."""
+    """Workers known from their heartbeats, and the lists of them that are shown after the lag.
+
+    A worker that falls silent stays listed for WORKER_TIMEOUT_MICROS, also when another instance has taken its address.
+    `sink` gets the changes of each worker's state, with the time from which the list shows them.
+    """
 
     def __init__(
         self, lag_micros: int, per_second: float, page_size: int = PAGE_SIZE, sink: RecordSink | None = None
@@ -50,7 +57,7 @@
         self.call_count = 0
 
     def record_heartbeat(self, now: int, entry: dict[str, Any]) -> dict[str, Any]:
-        """A worker lives. Answers what versions are named and how many load."""
+        """Records that a worker is alive; returns the named versions and the number of workers that load."""
         is_loading = bool(entry.pop("Loading", False))
         self.entries[entry["Id"]] = (now, {**entry, "_loading": is_loading})
         self._record_snapshot(now)
@@ -58,25 +65,30 @@
         return {"Named": self.named_versions, "Loading": loading}
 
     def name_version(self, model: str, version: int) -> None:
+        """Names a weights version of a model, as an operator does."""
         versions = self.named_versions.setdefault(model, [1])
         if version not in versions:
             versions.append(version)
 
     def page(self, now: int, zone: str, token: str) -> tuple[int, dict[str, Any]]:
-        """Status and body of a call for one page."""
+        """Returns status and body for a call that asks for one page; 429 beyond the rate limit.
+
+        An empty `zone` means all zones. `token` is the `NextPage` of the page before, or empty.
+        """
         self.call_count += 1
         if not self.rate_limiter.try_acquire(now):
             return 429, {}
         self._record_snapshot(now)
         while len(self.snapshots) > 1 and self.snapshots[1][0] <= now - self.lag_micros:
             self.snapshots.popleft()
-        # What is shown first may be younger than the lag only before the first list was that old.
+        # The first snapshot is now the newest that is at least as old as the lag, or else the empty one from the start.
         listed = [e for e in self.snapshots[0][1] if zone in ("", e["Zone"])]
         start = int(token.removeprefix("p-")) if token.removeprefix("p-").isdigit() else 0
         next_page = f"p-{start + self.page_size}" if start + self.page_size < len(listed) else None
         return 200, {"Servers": listed[start : start + self.page_size], "NextPage": next_page}
 
     def _record_snapshot(self, now: int) -> None:
+        """Drops workers that have timed out, and keeps a new list if it differs from the newest."""
         for worker_id, (heard_at, _) in list(self.entries.items()):
             if heard_at < now - WORKER_TIMEOUT_MICROS:
                 del self.entries[worker_id]
@@ -97,33 +109,47 @@
 
 
 class CloudHandler(RequestHandler):
+    """Base of the cloud API's handlers."""
+
     def initialize(self, model: CloudModel, clock: Clock) -> None:
+        """Takes the shared state from the application's routes."""
         self.model, self.clock = model, clock
 
 
 class WorkersHandler(CloudHandler):
+    """The list of workers, as the platform serves it."""
+
     def get(self) -> None:
+        """Answers one page of a zone's list."""
         status, body = self.model.page(self.clock.now(), self.get_argument("Zone", ""), self.get_argument("Page", ""))
         self.set_status(status)
         self.finish(body)
 
 
 class HeartbeatHandler(CloudHandler):
+    """Heartbeats of emulated workers. The real platform has no such path."""
+
     def post(self) -> None:
+        """Records a heartbeat."""
         self.finish(self.model.record_heartbeat(self.clock.now(), json.loads(self.request.body)))
 
 
 class VersionNamesHandler(CloudHandler):
+    """Named weights versions, for operators and workers of the emulator."""
+
     def get(self) -> None:
+        """Answers the named versions of each model."""
         self.finish(dict(self.model.named_versions))
 
     def post(self) -> None:
+        """Names a version."""
         body = json.loads(self.request.body)
         self.model.name_version(str(body["Model"]), int(body["Revision"]))
         self.finish({})
 
 
 def build_cloud(model: CloudModel, clock: Clock) -> Application:
+    """Returns the cloud API's HTTP application."""
     handler_args = {"model": model, "clock": clock}
     return Application(
         [
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -1,7 +1,7 @@
-"""EngineModel (§9.13): a model worker of the users' platform that batches, with explicit time and no sleeping.
+"""Batching inference engine of an emulated model worker (§9.13), driven by explicit time; nothing sleeps.
 
-It tells what happens as outputs, and keeps records of what ran on memory of which making. Times are whole
-microseconds on the caller's clock.
+The model returns what happens as outputs. It records what ran and which cached parts a run used, with the weights
+version and the tenant that these parts were made for. Times are whole microseconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -15,12 +15,33 @@
 from pearhead.testbed.emulator.ledger import OrderSeen, RecordSink, Run, Use
 
 DEFAULT_URGENCY = 5
+# What happens to requests that run when new weights are ordered: they finish first, are reset, or go on with the new
+# weights.
 MODES = ("wait", "preempt", "retain")
 
 
 @dataclass(frozen=True)
 class EngineSettings:
-    """A worker's size and pace. Rates are tokens a millisecond and megabits a second; the rest whole microseconds."""
+    """Size and speed of a worker.
+
+    Rates are in tokens per millisecond and megabits per second, sizes in tokens, bytes or requests; all other numbers
+    are whole microseconds.
+
+    - `capacity`, `queue_limit`: requests in the running batch, and requests waiting for a place in it.
+    - `cache_tokens`, `token_bytes`: tokens that fit into memory, and bytes of cache for each token.
+    - `stride`: tokens in a piece of a response. The first piece has one token, the last one the rest.
+    - `chunk_tokens`, `prefill_tokens_per_milli`: prompt tokens that a step reads at most, and the rate of reading them.
+    - `step_micros`, `slot_micros`, `context_micros_per_k`: duration of a step: its base, the addition for each active
+      request, and the addition for each 1,000 tokens of context.
+    - `link_mbps`, `setup_micros`: bandwidth of the link over which cached parts move, and the set-up time of a
+      transfer.
+    - `miss_micros`, `dead_source_micros`: time lost on a source that has nothing, and on one that does not respond.
+    - `move_wait_micros`: a transfer that would wait longer than this for the link is skipped.
+    - `load_micros`: time to load weights at a `load_slowness` of 1.
+    - `list_stall_micros`: how long listing all cached parts holds up the next step.
+    - `report_lag_micros`: age of the state that a report shows.
+    - `is_fenced`: whether orders with an older fence are refused.
+    """
 
     capacity: int = 12
     queue_limit: int = 36
@@ -45,14 +66,20 @@
 
 @dataclass(frozen=True)
 class PartNeed:
+    """A named part of a prompt and its length in tokens."""
+
     part: str
     tokens: int
 
 
 @dataclass(frozen=True)
 class EngineRequest:
-    """What a worker reads from a request's head. `deadline_at`: whole microseconds. `resumed_from`: the last piece
-    that the caller has. Empty `source` and `target`: none."""
+    """What a worker reads from the headers of a request.
+
+    `deadline_at` is in whole microseconds. `resumed_from` is the number of the last piece that the caller has. An empty
+    `source` or `target` means that no parts are fetched or saved; an empty `expected_instance` or an `expected_version`
+    of 0 matches any. A lower `urgency` goes first.
+    """
 
     request_id: str
     tenant: str
@@ -71,7 +98,7 @@
 
 
 class RequestRejectedError(Exception):
-    """The request did not run and never will. Statuses: 400, 421, 429, 503."""
+    """The request did not run and never will. `status` is 400, 421, 429 or 503."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -80,6 +107,8 @@
 
 @dataclass(frozen=True)
 class RunStarted:
+    """The run produced its first token. `pieces` is the number of pieces in the whole response."""
+
     ticket: int
     run: str
     version: int
@@ -88,6 +117,8 @@
 
 @dataclass(frozen=True)
 class PieceProduced:
+    """One piece of a response. `version` is the weights version where it has changed, otherwise 0."""
+
     ticket: int
     number: int
     version: int = 0
@@ -95,12 +126,14 @@
 
 @dataclass(frozen=True)
 class RunFinished:
+    """The run produced its last token."""
+
     ticket: int
 
 
 @dataclass(frozen=True)
 class LateRejection:
-    """Turned away after it had waited: not run."""
+    """The request was rejected after it had been accepted, but before it ran."""
 
     ticket: int
     status: int
@@ -108,20 +141,22 @@
 
 @dataclass(frozen=True)
 class DeadlineExceeded:
-    """The deadline passed while it ran: 504 before its first event, a cut after it."""
+    """The deadline passed while the request ran: 504 before its first piece, a broken connection after it."""
 
     ticket: int
 
 
 @dataclass(frozen=True)
 class RunAborted:
-    """Reset by an order."""
+    """The run was aborted by an order, which resets its connection, or because the client closed it."""
 
     ticket: int
 
 
 @dataclass(frozen=True)
 class FetchWanted:
+    """Cached parts are wanted from the address `source`. `keys` are in the order of the prompt."""
+
     ticket: int
     source: str
     keys: tuple[tuple[str, str, str], ...]
@@ -129,6 +164,8 @@
 
 @dataclass(frozen=True)
 class SaveWanted:
+    """Cached parts are to be sent to the store at the address `target`."""
+
     target: str
     parts: tuple[KeptPart, ...]
 
@@ -140,6 +177,14 @@
 
 @dataclass
 class _RequestState:
+    """Progress of a request that waits or runs.
+
+    `phase` is "queued", "fetching", "prefill" or "decode". `part_index` and `part_tokens_read` are the position in the
+    named parts of the prompt. The tail is the rest of the prompt, together with tokens generated before, which have to
+    be read again after a resumption or after the request lost its memory. `pinned_parts` are cached parts that the
+    request uses; `private_blocks` is the memory that it alone holds.
+    """
+
     ticket: int
     request: EngineRequest
     phase: str = "queued"
@@ -158,19 +203,25 @@
 
     @property
     def priority(self) -> tuple[int, int]:
+        """Sort key: the most urgent first, then the oldest."""
         return (self.request.urgency, self.ticket)
 
 
 @dataclass
 class _Load:
+    """A weights load under way. `end_at` is None while runs of the old version still finish."""
+
     version: int
     mode: str
     end_at: int | None = None
 
 
 class EngineModel:
-    """One life of a model worker. `submit`, `order`, `cancel` and `take_fetch` tell it things at a time; `advance`
-    lets time pass and returns what came of it; `next_at` is when something next happens by itself."""
+    """Engine of one worker instance, from its start until it stops.
+
+    Callers pass the current time to `submit`, `order`, `cancel` and the other methods. `advance` processes everything
+    that is due by then and returns the outputs.
+    """
 
     def __init__(
         self,
@@ -208,27 +259,31 @@
         self.reports: deque[tuple[int, dict[str, Any]]] = deque(maxlen=64)
         self.tokens_read = 0
 
-    # ---- what others tell it -----------------------------------------------------------------------
+    # ---- requests and orders -----------------------------------------------------------------------
 
     def submit(self, now: int, request: EngineRequest) -> int:
-        """Takes a request in and returns its ticket. Raises TurnedAwayError: 421 for another life or version, 400 for
-        another model, 503 when it is full, too large, or being loaded."""
+        """Queues a request and returns its ticket.
+
+        Raises RequestRejectedError: 421 for another instance or weights version, 400 for another model, 503 while
+        weights load, when the request is larger than memory, and when the queue is full. With a full queue a more
+        urgent request takes the place of the last one in it.
+        """
         if request.expected_instance not in ("", self.instance):
-            raise RequestRejectedError(421, "another worker")
+            raise RequestRejectedError(421, "the request names another instance")
         if request.model != self.model:
-            raise RequestRejectedError(400, "no such model")
+            raise RequestRejectedError(400, "the request names another model")
         if request.expected_version not in (0, self.version):
-            raise RequestRejectedError(421, "other weights")
+            raise RequestRejectedError(421, "the request names another weights version")
         if self.load is not None:
-            raise RequestRejectedError(503, "an order is under way")
+            raise RequestRejectedError(503, "a weights load is under way")
         total_tokens = request.prompt_tokens + request.output_tokens
         needed_blocks = count_blocks(total_tokens) + len(request.parts) + 1
         if needed_blocks > self.cache.total_blocks:
-            raise RequestRejectedError(503, "larger than the memory")
+            raise RequestRejectedError(503, "the request is larger than memory")
         if len(self.queue) >= self.settings.queue_limit:
             last = max(self.queue, key=lambda r: r.priority)
             if last.request.urgency <= request.urgency:
-                raise RequestRejectedError(503, "full")
+                raise RequestRejectedError(503, "the queue is full")
             self.queue.remove(last)
             self.outputs.append(LateRejection(last.ticket, 503))
         self.last_ticket += 1
@@ -239,16 +294,17 @@
         return entry.ticket
 
     def cancel(self, now: int, ticket: int) -> None:
-        """Its connection closed: it is dropped wherever it stands."""
+        """Drops a request, queued or running, whose connection has closed."""
         for entry in [*self.queue, *self.running]:
             if entry.ticket == ticket:
                 self._remove(entry)
         self._admit(now)
 
     def take_fetch(self, now: int, ticket: int, parts: list[KeptPart] | None, is_far: bool = False) -> None:
-        """What a source had of a prompt: None if the source is dead. Neither tenant nor version is checked.
+        """Handles the result of a fetch: the parts that the source had, or None if it did not respond.
 
-        `is_far`: the source stands in another zone, and the move takes twice as long.
+        The tenant and the version of the parts are not checked. With `is_far` the source is in another zone, and the
+        transfer takes twice as long.
         """
         entry = next((r for r in self.running if r.ticket == ticket and r.phase == "fetching"), None)
         if entry is None:
@@ -269,7 +325,7 @@
             self.cache.insert(now, KeptPart(part.salt, part.model, part.part, part.tokens, part.version, part.tenant))
 
     def get_cached_prefix(self, keys: list[tuple[str, str, str]]) -> list[KeptPart]:
-        """What another worker finds here of the prompt that it asks for, in order, up to the first part missing."""
+        """Returns the parts cached here for another worker's prompt, in order, up to the first that is missing."""
         found = []
         for key in keys:
             part = self.cache.get(key)
@@ -280,7 +336,7 @@
         return found
 
     def order(self, now: int, body: dict[str, Any]) -> int:
-        """Takes an order and returns its status: 202, 200, 400, 409 or 412."""
+        """Handles an order to change the weights and returns its status: 202, 200, 400, 409 or 412."""
         status = self._check_order(body)
         if status != 400:
             self.sink.take(
@@ -300,19 +356,21 @@
         return status
 
     def name_version(self, version: int) -> None:
+        """Adds a weights version that orders may ask for."""
         self.named_versions.add(version)
 
     def list_parts(self, now: int) -> dict[str, object]:
-        """The whole list. It holds up the worker's work."""
+        """Returns the list of all cached parts. Building it delays the next step."""
         self.stalled_until = max(self.stalled_until, now + self.settings.list_stall_micros)
         return {"Incarnation": self.events.incarnation, "NextPage": self.events.number, "Held": self.cache.list_rows()}
 
     def report(self, now: int) -> dict[str, Any]:
-        """The worker's state as it stood some hundred milliseconds ago."""
+        """Returns the worker's state as it was `report_lag_micros` ago, or the oldest known."""
         visible_reports = [r for at, r in self.reports if at <= now - self.settings.report_lag_micros]
         return visible_reports[-1] if visible_reports else (self.reports[0][1] if self.reports else self.state())
 
     def state(self) -> dict[str, Any]:
+        """Returns the worker's present state, in the fields of a report."""
         return {
             "Phase": "both",
             "Models": [{"Name": self.model, "Revision": self.version, "Adapters": []}],
@@ -328,7 +386,7 @@
     # ---- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int | None:
-        """When something next happens by itself; None if nothing will."""
+        """Returns when `advance` next has something to do if nothing is submitted; None if nothing will happen."""
         event_times = [r.request.deadline_at for r in (*self.queue, *self.running)]
         if self.step_end_at is not None:
             event_times.append(self.step_end_at)
@@ -338,7 +396,7 @@
         return min(event_times) if event_times else None
 
     def advance(self, now: int) -> list[EngineOutput]:
-        """Lets time pass up to `now`; what happened, in order."""
+        """Processes all events up to `now` and returns the outputs, in order."""
         while (event_at := self.next_at()) is not None and event_at <= now:
             self._process_due_events(event_at)
         self._record_state(now)
@@ -346,7 +404,7 @@
         return outputs
 
     def _record_state(self, now: int) -> None:
-        """Notes the state for reports: some times in their lag, and whenever an order begins or ends."""
+        """Keeps the state for later reports: several times per report lag, and when an order begins or ends."""
         state = self.state()
         is_due = not self.reports or now - self.reports[-1][0] >= self.settings.report_lag_micros // 4
         if is_due or any(state[n] != self.reports[-1][1][n] for n in ("Saturated", "CallSeq", "Models")):
@@ -380,6 +438,7 @@
     # ---- admission and memory ----------------------------------------------------------------------
 
     def _reset_progress(self, entry: _RequestState) -> None:
+        """Sets a request to unread, as when it is first queued; pieces that are already out are kept."""
         piece_count = self._piece_count(entry.request)
         if not entry.is_begun:
             entry.next_piece = min(entry.request.resumed_from, piece_count) + 1
@@ -393,12 +452,13 @@
         return max(1, -(-request.output_tokens // self.settings.stride))
 
     def _tokens_before_piece(self, request: EngineRequest, piece_number: int) -> int:
-        """Tokens that are out once the piece before this one is."""
+        """Tokens generated once the piece before this one is out."""
         if piece_number <= 1:
             return 0
         return self._tokens_through_piece(request, piece_number - 1)
 
     def _tokens_through_piece(self, request: EngineRequest, piece_number: int) -> int:
+        """Tokens generated once this piece is out."""
         if piece_number >= self._piece_count(request):
             return request.output_tokens
         return (piece_number - 1) * self.settings.stride + 1
@@ -411,6 +471,7 @@
         self._start_step(now)
 
     def _try_admit(self, now: int, entry: _RequestState) -> bool:
+        """Moves a queued request into the running batch; returns False if its memory can't be allocated."""
         cached = self._cached_prefix(entry)
         partial_part = self._partial_part(entry, len(cached))
         pinned = cached if partial_part is None else [*cached, partial_part]
@@ -444,23 +505,23 @@
         return True
 
     def _cached_prefix(self, entry: _RequestState) -> list[KeptPart]:
-        """Parts kept whole from the start of the prompt on."""
+        """The parts at the start of the prompt that are cached in full."""
         cached: list[KeptPart] = []
-        for need in entry.request.parts:
-            part = self.cache.get((entry.request.salt, entry.request.model, need.part))
-            if part is None or part.tokens < need.tokens:
+        for prompt_part in entry.request.parts:
+            part = self.cache.get((entry.request.salt, entry.request.model, prompt_part.part))
+            if part is None or part.tokens < prompt_part.tokens:
                 break
             cached.append(part)
         return cached
 
     def _partial_part(self, entry: _RequestState, part_index: int) -> KeptPart | None:
-        """The part at a position, of which only the beginning is kept."""
+        """The part of the prompt at an index, if a beginning of it is cached."""
         if part_index == len(entry.request.parts):
             return None
         return self.cache.get((entry.request.salt, entry.request.model, entry.request.parts[part_index].part))
 
     def _pin_cached_parts(self, now: int, entry: _RequestState) -> None:
-        """Pins what came to be kept since it was let in, and gives back the blocks that were taken for reading it."""
+        """Pins parts that were cached since the request was admitted, and releases the blocks reserved to read them."""
         new_parts = self._cached_prefix(entry)[entry.part_index :]
         for part in new_parts:
             self.cache.pin(part)
@@ -473,7 +534,7 @@
         self.cache.touch(entry.pinned_parts)
         partial_part = self._partial_part(entry, entry.part_index)
         if partial_part is not None:
-            # Kept in part: its beginning is not read again.
+            # Only the part's beginning is cached; reading goes on after it.
             entry.part_tokens_read = partial_part.tokens
             self._record_use(now, entry, partial_part, partial_part.tokens)
 
@@ -509,7 +570,7 @@
         entry.private_blocks = 0
 
     def _requeue(self, entry: _RequestState) -> None:
-        """Memory ran out: it waits again, and is read anew."""
+        """Puts a running request back into the queue when memory runs out; its prompt is read again."""
         self._remove(entry)
         self._reset_progress(entry)
         self.queue.append(entry)
@@ -532,7 +593,7 @@
         self.step_end_at = max(now, self.stalled_until) + round(step_micros * self.step_slowness)
 
     def _plan_prefill(self, active: list[_RequestState]) -> dict[int, int]:
-        """Tokens of prompts that this step reads, by ticket: one piece, the most urgent and oldest first."""
+        """Splits this step's budget of prompt tokens over the requests, by ticket: most urgent and oldest first."""
         budget_tokens, planned = self.settings.chunk_tokens, {}
         for entry in sorted(active, key=lambda r: r.priority):
             if entry.phase == "prefill" and budget_tokens:
@@ -558,23 +619,25 @@
     def _read_prompt(self, now: int, entry: _RequestState, tokens: int) -> None:
         self.tokens_read += tokens
         while tokens and entry.part_index < len(entry.request.parts):
-            need = entry.request.parts[entry.part_index]
-            read_tokens = min(tokens, need.tokens - entry.part_tokens_read)
+            prompt_part = entry.request.parts[entry.part_index]
+            read_tokens = min(tokens, prompt_part.tokens - entry.part_tokens_read)
             entry.part_tokens_read += read_tokens
             tokens -= read_tokens
-            if entry.part_tokens_read == need.tokens:
-                self._cache_read_part(now, entry, need)
+            if entry.part_tokens_read == prompt_part.tokens:
+                self._cache_read_part(now, entry, prompt_part)
         entry.tail_tokens_read += tokens
         if not self._unread_tokens(entry):
             entry.phase = "decode"
             if entry.request.target:
                 self._save(now, entry)
 
-    def _cache_read_part(self, now: int, entry: _RequestState, need: PartNeed) -> None:
+    def _cache_read_part(self, now: int, entry: _RequestState, prompt_part: PartNeed) -> None:
         request = entry.request
         entry.part_index, entry.part_tokens_read = entry.part_index + 1, 0
-        entry.private_blocks -= count_blocks(need.tokens)
-        new_part = KeptPart(request.salt, request.model, need.part, need.tokens, self.version, request.tenant)
+        entry.private_blocks -= count_blocks(prompt_part.tokens)
+        new_part = KeptPart(
+            request.salt, request.model, prompt_part.part, prompt_part.tokens, self.version, request.tenant
+        )
         cached_part = self.cache.insert(now, new_part, has_blocks=True)
         if cached_part is not None:
             self.cache.pin(cached_part)
@@ -615,7 +678,7 @@
             self.outputs.append(RunFinished(entry.ticket))
 
     def _allocate_block(self, now: int, entry: _RequestState) -> bool:
-        """One more block; False if the request itself had to be put back for it."""
+        """Allocates one more block; returns False if the request itself had to be requeued for it."""
         while not self.cache.allocate_blocks(now, 1):
             newest = max(self.running, key=lambda r: r.priority)
             if newest is entry:
@@ -643,7 +706,7 @@
             )
         )
 
-    # ---- orders ------------------------------------------------------------------------------------
+    # ---- weights loads -----------------------------------------------------------------------------
 
     def _check_order(self, body: dict[str, Any]) -> int:
         holder, fence, version = body.get("Holder"), body.get("Fence"), body.get("Revision")
@@ -683,7 +746,7 @@
         if self.load is None or self.load.end_at is not None:
             return
         if self.load.mode == "wait" and self.queue and not self.running:
-            # Put back while it ran: its run has to end first.
+            # Requeued during its run, for lack of memory: the run has to finish before the load.
             for entry in sorted(self.queue, key=lambda r: r.priority):
                 self._try_admit(now, entry)
         if self.load.mode != "wait" or not (self.running or self.queue):
--- a/src/pearhead/testbed/emulator/enginedriver.py
+++ b/src/pearhead/testbed/emulator/enginedriver.py
@@ -1,4 +1,4 @@
-"""EngineDriver (§9.13): lets an EngineModel live in real time, and moves parts between workers and stores."""
+"""Runs an EngineModel in real time (§9.13), and moves cached parts between workers and stores."""
 
 from __future__ import annotations
 
@@ -23,17 +23,22 @@
 
 
 class PartTransfer(Protocol):
-    """Moves kept parts. `fetch` returns None where the source is dead."""
+    """Moves cached parts between processes."""
 
-    async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None: ...
+    async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None:
+        """Returns the parts found at an address and its zone; None if it does not respond."""
+        ...
 
-    async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None: ...
+    async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None:
+        """Sends parts to a store."""
+        ...
 
 
 class HttpPartLink:
-    """Between emulated processes, on paths of their own that the platform does not have."""
+    """Moves parts between processes of the emulator, on paths that the real platform does not have."""
 
     async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None:
+        """Returns the parts found at an address and its zone; None without a successful response."""
         answer = await ask(address, "POST", "/site/lend", {"keys": keys})
         if answer is None or answer.head.status != 200:
             return None
@@ -41,10 +46,13 @@
         return [KeptPart(**{**p, "pins": 0}) for p in result["parts"]], str(result["zone"])
 
     async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None:
+        """Sends parts to a store, whether it succeeds or not."""
         await ask(address, "POST", "/site/keep", {"parts": [asdict(p) for p in parts]})
 
 
 class EngineDriver:
+    """Advances an engine on a clock and hands its outputs to the requests that wait for them."""
+
     def __init__(self, model: EngineModel, clock: Clock, transfer: PartTransfer, zone: str) -> None:
         self.model, self.clock, self.transfer, self.zone = model, clock, transfer, zone
         self.output_queues: dict[int, asyncio.Queue[EngineOutput]] = {}
@@ -52,7 +60,7 @@
         self.timer: Timer | None = None
 
     def submit(self, request: EngineRequest) -> tuple[int, asyncio.Queue[EngineOutput]]:
-        """Raises TurnedAwayError."""
+        """Submits a request; returns its ticket and the queue of its outputs. Raises RequestRejectedError."""
         self.kick()
         ticket = self.model.submit(self.clock.now(), request)
         queue: asyncio.Queue[EngineOutput] = asyncio.Queue()
@@ -61,6 +69,7 @@
         return ticket, queue
 
     def cancel(self, ticket: int) -> None:
+        """Drops a request; whoever waits for its outputs gets RunAborted."""
         queue = self.output_queues.pop(ticket, None)
         if queue is not None:
             queue.put_nowait(RunAborted(ticket))
@@ -68,13 +77,14 @@
         self.kick()
 
     def order(self, body: dict[str, Any]) -> int:
+        """Passes an order to the engine and returns its status."""
         self.kick()
         status = self.model.order(self.clock.now(), body)
         self.kick()
         return status
 
     def kick(self) -> None:
-        """Lets the model's time come up to now, tells what happened, and sets the next moment."""
+        """Advances the engine to the present, delivers its outputs, and sets the timer for its next event."""
         for output in self.model.advance(self.clock.now()):
             self._deliver(output)
         if self.timer is not None:
--- a/src/pearhead/testbed/emulator/enginefaults.py
+++ b/src/pearhead/testbed/emulator/enginefaults.py
@@ -1,4 +1,4 @@
-"""EngineFaults (§9.13): what an emulated worker does wrong, by command. Shares are from 0 to 1."""
+"""Faults of an emulated worker (§9.13), switched on by command."""
 
 from __future__ import annotations
 
@@ -9,11 +9,19 @@
 
 @dataclass
 class EngineFaults:
-    """`cut`, `garble`, `extra`, `late`, `lost`, `fails`, `split`: shares of answers that end in their middle, are no
-    answer, are followed at once by another, are followed later by one, are reset instead, are the worker's own 500, or
-    end inside an event.
-    `slowness`: steps take so many times as long while health says nothing (a grey failure). `false_health`: health
-    is good whatever else is not. `forgets_idle`: idle connections are closed without a word.
+    """Faults in force. Shares are from 0 to 1.
+
+    - `cut`: share of responses that end in their middle, without a reset.
+    - `garble`: share of responses that are replaced by bytes that are not HTTP.
+    - `extra`, `late`: share of responses that are followed by a stray one, at once or after a delay.
+    - `lost`: share of responses that are replaced by a reset.
+    - `fails`: share of responses that are replaced by the worker's own 500.
+    - `split`: share of responses that are reset inside an event.
+    - `slowness`: factor on the duration of steps, which health and reports don't show (a grey failure).
+    - `link_slowness`: factor on the time to move cached parts.
+    - `events_lost`, `events_lag_micros`: share of cache events that never show, and the delay of the others.
+    - `false_health`: the health probe succeeds even when it should not.
+    - `forgets_idle`: idle connections are closed without an announcement.
     """
 
     cut: float = 0.0
@@ -31,13 +39,13 @@
     forgets_idle: bool = False
 
     def update(self, changes: dict[str, Any]) -> None:
-        """Sets the named faults; names that are none are passed over."""
+        """Sets the named faults; unknown names are ignored."""
         for known_field in fields(self):
             if known_field.name in changes:
                 setattr(self, known_field.name, type(getattr(self, known_field.name))(changes[known_field.name]))
 
     def draw(self, chance: random.Random) -> str:
-        """The fault of one answer, or none."""
+        """Draws the fault of one response; an empty string for none."""
         remaining = chance.random()
         for name in ("cut", "garble", "extra", "late", "lost", "fails", "split"):
             remaining -= getattr(self, name)
--- a/src/pearhead/testbed/emulator/enginefront.py
+++ b/src/pearhead/testbed/emulator/enginefront.py
@@ -1,4 +1,4 @@
-"""EngineFront (§9.13): an emulated model worker on its socket, as the platform's page says."""
+"""HTTP server of an emulated model worker (§9.13), as the page on the users' platform describes it."""
 
 from __future__ import annotations
 
@@ -34,15 +34,19 @@
 from pearhead.testbed.emulator.ledger import Arrival, BrokenOff, Finished, RecordSink, body_digest
 
 IDLE_SECONDS = 30
+# With the fault `forgets_idle`, connections are closed this long after a response.
 IDLE_CLOSE_DELAY_MICROS = 200 * MILLI
+# Share of responses that announce `Connection: close`.
 CLOSE_AFTER_RESPONSE_SHARE = 0.02
+# Wait before a stray response of the fault `late`, and before the fault `split` resets the connection.
 LATE_BYTES_DELAY_MICROS = 20 * MILLI
+# Share of `split` faults that hit the first event of a run; the others hit the second.
 FIRST_SPLIT_SHARE = 0.5
 DEFAULT_DEADLINE_MICROS = 30 * SECOND
 
 
 def parse_prompt_parts(text: str) -> tuple[PartNeed, ...]:
-    """`ID:TOKENS` separated by commas. Raises ValueError."""
+    """Parses `ID:TOKENS` items separated by commas. Raises ValueError."""
     parts = []
     for item in text.split(",") if text else []:
         part, _, tokens_text = item.partition(":")
@@ -51,20 +55,24 @@
 
 
 def parse_token_counts(text: str) -> tuple[int, int]:
-    """Tokens of the prompt and the most to put out. Raises ValueError."""
+    """Parses the number of prompt tokens and the most to generate, at least 1. Raises ValueError."""
     prompt_text, _, output_text = text.partition(",")
     return int(prompt_text), max(1, int(output_text))
 
 
 def reset_connection(stream: IOStream) -> None:
-    """Closes with a reset, as a machine that drops a connection does."""
+    """Closes the connection with a TCP reset, as a machine that drops it does."""
     if not stream.closed():
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.close()
 
 
 class EngineSite:
-    """What the handlers of one emulated worker share."""
+    """State that the handlers of one emulated worker share.
+
+    `reader_limit`: event readers served at a time. `connection_limit`: open connections, beyond which new ones are
+    reset.
+    """
 
     def __init__(
         self,
@@ -83,6 +91,7 @@
         self.faults = EngineFaults()
 
     def apply_faults(self, fields: dict[str, Any]) -> None:
+        """Sets the named faults and passes them on to the engine."""
         self.faults.update(fields)
         model = self.driver.model
         model.step_slowness, model.link_slowness = self.faults.slowness, self.faults.link_slowness
@@ -91,21 +100,26 @@
 
 
 class EngineHandler(RequestHandler):
+    """Base of the worker's handlers."""
+
     def initialize(self, context: EngineSite) -> None:
+        """Takes the shared state from the application's routes."""
         self.context = context
         self.model = context.driver.model
 
     @property
     def stream(self) -> IOStream:
+        """The connection's stream."""
         connection: Any = self.request.connection
         stream: IOStream = connection.stream
         return stream
 
     def header(self, name: str) -> str:
+        """A header of the request, or an empty string."""
         return str(self.request.headers.get(name, ""))
 
     def abort_response(self, is_reset: bool) -> None:
-        """Ends the connection in the middle of an answer; there is nothing left to finish."""
+        """Closes the connection in the middle of a response, with or without a reset, and records it."""
         self.context.sink.take(BrokenOff(self.context.clock.now(), self.model.worker, self.header("X-Request-Id")))
         self._auto_finish = False
         if is_reset:
@@ -114,6 +128,7 @@
             self.stream.close()
 
     async def reject(self, status: int, has_run: bool = False) -> None:
+        """Answers a failure without a body: not run (the default), or failed while it ran."""
         self.set_status(status)
         if not has_run:
             self.set_header("X-Not-Run", "1")
@@ -127,13 +142,14 @@
 
 
 class ClientRequestHandler(EngineHandler):
-    """Any method on any path that is none of the worker's own: a request of a client."""
+    """Any method on any path that is not one of the worker's own: a client's request."""
 
     ticket = 0
     closes_connection = False
     is_client_gone = False
 
     async def serve(self) -> None:
+        """Records the request's arrival, submits it to the engine and streams the response."""
         request_id, status = self.header("X-Request-Id"), 0
         if not request_id:
             self._record_arrival(400)
@@ -155,7 +171,7 @@
         except StreamClosedError:
             self._auto_finish = False
         except asyncio.CancelledError:
-            # The process ends. Tornado would end the answer as if it were whole.
+            # The process is stopping. Without the reset, Tornado would finish the response as if it were complete.
             self.abort_response(is_reset=True)
         finally:
             self.context.driver.cancel(self.ticket)
@@ -163,6 +179,7 @@
     get = post = put = delete = patch = head = options = serve
 
     def on_connection_close(self) -> None:
+        """Cancels the request when its client has closed the connection."""
         self.is_client_gone = True
         if self.ticket:
             self.context.driver.cancel(self.ticket)
@@ -208,7 +225,7 @@
         )
 
     async def _send_response(self, engine_request: EngineRequest, outputs: asyncio.Queue[EngineOutput]) -> None:
-        """The way of an answer, event by event, and what a worker in trouble makes of it."""
+        """Sends the response event by event, with the fault drawn for it, if any."""
         digest = request_digest(str(self.request.method), str(self.request.uri), self.request.body)
         fault = self.context.faults.draw(self.context.chance)
         run, is_begun, pieces_out = "", False, 0
@@ -222,7 +239,7 @@
                     await self.reject(504, has_run=True)
                     return
                 case RunAborted() if self.is_client_gone:
-                    # The node closed first: the worker has broken off nothing.
+                    # The client, a front node, closed first; this is not recorded as a response that the worker broke off.
                     self._auto_finish = False
                     return
                 case RunAborted() | DeadlineExceeded():
@@ -250,12 +267,12 @@
                     return
 
     def _draw_split(self, number: int, engine_request: EngineRequest) -> bool:
-        """The first event of a run as often as any of the later ones."""
+        """Whether a `split` fault hits this event. It hits the first event as often as a later one."""
         is_first = number == engine_request.resumed_from + 1
         return not is_first or self.context.chance.random() < FIRST_SPLIT_SHARE
 
     async def _abort_inside_event(self, piece: Piece) -> None:
-        """Breaks off inside an event, after some of its bytes have gone out."""
+        """Resets the connection after some bytes of an event have been sent."""
         event_bytes = piece.encode()
         self.write(event_bytes[: self.context.chance.randrange(1, len(event_bytes))])
         await self.flush()
@@ -274,6 +291,7 @@
             self.set_header("Keep-Alive", f"timeout={IDLE_SECONDS}")
 
     async def _apply_start_fault(self, fault: str) -> bool:
+        """Applies a fault that takes the place of the whole response; returns whether there was one."""
         if fault == "garble":
             await self.stream.write(b"\x00\x7fno answer at all\r\n\r\n")
             self.abort_response(is_reset=False)
@@ -284,6 +302,7 @@
         return fault in ("garble", "lost", "fails")
 
     async def _finish_response(self, engine_request: EngineRequest, fault: str) -> None:
+        """Ends the response, sends the stray one of an `extra` or `late` fault, and closes the connection if due."""
         stream = self.stream
         self.context.sink.take(Finished(self.context.clock.now(), self.model.worker, engine_request.request_id))
         await self.finish()
@@ -304,13 +323,19 @@
 
 
 class ReportHandler(EngineHandler):
+    """The worker's state."""
+
     def get(self) -> None:
+        """Answers the state, as it was some time ago."""
         self.context.driver.kick()
         self.finish(self.model.report(self.context.clock.now()))
 
 
 class OrderHandler(EngineHandler):
+    """Orders to change the weights."""
+
     async def post(self) -> None:
+        """Answers the status of the order; 421 if it is for another instance."""
         if self.header("X-Expect-Instance") not in ("", self.model.instance):
             await self.reject(421)
             return
@@ -323,7 +348,10 @@
 
 
 class CacheEventsHandler(EngineHandler):
+    """Long poll for cache events."""
+
     async def get(self) -> None:
+        """Answers the events after `Since`, once there are any or after `Wait-Ms`; 429 beyond the reader limit."""
         context, events = self.context, self.model.events
         if context.active_readers >= context.reader_limit:
             self.set_status(429)
@@ -345,7 +373,10 @@
 
 
 class CacheListHandler(EngineHandler):
+    """Lists all cached parts."""
+
     async def get(self) -> None:
+        """Answers the list; 429 while as many event readers are served as the limit allows."""
         context = self.context
         if context.active_readers >= context.reader_limit:
             self.set_status(429)
@@ -355,7 +386,10 @@
 
 
 class HealthHandler(EngineHandler):
+    """Health probe."""
+
     def get(self) -> None:
+        """Answers 503 while the worker drains or its queue is full, unless the fault `false_health` is set."""
         self.set_header("X-Instance", self.model.instance)
         is_full = len(self.model.queue) >= self.model.settings.queue_limit
         is_unhealthy = self.context.is_draining or is_full
@@ -364,9 +398,10 @@
 
 
 class CachedPrefixHandler(EngineHandler):
-    """For other emulated processes only."""
+    """Sends cached parts to a worker that fetches them. Only for other processes of the emulator."""
 
     def post(self) -> None:
+        """Answers the parts found, and the worker's zone."""
         keys = [(str(a), str(b), str(c)) for a, b, c in json.loads(self.request.body)["keys"]]
         self.finish(
             {"parts": [asdict(p) for p in self.model.get_cached_prefix(keys)], "zone": self.context.driver.zone}
@@ -374,9 +409,10 @@
 
 
 class CommandHandler(EngineHandler):
-    """For the launcher and tests: faults, and versions that an operator named."""
+    """Commands of the launcher and of tests: faults, and weights versions that an operator has named."""
 
     def post(self) -> None:
+        """Applies the command and answers the faults now in force."""
         fields = json.loads(self.request.body)
         self.context.apply_faults(fields)
         for version in fields.get("named", []):
@@ -385,11 +421,12 @@
 
 
 class ConnectionLimitedServer(HTTPServer):
-    """Resets connections beyond a limit."""
+    """HTTP server that resets connections beyond a limit; 0 means no limit."""
 
     limit = 0
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
+        """Accepts a connection, or resets it if the limit is reached."""
         open_streams = [s for s in getattr(self, "held_streams", []) if not s.closed()]
         if self.limit and len(open_streams) >= self.limit:
             reset_connection(stream)
@@ -399,6 +436,7 @@
 
 
 def build_engine_server(context: EngineSite, probe_path: str) -> ConnectionLimitedServer:
+    """Returns the worker's HTTP server. `probe_path`: where the health probe is served."""
     handler_args = {"context": context}
     application = Application(
         [
--- a/src/pearhead/testbed/emulator/entry.py
+++ b/src/pearhead/testbed/emulator/entry.py
@@ -1,4 +1,4 @@
-"""Entry (§9.13): which front node a caller's new connection goes to, by a hash, among those that are ready."""
+"""Choice of the front node for a client's new connection (§9.13): by a hash, among the nodes that are ready."""
 
 from __future__ import annotations
 
@@ -13,29 +13,37 @@
 
 
 class Entry:
-    """Asks each node each second; two misses and it is out. When under half are in, all are used."""
+    """Front nodes and their readiness, polled every second.
+
+    A node that misses MISS_LIMIT polls in a row is left out. If fewer than half would be left, all nodes are used.
+    """
 
     def __init__(self, fronts: list[Machine]) -> None:
         self.fronts = fronts
         self.misses = dict.fromkeys((m.name for m in fronts), 0)
 
     def take(self, name: str, is_ready: bool) -> None:
+        """Records the result of one readiness poll."""
         self.misses[name] = 0 if is_ready else self.misses[name] + 1
 
     def in_use(self) -> list[Machine]:
+        """The nodes that new connections may go to."""
         nodes = [m for m in self.fronts if self.misses[m.name] < MISS_LIMIT]
         return nodes if 2 * len(nodes) >= len(self.fronts) else self.fronts
 
     def pick(self, client: str, attempt: int, tried: list[str]) -> Machine:
-        """The node of a client; further tries reach other nodes while there are any."""
+        """Returns the node for a client's attempt; a retry goes to a node not yet tried, while there is one."""
         nodes = self.in_use()
         nodes = [m for m in nodes if m.name not in tried] or nodes
         return max(nodes, key=lambda m: hashlib.sha256(f"{client} {attempt} {m.name}".encode()).digest())
 
     def address(self, node: Machine) -> str:
+        """Where a client connects to reach a node."""
         return f"{node.ip}:{FRONT_PORT}"
 
     async def poll(self) -> None:
+        """Polls the readiness of all nodes once."""
+
         async def poll_node(node: Machine) -> None:
             answer = await ask(f"{node.ip}:{READINESS_PORT}", "GET", "/v1/readiness")
             self.take(node.name, answer is not None and answer.head.status == 200)
@@ -43,6 +51,7 @@
         await asyncio.gather(*(poll_node(m) for m in self.fronts))
 
     async def run(self, clock: Clock) -> None:
+        """Polls every second until it is cancelled."""
         while True:
             await self.poll()
             await sleep_for(clock, SECOND)
--- a/src/pearhead/testbed/emulator/store.py
+++ b/src/pearhead/testbed/emulator/store.py
@@ -1,5 +1,8 @@
-"""StoreSite (§9.13): the emulated store of kept parts. It checks neither tenant nor version, and drops nothing for new
-weights; a part that it has stays as it was first made."""
+"""Emulated store of cached parts (§9.13), with its HTTP interface.
+
+The store checks neither tenant nor version and drops nothing for new weights; a part that it has stays as it was first
+made.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,19 @@
 
 
 class StoreModel:
+    """Contents of a store; callers pass the current time."""
+
     def __init__(self, total_tokens: int, chance: random.Random) -> None:
         self.events = PartEventLog(chance.randrange(1, 1 << 31), chance)
         self.cache = PartCache(total_tokens, self.events)
 
     def insert(self, now: int, parts: list[KeptPart]) -> None:
+        """Stores copies of the parts, as far as there is room."""
         for part in parts:
             self.cache.insert(now, replace(part, pins=0))
 
     def get_cached_prefix(self, keys: list[tuple[str, str, str]]) -> list[KeptPart]:
-        """Parts in order, up to the first that is missing."""
+        """Returns the parts in order, up to the first that is missing."""
         found = []
         for key in keys:
             part = self.cache.get(key)
@@ -36,32 +42,46 @@
 
 
 class StoreSite:
+    """State that the handlers of one store share. `reader_limit`: event readers served at a time."""
+
     def __init__(self, model: StoreModel, clock: Clock, zone: str, reader_limit: int) -> None:
         self.model, self.clock, self.zone, self.reader_limit = model, clock, zone, reader_limit
         self.active_readers = 0
 
 
 class StoreHandler(RequestHandler):
+    """Base of the store's handlers."""
+
     def initialize(self, context: StoreSite) -> None:
+        """Takes the shared state from the application's routes."""
         self.context = context
         self.model = context.model
 
 
 class InsertPartsHandler(StoreHandler):
+    """Stores parts that a worker sends."""
+
     def post(self) -> None:
+        """Answers an empty object, even where parts had no room."""
         rows = json.loads(self.request.body)["parts"]
         self.model.insert(self.context.clock.now(), [KeptPart(**p) for p in rows])
         self.finish({})
 
 
 class CachedPrefixHandler(StoreHandler):
+    """Sends cached parts to a worker that fetches them."""
+
     def post(self) -> None:
+        """Answers the parts found, and the store's zone."""
         keys = [(str(a), str(b), str(c)) for a, b, c in json.loads(self.request.body)["keys"]]
         self.finish({"parts": [asdict(p) for p in self.model.get_cached_prefix(keys)], "zone": self.context.zone})
 
 
 class CacheEventsHandler(StoreHandler):
+    """Long poll for cache events."""
+
     async def get(self) -> None:
+        """Answers the events after `Since`, once there are any or after `Wait-Ms`; 429 beyond the reader limit."""
         context, events = self.context, self.model.events
         if context.active_readers >= context.reader_limit:
             self.set_status(429)
@@ -83,7 +103,10 @@
 
 
 class CacheListHandler(StoreHandler):
+    """Lists all cached parts."""
+
     def get(self) -> None:
+        """Answers the list, with the number of the newest event."""
         events = self.model.events
         self.finish(
             {"Incarnation": events.incarnation, "NextPage": events.number, "Held": self.model.cache.list_rows()}
@@ -91,6 +114,7 @@
 
 
 def build_store(context: StoreSite) -> Application:
+    """Returns the store's HTTP application."""
     handler_args = {"context": context}
     return Application(
         [
--- a/src/pearhead/testbed/emulator/wire.py
+++ b/src/pearhead/testbed/emulator/wire.py
@@ -1,7 +1,8 @@
-"""RawConnection (§9.13): HTTP/1.1 as a caller sees it on its socket, byte for byte.
+"""HTTP/1.1 client that sees its connection byte for byte (§9.13).
 
-A library's client hides what the rules are about: bytes that belong to no request, a cut that looks like an end, an
-answer in the place of another. So the emulated callers read their sockets themselves.
+An HTTP library hides what the platform's rules are about: bytes that belong to no request, a broken connection that
+looks like the end of a body, a response that belongs to another request. The emulated clients therefore read their
+sockets themselves.
 """
 
 from __future__ import annotations
@@ -18,7 +19,10 @@
 
 
 class WireError(Exception):
-    """The connection ended, or carried what is no answer. `is_garbage`: bytes came that are none."""
+    """The connection ended early or carried something other than a response.
+
+    `is_garbage`: bytes came that are not HTTP.
+    """
 
     def __init__(self, reason: str, is_garbage: bool = False) -> None:
         super().__init__(reason)
@@ -27,22 +31,25 @@
 
 @dataclass(frozen=True)
 class Head:
-    """Status and headers (names in lower case) of an answer."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
     def text(self, name: str) -> str:
+        """The value of a header, or an empty string."""
         return self.headers.get(name, "")
 
 
 @dataclass(frozen=True)
 class Answer:
+    """A complete response."""
+
     head: Head
     body: bytes = b""
 
     def fields(self) -> dict[str, Any]:
-        """The body as JSON; empty if it is none."""
+        """The body as a JSON object; empty if it is not one."""
         try:
             parsed = json.loads(self.body)
         except ValueError:
@@ -52,29 +59,33 @@
 
 @dataclass
 class RawConnection:
-    """One connection. `open` raises OSError; what reads raises WireError."""
+    """One connection. Its methods for sending and reading raise WireError."""
 
     address: str
     reader: asyncio.StreamReader = field(init=False)
     writer: asyncio.StreamWriter = field(init=False)
 
     async def open(self, timeout_seconds: float = 1.0) -> None:
+        """Connects. Raises OSError or TimeoutError."""
         host_name, port_number = split_address(self.address)
         self.reader, self.writer = await asyncio.wait_for(
             asyncio.open_connection(host_name, port_number, limit=MAX_LINE_BYTES), timeout_seconds
         )
 
     def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
 
     def stray_bytes(self) -> bytes:
-        """What came while no request was waiting."""
+        """Bytes that came while no request was waiting for them."""
         return bytes(getattr(self.reader, "_buffer", b""))
 
     def is_closed(self) -> bool:
+        """Whether either side has closed the connection."""
         return self.reader.at_eof() or self.writer.is_closing()
 
     async def send(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
+        """Sends a request with its body."""
         lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
         lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
@@ -84,6 +95,7 @@
             raise WireError(str(error)) from error
 
     async def read_head(self) -> Head:
+        """Reads the status line and headers of a response; interim (1xx) responses are skipped."""
         status_line = await self._read_line()
         version, _, rest = status_line.partition(" ")
         status_text = rest[:3]
@@ -100,7 +112,7 @@
         return Head(int(status_text), headers)
 
     async def read_body(self, head: Head) -> AsyncGenerator[bytes, None]:
-        """The body's pieces as they come; ends only where the framing says that it is whole."""
+        """Yields the body in chunks, as they come. Ends only where the framing says that the body is complete."""
         if head.status in (204, 304):
             return
         if "chunked" in head.text("transfer-encoding").lower():
@@ -146,7 +158,10 @@
     headers: dict[str, str] | None = None,
     timeout_seconds: float = 1.0,
 ) -> Answer | None:
-    """One request on a connection of its own, for the calls that are no client's. None if no whole answer came."""
+    """Sends one request on a connection of its own, for calls between processes rather than those of clients.
+
+    A body that is not bytes is sent as JSON. Returns None if no complete response came within the time.
+    """
     connection = RawConnection(address)
     body_bytes = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
     sent_headers = {"Host": address, "Connection": "close", "Content-Type": "application/json", **(headers or {})}
