--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -32,8 +32,7 @@
 class SiteRequest:
     """A client's request. Times are whole microseconds.
 
-    `aim_micros` is the route's target for the first piece, `pause_micros` the longest gap between pieces within its
-    target.
+    `aim_micros` is the route's latency target, `pause_micros` the longest gap between pieces within the target.
     """
 
     route: str
--- a/src/pearhead/testbed/emulator/enginefront.py
+++ b/src/pearhead/testbed/emulator/enginefront.py
@@ -239,7 +239,7 @@
                     await self.reject(504, has_run=True)
                     return
                 case RunAborted() if self.is_client_gone:
-                    # The client, a front node, closed first; this is not recorded as a response that the worker broke off.
+                    # The client, a front node, closed first: not recorded as a response that the worker broke off.
                     self._auto_finish = False
                     return
                 case RunAborted() | DeadlineExceeded():
--- a/tests/test_site_addresses.py
+++ b/tests/test_site_addresses.py
@@ -1,4 +1,8 @@
-"""The loopback addresses of emulated sites: no two sites of one machine share a block."""
+"""Loopback addresses of emulated sites: no two sites of one machine share a block.
+
+Two sites could get the same block when their launchers start at the same time, or when the processes of an earlier
+site still run without their launcher.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,7 @@
     def open_socket(self, kind: socket.SocketKind, ip: str, port: int) -> None:
         opened = socket.socket(socket.AF_INET, kind)
         self.addCleanup(opened.close)
-        # As servers do: a former site's connections may rest there for a minute.
+        # As servers do: connections of a former site may stay in TIME_WAIT there for a minute.
         opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         opened.bind((ip, port))
         if kind == socket.SOCK_STREAM:
@@ -49,13 +53,13 @@
             AddressBlock(held.number, CLAIMED_PORTS)
 
     def test_a_released_block_is_held_no_more(self) -> None:
-        """Whether it is free then, other launchers of the machine decide."""
+        """Does not check that the block is free then: another launcher on the machine may have claimed it."""
         held = self.claim(os.getpid())
         held.release()
         self.assertEqual(held.claim_socket.fileno(), -1)
 
     def test_a_block_in_which_any_machine_of_a_site_lives_is_not_drawn(self) -> None:
-        """A site goes on without its first core, and without its launcher."""
+        """A site may run on after it has lost its first core, and after its launcher has ended."""
         for kind, machine, port in (
             (socket.SOCK_STREAM, "1.2", CONTROL_PORT),
             (socket.SOCK_STREAM, "1.4", CONTROL_PORT),
--- a/tests/test_site_sockets.py
+++ b/tests/test_site_sockets.py
@@ -1,4 +1,4 @@
-"""The emulated worker, store and list on real sockets, with callers that read theirs byte for byte."""
+"""The emulated worker, store, cloud API and operator on real sockets, with clients that read them byte for byte."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 class FixedAddressEntry(Entry):
-    """All nodes are one worker: callers reach it without a front node."""
+    """Resolves every front node to one worker, so that clients reach it directly."""
 
-    where = ""
+    node_address = ""
 
     def address(self, node: Machine) -> str:
-        return self.where
+        return self.node_address
 
 
-class World:
-    """One worker, one store and one list in this process, and a caller."""
+class WorkerFixture:
+    """One worker, one store and one client in this process."""
 
     def __init__(self, connection_limit: int = 100) -> None:
         self.clock = BootClock()
@@ -63,7 +63,7 @@
         self.store = StoreModel(1_000_000, random.Random(1))
         self.store_address = self.serve(HTTPServer(build_store(StoreSite(self.store, self.clock, "north", 1))))
         entry = FixedAddressEntry(self.plan.of("router"))
-        entry.where = self.engine_address
+        entry.node_address = self.engine_address
         self.client = SiteClient("c", entry, self.clock, random.Random(3), self.ledger)
         self.draw = RequestDraw(self.plan, self.plan.config, random.Random(4))
         self.report = CallReport()
@@ -74,8 +74,8 @@
         self.servers.append(server)
         return f"127.0.0.1:{sockets[0].getsockname()[1]}"
 
-    def short(self, **more: Any) -> SiteRequest:
-        """A request of some pieces that can't be repeated."""
+    def make_unrepeatable_request(self, **more: Any) -> SiteRequest:
+        """Draws a request with a streamed response that can't be repeated."""
         drawn = next(r for r in iter(self.draw.draw, None) if r.is_resumable)
         return replace(drawn, is_resumable=False, **more)
 
@@ -83,9 +83,9 @@
         return await self.client.call(request, self.report)
 
     async def wait_idle(self) -> None:
-        """Waits until every try has reached the worker, and none waits or runs there any more.
+        """Waits until every attempt has reached the worker, and none is queued or runs there any more.
 
-        A caller that takes a stray answer for its own has its outcome before its request has run.
+        A client that takes a stray response for its own has its outcome before its request has run.
         """
         while len(self.ledger.arrivals) < self.report.tries or self.model.queue or self.model.running:
             await asyncio.sleep(POLL_SECONDS)
@@ -104,104 +104,112 @@
 
         asyncio.run(run())
 
-    def outcome_of(
+    def run_with_fault(
         self, faults: dict[str, float], second_settings: EngineSettings = FAST_SETTINGS
-    ) -> tuple[Outcome, World]:
-        """What a caller makes of an answer with a fault, and what it makes of the next one.
+    ) -> tuple[Outcome, WorkerFixture]:
+        """Sends one request with faults and one without; returns the outcome of the first, and the fixture.
 
-        `next_settings`: the worker's pace for the next one. The caller stays until the worker has run both.
+        `second_settings`: the worker's settings for the second one. Waits until the worker has run both.
         """
-        held: list[Any] = []
+        results: list[Any] = []
 
         async def scenario() -> None:
-            world = World()
-            world.engine_context.apply_faults(faults)
-            held.extend([await world.call(world.short()), world])
-            world.engine_context.apply_faults(dict.fromkeys(faults, 0.0))
-            world.model.settings = second_settings
-            held.append(await world.call(world.short()))
-            await world.wait_idle()
-            world.close()
+            fixture = WorkerFixture()
+            fixture.engine_context.apply_faults(faults)
+            results.extend([await fixture.call(fixture.make_unrepeatable_request()), fixture])
+            fixture.engine_context.apply_faults(dict.fromkeys(faults, 0.0))
+            fixture.model.settings = second_settings
+            results.append(await fixture.call(fixture.make_unrepeatable_request()))
+            await fixture.wait_idle()
+            fixture.close()
 
         self.run_scenario(scenario())
-        return held[0], held[1]
+        return results[0], results[1]
 
 
 class WorkerOnSocketsTest(SocketsCase):
     def test_sound_streams_on_a_kept_connection(self) -> None:
         async def scenario() -> None:
-            world = World()
+            fixture = WorkerFixture()
             for _ in range(30):
-                self.assertTrue((await world.call(world.draw.draw())).is_whole)
-            self.assertEqual((world.report.faults, dict(world.report.outcomes)), ([], {"done": 30}))
-            self.assertEqual(len(world.ledger.runs), 30)
-            self.assertGreater(min(world.report.first_micros), 0)
-            world.close()
+                self.assertTrue((await fixture.call(fixture.draw.draw())).is_whole)
+            self.assertEqual((fixture.report.faults, dict(fixture.report.outcomes)), ([], {"done": 30}))
+            self.assertEqual(len(fixture.ledger.runs), 30)
+            self.assertGreater(min(fixture.report.first_micros), 0)
+            fixture.close()
 
         self.run_scenario(scenario())
 
     def test_what_callers_make_of_a_worker_in_trouble(self) -> None:
         for fault, rule in (("cut", ""), ("lost", ""), ("split", ""), ("garble", "MIXED"), ("extra", "MIXED")):
-            outcome, world = self.outcome_of({fault: 1.0})
+            outcome, fixture = self.run_with_fault({fault: 1.0})
             with self.subTest(fault):
-                found = {f.partition(":")[0] for f in world.report.faults}
+                found = {f.partition(":")[0] for f in fixture.report.faults}
                 self.assertEqual(found, {rule} - {""})
                 self.assertEqual(outcome.is_whole, fault == "extra")
-                self.assertEqual(len(world.ledger.runs), 2, "an answer that fails has run, and is not sent again")
-        outcome, world = self.outcome_of({"fails": 1.0})
-        self.assertEqual((outcome.status, world.report.faults), (500, []))
+                self.assertEqual(
+                    len(fixture.ledger.runs), 2, "a request whose response fails has run, and is not sent again"
+                )
+        outcome, fixture = self.run_with_fault({"fails": 1.0})
+        self.assertEqual((outcome.status, fixture.report.faults), (500, []))
 
     def test_a_stray_answer_hides_that_the_next_request_runs_later(self) -> None:
-        """Its caller has its outcome at once; the slow worker runs it well after that."""
+        """The client takes the stray response for its own at once; the slow worker runs the request well after that."""
         for fault in ("extra", "late"):
             with self.subTest(fault):
-                _, world = self.outcome_of({fault: 1.0}, replace(FAST_SETTINGS, step_micros=SLOW_STEP_MICROS))
-                self.assertEqual(len(world.ledger.runs), 2, "run once each, whenever the caller had its outcome")
-                self.assertEqual(world.report.tries, 2)
+                _, fixture = self.run_with_fault({fault: 1.0}, replace(FAST_SETTINGS, step_micros=SLOW_STEP_MICROS))
+                self.assertEqual(len(fixture.ledger.runs), 2, "each runs once, whenever the client had its outcome")
+                self.assertEqual(fixture.report.tries, 2)
 
     def test_a_late_answer_lies_where_the_next_is_due(self) -> None:
-        _, world = self.outcome_of({"late": 1.0})
-        self.assertLessEqual({f.partition(":")[0] for f in world.report.faults}, {"MIXED"})
+        _, fixture = self.run_with_fault({"late": 1.0})
+        self.assertLessEqual({f.partition(":")[0] for f in fixture.report.faults}, {"MIXED"})
 
-    async def begin_slow_run(self, world: World) -> tuple[RawConnection, Head]:
-        """A request that the worker is at work on, and the head of its answer."""
-        world.model.settings = replace(FAST_SETTINGS, step_micros=200_000)
-        request = world.draw.draw()
+    async def begin_slow_run(self, fixture: WorkerFixture) -> tuple[RawConnection, Head]:
+        """Sends a request that runs for long; returns its connection and the head of its response."""
+        fixture.model.settings = replace(FAST_SETTINGS, step_micros=200_000)
+        request = fixture.draw.draw()
         headers = {"Host": "h", "X-Request-Id": "left", "X-Deadline": "9000", **request.headers}
-        connection = RawConnection(world.engine_address)
+        connection = RawConnection(fixture.engine_address)
         await connection.open()
         await connection.send(request.method, request.path, headers, request.body)
         head = await connection.read_head()
-        self.assertEqual((head.status, len(world.model.running)), (200, 1))
+        self.assertEqual((head.status, len(fixture.model.running)), (200, 1))
         return connection, head
 
     def test_only_what_the_worker_itself_breaks_off_is_recorded_as_broken_off(self) -> None:
-        """A node that closes in the middle of an answer is no excuse for itself."""
+        """A response that the front node itself closes must not count as broken off by the worker.
+
+        Checkers excuse a node whose worker broke off; they would then excuse a node for its own fault.
+        """
 
         async def scenario() -> None:
-            world = World()
-            connection, _ = await self.begin_slow_run(world)
+            fixture = WorkerFixture()
+            connection, _ = await self.begin_slow_run(fixture)
             connection.close()
-            while world.model.running:
+            while fixture.model.running:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
-            self.assertEqual((world.ledger.broken_off, world.ledger.finished), ([], []))
-            world.model.settings = FAST_SETTINGS
-            self.assertTrue((await world.call(world.short())).is_whole)
-            self.assertEqual(len(world.ledger.finished), 1)
-            world.engine_context.apply_faults({"cut": 1.0})
-            await world.call(world.short())
-            self.assertEqual(len(world.ledger.broken_off), 1)
-            world.close()
+            self.assertEqual((fixture.ledger.broken_off, fixture.ledger.finished), ([], []))
+            fixture.model.settings = FAST_SETTINGS
+            self.assertTrue((await fixture.call(fixture.make_unrepeatable_request())).is_whole)
+            self.assertEqual(len(fixture.ledger.finished), 1)
+            fixture.engine_context.apply_faults({"cut": 1.0})
+            await fixture.call(fixture.make_unrepeatable_request())
+            self.assertEqual(len(fixture.ledger.broken_off), 1)
+            fixture.close()
 
         self.run_scenario(scenario())
 
     def test_a_worker_that_ends_at_work_does_not_end_its_answer_as_whole(self) -> None:
-        """Tornado finishes the answer of a handler that is cancelled, as all are when the process ends."""
+        """A worker that stops during a response must reset it.
+
+        Handlers are cancelled when the process ends, and Tornado finishes the response of a cancelled handler.
+        """
 
         async def scenario() -> None:
-            world = World()
-            connection, head = await self.begin_slow_run(world)
+            fixture = WorkerFixture()
+            connection, head = await self.begin_slow_run(fixture)
             for task in asyncio.all_tasks():
                 if "_execute" in repr(task.get_coro()):
                     task.cancel()
@@ -209,17 +217,17 @@
                 async for _ in connection.read_body(head):
                     pass
             connection.close()
-            self.assertEqual(len(world.ledger.broken_off), 1)
-            world.close()
+            self.assertEqual(len(fixture.ledger.broken_off), 1)
+            fixture.close()
 
         self.run_scenario(scenario())
 
     def test_turned_away_not_run(self) -> None:
         async def scenario() -> None:
-            world = World()
+            fixture = WorkerFixture()
             headers = {
                 "X-Request-Id": "r",
-                "X-Model": world.plan.model,
+                "X-Model": fixture.plan.model,
                 "X-Token-Count": "16,7",
                 "X-Prompt-Prefix": "p:16",
             }
@@ -229,40 +237,40 @@
                 ({"X-Request-Id": ""}, 400),
                 ({"X-Token-Count": "99999999,1"}, 503),
             ):
-                answer = await ask(world.engine_address, "POST", "/x/y", b"", {**headers, **changed})
+                answer = await ask(fixture.engine_address, "POST", "/x/y", b"", {**headers, **changed})
                 assert answer is not None
                 self.assertEqual((answer.head.status, answer.head.text("x-not-run")), (status, "1"))
-            self.assertEqual([a.turned_away for a in world.ledger.arrivals], [421, 421, 400, 503])
-            self.assertEqual(world.ledger.runs, [])
-            world.close()
+            self.assertEqual([a.turned_away for a in fixture.ledger.arrivals], [421, 421, 400, 503])
+            self.assertEqual(fixture.ledger.runs, [])
+            fixture.close()
 
         self.run_scenario(scenario())
 
     def test_orders_reports_events_lists_and_health(self) -> None:
         async def scenario() -> None:
-            world = World()
-            await world.call(world.short())
-            address = world.engine_address
+            fixture = WorkerFixture()
+            await fixture.call(fixture.make_unrepeatable_request())
+            address = fixture.engine_address
 
             async def get(path: str, **headers: str) -> Answer:
                 answer = await ask(address, "GET", path, headers={k.replace("_", "-"): v for k, v in headers.items()})
                 assert answer is not None
                 return answer
 
-            held = (await get("/v1/kv-list")).fields()
-            self.assertEqual(len(held["Held"]), 2)
+            part_list = (await get("/v1/kv-list")).fields()
+            self.assertEqual(len(part_list["Held"]), 2)
             page = (await get("/v1/kv-events?Since=0", Wait_Ms="800")).fields()
-            self.assertEqual(page["Incarnation"], held["Incarnation"])
+            self.assertEqual(page["Incarnation"], part_list["Incarnation"])
             self.assertEqual([e[1] for e in page["Events"]], ["+", "+"][: len(page["Events"])])
             first = asyncio.ensure_future(get("/v1/kv-events?Since=9", Wait_Ms="1000"))
-            world.engine_context.active_readers += 1
+            fixture.engine_context.active_readers += 1
             self.assertEqual((await get("/v1/kv-events?Since=2")).head.status, 429)
-            world.engine_context.active_readers -= 1
+            fixture.engine_context.active_readers -= 1
             first.cancel()
             self.assertEqual((await get("/v1/report")).fields()["Models"][0]["Revision"], 1)
             order = {
                 "Operation": "Revision",
-                "Model": world.plan.model,
+                "Model": fixture.plan.model,
                 "Revision": 2,
                 "Mode": "wait",
                 "Holder": "h",
@@ -273,47 +281,47 @@
             self.assertEqual(answer.head.status, 202)
             health = await get("/health")
             self.assertEqual((health.head.status, health.head.text("x-instance")), (200, "i-1"))
-            world.engine_context.is_draining = True
+            fixture.engine_context.is_draining = True
             self.assertEqual((await get("/health")).head.status, 503)
-            world.engine_context.apply_faults({"false_health": True})
+            fixture.engine_context.apply_faults({"false_health": True})
             self.assertEqual((await get("/health")).head.status, 200)
-            world.close()
+            fixture.close()
 
         self.run_scenario(scenario())
 
     def test_parts_go_to_the_store_and_come_back_from_it(self) -> None:
         async def scenario() -> None:
-            world = World()
-            target = {"X-Cache-Target": world.store_address}
-            request = world.short()
-            await world.call(replace(request, headers={**request.headers, **target}))
-            while not world.store.cache.parts:
+            fixture = WorkerFixture()
+            target = {"X-Cache-Target": fixture.store_address}
+            request = fixture.make_unrepeatable_request()
+            await fixture.call(replace(request, headers={**request.headers, **target}))
+            while not fixture.store.cache.parts:
                 await asyncio.sleep(0)
-            world.model.cache.clear(world.clock.now())
-            read = world.model.tokens_read
-            source = {"X-Cache-Source": world.store_address}
-            await world.call(replace(request, headers={**request.headers, **source}))
-            self.assertEqual(world.model.tokens_read, read, "all of it came from the store")
-            world.close()
+            fixture.model.cache.clear(fixture.clock.now())
+            read = fixture.model.tokens_read
+            source = {"X-Cache-Source": fixture.store_address}
+            await fixture.call(replace(request, headers={**request.headers, **source}))
+            self.assertEqual(fixture.model.tokens_read, read, "all parts came from the store")
+            fixture.close()
 
         self.run_scenario(scenario())
 
     def test_connections_beyond_the_limit_are_reset(self) -> None:
         async def scenario() -> None:
-            world = World(connection_limit=1)
-            held = RawConnection(world.engine_address)
-            await held.open()
+            fixture = WorkerFixture(connection_limit=1)
+            first = RawConnection(fixture.engine_address)
+            await first.open()
             await asyncio.sleep(0)
-            self.assertIsNone(await ask(world.engine_address, "GET", "/health"))
-            held.close()
-            world.close()
+            self.assertIsNone(await ask(fixture.engine_address, "GET", "/health"))
+            first.close()
+            fixture.close()
 
         self.run_scenario(scenario())
 
 
 class OperatorOnSocketsTest(SocketsCase):
     def test_an_operator_follows_goes_on_and_stops(self) -> None:
-        heads: list[str] = []
+        request_lines: list[str] = []
         answers = [
             b"503 Busy\r\n",
             b"307 Elsewhere\r\nLocation: http://%s/v1/other\r\n",
@@ -325,21 +333,21 @@
         ]
 
         async def scenario() -> None:
-            where = ""
+            node_address = ""
 
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 head = await reader.readuntil(b"\r\n\r\n")
-                heads.append(head.decode().splitlines()[0])
+                request_lines.append(head.decode().splitlines()[0])
                 line = answers.pop(0) if answers else b"503 Busy\r\n"
-                writer.write(b"HTTP/1.1 " + (line % where.encode() if b"%s" in line else line))
+                writer.write(b"HTTP/1.1 " + (line % node_address.encode() if b"%s" in line else line))
                 writer.write(b"Content-Length: 2\r\n\r\n{}")
                 await writer.drain()
                 writer.close()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            where = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+            node_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             ledger = SiteLedger()
-            operator = SiteOperator(lambda: [where], BootClock(), ledger)
+            operator = SiteOperator(lambda: [node_address], BootClock(), ledger)
             self.assertEqual(await operator.put({"Revision": 3}, 0), 200)
             self.assertEqual(await operator.put({"Revision": 3}, 0), 412)
             self.assertEqual(await operator.put({"Revision": 3}, 0), 404)
@@ -348,11 +356,13 @@
             server.close()
 
         self.run_scenario(scenario())
-        self.assertEqual(heads[:3], ["PUT /v1/config HTTP/1.1", "PUT /v1/config HTTP/1.1", "PUT /v1/other HTTP/1.1"])
+        self.assertEqual(
+            request_lines[:3], ["PUT /v1/config HTTP/1.1", "PUT /v1/config HTTP/1.1", "PUT /v1/other HTTP/1.1"]
+        )
 
 
-class SetClock(BootClock):
-    """Stands at a moment that the test sets."""
+class ManualClock(BootClock):
+    """Clock that shows a time set by the test."""
 
     now_micros = 10 * SECOND
 
@@ -361,9 +371,9 @@
 
 
 class FakeControlNodes:
-    """Nodes that serve orders, each with scripted answers (200 after the last); what came is kept in order.
+    """Control nodes with scripted statuses (200 after the last); requests are recorded in order.
 
-    An answer of 0 is silence. `redirects_to`: where a 307 points.
+    Status 0 means no response. `redirects_to`: index of the node that a 307 points to.
     """
 
     def __init__(self, *scripts: list[int]) -> None:
@@ -405,7 +415,7 @@
 
 class OperatorsRulesTest(SocketsCase):
     def put(self, controls: FakeControlNodes, lost_answers: int = 0) -> tuple[int, SiteLedger]:
-        """Status of one change that is sent to such nodes, and what was recorded of it."""
+        """Sends one change to these nodes; returns its status and the ledger."""
         ledger = SiteLedger()
         statuses = []
 
@@ -426,7 +436,7 @@
         self.assertEqual(status, 200)
         nodes = [number for number, _, _ in controls.seen]
         self.assertEqual((sorted(nodes[:3]), len(nodes)), ([0, 1, 2], 4))
-        self.assertEqual(len({(line, body) for _, line, body in controls.seen}), 1, "the same, each time")
+        self.assertEqual(len({(line, body) for _, line, body in controls.seen}), 1, "the same request each time")
         self.assertEqual([t.is_lost for t in ledger.config_tries], [True, True, True, False])
         self.assertEqual({(t.status, t.change[:2]) for t in ledger.config_tries}, {(200, (3, 0))})
         self.assertEqual([c.status for c in ledger.configs], [200])
@@ -452,14 +462,14 @@
         self.assertEqual([line.split()[1] for _, line, _ in controls.seen], ["/v1/config", "/v1/other", "/v1/other"])
         controls = FakeControlNodes([307, 307, 307])
         self.assertEqual(self.put(controls)[0], 200)
-        self.assertEqual(controls.seen[3][1].split()[1], "/v1/config", "the fourth is sent anew")
+        self.assertEqual(controls.seen[3][1].split()[1], "/v1/config", "the fourth attempt starts at the original path")
 
     def test_it_picks_from_a_list_that_lags(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             launcher = SiteLauncher(folder)
             self.addCleanup(launcher.release_block)
             launcher.make_site(ACADEMY, SiteSize(3, 1, 1), 1)
-            clock = launcher.clock = SetClock()
+            clock = launcher.clock = ManualClock()
             first = launcher.listed_controls()
             launcher.plan["listed"].append([clock.now(), first[1:]])
             self.assertEqual(launcher.listed_controls(), first)
@@ -470,8 +480,8 @@
 class CloudOnSocketsTest(SocketsCase):
     def test_beats_and_names(self) -> None:
         async def scenario() -> None:
-            world = World()
-            address = world.serve(HTTPServer(build_cloud(CloudModel(0, 5), world.clock)))
+            fixture = WorkerFixture()
+            address = fixture.serve(HTTPServer(build_cloud(CloudModel(0, 5), fixture.clock)))
             await ask(address, "POST", "/site/name", {"Model": "m", "Revision": 4})
             beat = {"Id": "i", "Service": "s", "Address": "a:1", "Zone": "z", "Loading": True}
             answer = await ask(address, "POST", "/site/beat", beat)
@@ -480,6 +490,6 @@
             answer = await ask(address, "GET", "/workers?Zone=z")
             assert answer is not None
             self.assertEqual(json.loads(answer.body)["Servers"][0]["Id"], "i")
-            world.close()
+            fixture.close()
 
         self.run_scenario(scenario())
