--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -216,7 +216,7 @@
 
 
 class SiteClient:
-    """One client with a kept connection to its node; it sends one request at a time."""
+    """One client with a persistent connection to its node; it sends one request at a time."""
 
     def __init__(
         self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, max_retries: int = 1
@@ -248,7 +248,7 @@
         return outcome
 
     def close(self) -> None:
-        """Closes the kept connection."""
+        """Closes the persistent connection."""
         if self.kept_connection is not None:
             self.kept_connection[1].close()
             self.kept_connection = None
