--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -1,5 +1,8 @@
-"""SiteCaller (§9.13): callers of the emulated platform, with the page's rules for trying again. Each checks every
-answer against what its own request must get: seal, whole body, order, id."""
+"""Clients of the emulated platform (§9.13), which follow its rules for retries.
+
+Each client checks every response against what its own request must get: the seal, a complete body, the order of the
+pieces, the request id.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +20,20 @@
 from pearhead.testbed.emulator.plan import RequestKind, SitePlan
 from pearhead.testbed.emulator.wire import Head, RawConnection, WireError
 
-PROMISES = (408, 421, 429, 503)
-LAST_WORDS = (400, 401, 404, 413, 431)
-SILENCE_MICROS = 2 * SECOND
-PAUSE_BETWEEN_TRIES = 20 * MILLI
+# With these statuses the platform promises that the request has not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+# Another attempt would get the same answer.
+FINAL_STATUSES = (400, 401, 404, 413, 431)
+MIN_SILENCE_MICROS = 2 * SECOND
+RETRY_PAUSE_MICROS = 20 * MILLI
 
 
 @dataclass(frozen=True)
 class SiteRequest:
-    """What a caller asks. Times in whole microseconds; `pause_micros`: the longest pause still in time."""
+    """A client's request. Times are whole microseconds.
+
+    `aim_micros` is the route's latency target, `pause_micros` the longest gap between pieces within the target.
+    """
 
     route: str
     kind: str
@@ -42,19 +50,25 @@
 
     @property
     def is_repeatable(self) -> bool:
+        """Whether the request may be sent again after it may have run."""
         return self.kind == "safe" or self.is_resumable
 
     @property
     def digest(self) -> str:
+        """Digest that the response's seal and pieces must carry."""
         return request_digest(self.method, self.path, self.body)
 
     @property
     def silence_micros(self) -> int:
-        return max(SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
+        """How long the client waits for further bytes before it gives up."""
+        return max(MIN_SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
 
 
 class RequestDraw:
-    """Draws requests on the routes of a configuration: a few large tenants, prompts that share their first parts."""
+    """Draws random requests for the routes of a configuration.
+
+    A few tenants send most of the requests, and prompts on the same subject share their first part.
+    """
 
     def __init__(self, plan: SitePlan, config: dict[str, Any], chance: random.Random) -> None:
         self.routes = {r["Name"]: r for r in config["RouteTable"]}
@@ -64,6 +78,7 @@
         self.chance = chance
 
     def draw(self) -> SiteRequest:
+        """Returns the next request."""
         kind = self.chance.choices(self.kinds, [k.share for k in self.kinds])[0]
         route = self.routes[kind.route]
         weights = [8, 6, 4, *([1] * len(self.tenants))][: len(self.tenants)]
@@ -100,9 +115,9 @@
 
 @dataclass
 class StreamCheck:
-    """What is wrong with the pieces of one answer. Breaches are pairs of a rule's name and a sentence.
+    """Checks the pieces of one response. Each fault is a pair of the broken rule's name and a sentence.
 
-    `version`: of the weights, as told last, by the head or by an event; 0 while nothing was told.
+    `version` is the weights version last announced, in the head or in an event; 0 before any was.
     """
 
     request: SiteRequest
@@ -116,6 +131,7 @@
         self.last_number = self.resumed_from
 
     def take(self, piece: Piece | None) -> None:
+        """Checks the next event; None is one that could not be parsed."""
         if piece is None:
             self.faults.append(("MIXED", "bytes that are no event"))
             return
@@ -129,19 +145,19 @@
         self.last_number = piece.number
 
     def take_version(self, version: int) -> None:
-        """The head or an event told it; 0 where it told nothing."""
+        """Checks the weights version that the head or an event announces; 0 if it announces none."""
         if 0 < version < self.version:
             self.faults.append(("ORDER", f"weights {version} follow weights {self.version}"))
         self.version = version or self.version
 
     def end(self) -> None:
-        """The answer ended as whole."""
+        """Checks that a response that ended regularly had all its pieces."""
         if self.last_number < self.seal.pieces:
             self.faults.append(("ORDER", f"ended as whole after {self.last_number} of {self.seal.pieces} pieces"))
 
 
 def check_head(request_id: str, request: SiteRequest, head: Head) -> list[tuple[str, str]]:
-    """What is wrong with the head of an answer."""
+    """Returns what is wrong with the head of a response."""
     faults = []
     echoed = head.text("x-request-id")
     if echoed and echoed != request_id:
@@ -161,19 +177,23 @@
 
 
 class EventSplitter:
-    """Cuts a body into its events."""
+    """Splits a body into its events. `held` is the beginning of an incomplete one."""
 
     def __init__(self) -> None:
         self.held = b""
 
     def take(self, chunk: bytes) -> list[bytes]:
+        """Returns the events that this chunk completes."""
         *events, self.held = (self.held + chunk).split(b"\n\n")
         return events
 
 
 @dataclass
 class Outcome:
-    """How one try ended. `status`: 0 if it was cut or not reached. `is_unread`: no node read the request."""
+    """How one attempt ended. `status`: 0 if it was cut off or reached no node. `is_unread`: no node read the request.
+
+    `is_given_up`: the client ended it, for silence or its deadline. `last_number`: the last piece that came.
+    """
 
     status: int = 0
     is_whole: bool = False
@@ -187,6 +207,8 @@
 
 @dataclass
 class CallReport:
+    """What clients saw: outcomes by label, faults found in responses, number of attempts, times to first piece."""
+
     outcomes: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
     tries: int = 0
@@ -194,58 +216,60 @@
 
 
 class SiteClient:
-    """One caller: a kept connection to its node, one request at a time."""
+    """One client with a persistent connection to its node; it sends one request at a time."""
 
     def __init__(
-        self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, further_tries: int = 1
+        self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, max_retries: int = 1
     ) -> None:
         self.name, self.entry, self.clock, self.chance, self.sink = name, entry, clock, chance, sink
-        self.further_tries = further_tries
-        self.kept: tuple[str, RawConnection] | None = None
+        self.max_retries = max_retries
+        self.kept_connection: tuple[str, RawConnection] | None = None
 
     async def call(self, request: SiteRequest, report: CallReport) -> Outcome:
-        """The way of a request: tries within its deadline, each recorded."""
-        begun_at = self.clock.now()
-        end_at = begun_at + request.deadline_micros
+        """Sends a request and retries it within its deadline. Each attempt is recorded; returns the last outcome."""
+        started_at = self.clock.now()
+        end_at = started_at + request.deadline_micros
         tried: list[str] = []
         resumed_from = 0
-        for attempt in range(1 + self.further_tries):
-            outcome = await self._try(request, attempt, tried, resumed_from, end_at, report)
-            if outcome.is_whole or not self._may_go_on(request, outcome):
+        for attempt in range(1 + self.max_retries):
+            outcome = await self._attempt(request, attempt, tried, resumed_from, end_at, report)
+            if outcome.is_whole or not self._may_retry(request, outcome):
                 break
             if request.is_resumable:
                 resumed_from = max(resumed_from, outcome.last_number)
             left_micros = end_at - self.clock.now()
-            pause_micros = min(max(outcome.retry_micros, PAUSE_BETWEEN_TRIES), left_micros // 3)
-            if left_micros <= 0 or attempt == self.further_tries:
+            pause_micros = min(max(outcome.retry_micros, RETRY_PAUSE_MICROS), left_micros // 3)
+            if left_micros <= 0 or attempt == self.max_retries:
                 break
             await sleep_for(self.clock, pause_micros)
-        report.outcomes[self._word(outcome)] += 1
+        report.outcomes[self._outcome_label(outcome)] += 1
         if outcome.is_whole and outcome.first_at:
-            report.first_micros.append(outcome.first_at - begun_at)
+            report.first_micros.append(outcome.first_at - started_at)
         return outcome
 
     def close(self) -> None:
-        if self.kept is not None:
-            self.kept[1].close()
-            self.kept = None
+        """Closes the persistent connection."""
+        if self.kept_connection is not None:
+            self.kept_connection[1].close()
+            self.kept_connection = None
 
-    def _word(self, outcome: Outcome) -> str:
+    def _outcome_label(self, outcome: Outcome) -> str:
         if outcome.is_whole:
             return "done"
         return str(outcome.status) if outcome.status else "unread" if outcome.is_unread else "cut"
 
-    def _may_go_on(self, request: SiteRequest, outcome: Outcome) -> bool:
-        if outcome.status in LAST_WORDS:
+    def _may_retry(self, request: SiteRequest, outcome: Outcome) -> bool:
+        """Whether the platform's rules allow another attempt."""
+        if outcome.status in FINAL_STATUSES:
             return False
-        return outcome.status in PROMISES or outcome.is_unread or request.is_repeatable
+        return outcome.status in NOT_RUN_STATUSES or outcome.is_unread or request.is_repeatable
 
-    async def _try(
+    async def _attempt(
         self, request: SiteRequest, attempt: int, tried: list[str], resumed_from: int, end_at: int, report: CallReport
     ) -> Outcome:
-        held = self.kept
+        previous = self.kept_connection
         node, connection = await self._connect(attempt, tried)
-        is_kept = held is not None and held[1] is connection
+        is_kept = previous is not None and previous[1] is connection
         request_id = self.chance.randbytes(8).hex()
         sent_at = self.clock.now()
         outcome = Outcome(is_unread=True)
@@ -284,8 +308,8 @@
         return outcome
 
     async def _connect(self, attempt: int, tried: list[str]) -> tuple[str, RawConnection | None]:
-        if self.kept is not None and attempt == 0 and not self.kept[1].is_closed():
-            return self.kept
+        if self.kept_connection is not None and attempt == 0 and not self.kept_connection[1].is_closed():
+            return self.kept_connection
         self.close()
         node = self.entry.pick(self.name, attempt, tried)
         connection = RawConnection(self.entry.address(node))
@@ -293,8 +317,8 @@
             await connection.open()
         except (OSError, TimeoutError):
             return node.name, None
-        self.kept = (node.name, connection)
-        return self.kept
+        self.kept_connection = (node.name, connection)
+        return self.kept_connection
 
     async def _exchange(
         self, request: SiteRequest, request_id: str, connection: RawConnection, resumed_from: int, end_at: int
@@ -314,18 +338,18 @@
             headers["Last-Event-Id"] = str(resumed_from)
         try:
             await connection.send(request.method, request.path, headers, request.body)
-            head = await self._within(connection.read_head(), request, end_at)
+            head = await self._wait_for_bytes(connection.read_head(), request, end_at)
             outcome.status = head.status
             outcome.faults.extend(check_head(request_id, request, head))
             outcome.retry_micros = self._retry_micros(head)
-            await self._read(request, connection, head, outcome, resumed_from, end_at)
+            await self._read_response(request, connection, head, outcome, resumed_from, end_at)
         except WireError as fault:
             if fault.is_garbage:
                 outcome.faults.append(("MIXED", f"no answer: {fault}"))
-            self._cut(outcome)
+            self._mark_cut(outcome)
         except TimeoutError:
             outcome.is_given_up = True
-            self._cut(outcome)
+            self._mark_cut(outcome)
         else:
             if connection.stray_bytes():
                 outcome.faults.append(("MIXED", "bytes after a whole answer"))
@@ -333,11 +357,11 @@
                 self.close()
         return outcome
 
-    def _cut(self, outcome: Outcome) -> None:
+    def _mark_cut(self, outcome: Outcome) -> None:
         if 200 <= outcome.status < 300:
             outcome.status = 0
 
-    async def _read(
+    async def _read_response(
         self,
         request: SiteRequest,
         connection: RawConnection,
@@ -348,14 +372,14 @@
     ) -> None:
         is_success = 200 <= head.status < 300
         check = StreamCheck(request, read_seal(head.text("x-answer-seal")) or Seal("", "", 0), resumed_from)
-        told = head.text("x-weight-versions").strip()
-        check.take_version(int(told) if told.isdecimal() else 0)
+        version_text = head.text("x-weight-versions").strip()
+        check.take_version(int(version_text) if version_text.isdecimal() else 0)
         splitter = EventSplitter()
         body = connection.read_body(head)
         try:
             while True:
                 try:
-                    chunk = await self._within(anext(body), request, end_at)
+                    chunk = await self._wait_for_bytes(anext(body), request, end_at)
                 except StopAsyncIteration:
                     break
                 if not is_success:
@@ -372,8 +396,8 @@
         finally:
             outcome.faults.extend(check.faults)
 
-    async def _within(self, work: Any, request: SiteRequest, end_at: int) -> Any:
-        """Waits for bytes until its deadline, or as long as it bears silence. Raises TimeoutError."""
+    async def _wait_for_bytes(self, work: Any, request: SiteRequest, end_at: int) -> Any:
+        """Waits until the request's deadline or the limit for silence. Raises TimeoutError."""
         left_micros = min(request.silence_micros, end_at - self.clock.now())
         return await asyncio.wait_for(work, max(1, left_micros) / SECOND)
 
@@ -385,28 +409,29 @@
 
 
 class SiteCaller:
-    """Many clients at once, on the routes of the configuration that they are told of."""
+    """Many concurrent clients that send requests on the routes of a given configuration."""
 
     def __init__(self, plan: SitePlan, clock: Clock, chance: random.Random, sink: RecordSink) -> None:
         self.plan, self.clock, self.chance, self.sink = plan, clock, chance, sink
         self.entry = Entry(plan.of("router"))
 
     async def run(self, request_count: int, at_once: int, config: dict[str, Any] | None = None) -> CallReport:
+        """Sends `request_count` requests, `at_once` of them at a time, and reports what the clients saw."""
         report = CallReport()
         draw = RequestDraw(self.plan, config or self.plan.config, self.chance)
         await self.entry.poll()
         await self.entry.poll()
         poll_task = asyncio.ensure_future(self.entry.run(self.clock))
-        left = iter(range(request_count))
+        remaining = iter(range(request_count))
 
-        async def call_on(number: int) -> None:
+        async def run_client(number: int) -> None:
             client = SiteClient(f"client-{number}", self.entry, self.clock, self.chance, self.sink)
-            for _ in left:
+            for _ in remaining:
                 await client.call(draw.draw(), report)
             client.close()
 
         try:
-            await asyncio.gather(*(call_on(n) for n in range(at_once)))
+            await asyncio.gather(*(run_client(n) for n in range(at_once)))
         finally:
             poll_task.cancel()
         return report
