--- a/review/1/case.py
+++ b/review/1/case.py
@@ -11,7 +11,7 @@
 
 from harness import Ask, CaseError, Client, Record, ReviewSite, SiteSize, has_trouble, run_case
 
-from pearhead.testbed.emulator.wire import ask as http
+from pearhead.testbed.emulator.raw_http import ask as http
 
 # AckMs of the site's page, which binds while the core is settled and no link is in trouble.
 ACK_SECONDS = 4.0
--- a/review/harness.py
+++ b/review/harness.py
@@ -25,7 +25,7 @@
 from pearhead.testbed.emulator.launcher import PLATFORM_PROGRAMS, ROOT, SiteLauncher
 from pearhead.testbed.emulator.ledger import SiteLedger
 from pearhead.testbed.emulator.plan import SiteSize
-from pearhead.testbed.emulator.wire import Head, RawConnection, WireError
+from pearhead.testbed.emulator.raw_http import RawConnection, RawResponseHead, WireError
 
 BROKEN, HELD, NOT_RUN = 1, 0, 2
 RULE_BROKEN_LINE = "RULE BROKEN"
@@ -134,7 +134,7 @@
         try:
             async with asyncio.timeout(wait_ms / 1_000):
                 await self.connection.send("POST", f"{route['Prefix']}{ask.path_end}", headers, body)
-                head: Head = await self.connection.read_head()
+                head: RawResponseHead = await self.connection.read_head()
                 result.status, result.headers = head.status, dict(head.headers)
                 async for chunk in self.connection.read_body(head):
                     result.events += chunk.count(b"\n\n")
--- a/src/pearhead/testbed/emulator/checkers.py
+++ b/src/pearhead/testbed/emulator/checkers.py
@@ -17,12 +17,12 @@
     Checker,
     ConfigHistory,
     SiteBounds,
-    Touch,
+    TroubleHistory,
     is_repeatable,
     runs_by_request,
     trouble_spans,
 )
-from pearhead.testbed.emulator.workcheckers import BudgetChecker, OneChecker
+from pearhead.testbed.emulator.workercheckers import BudgetChecker, OneChecker
 
 
 class TwiceChecker:
@@ -183,7 +183,7 @@
 
     def find(self, ledger: SiteLedger, bounds: SiteBounds) -> Iterator[str]:
         """Yields a description of each breach of this rule."""
-        tries, trouble_history = ledger.tries_by_id(), Touch(ledger, bounds)
+        tries, trouble_history = ledger.tries_by_id(), TroubleHistory(ledger, bounds)
         unsettled = [
             s for s in trouble_spans(ledger.troubles) if s.trouble.program == "control_plane" or s.trouble.what == "cut"
         ]
@@ -196,7 +196,7 @@
                     + [s.end_at + bounds.contact_micros for s in unsettled if s.trouble.at <= run.at]
                 )
                 node = tries[run.request_id].node if run.request_id in tries else ""
-                if run.at - calm_from > bounds.version_micros and trouble_history.is_sound(node, run.at, run.at):
+                if run.at - calm_from > bounds.version_micros and trouble_history.is_undisturbed(node, run.at, run.at):
                     yield (
                         f"{run.request_id} began at {run.worker} on version {run.version}, "
                         f"{(run.at - calm_from) // MILLI} ms after {naming.version} was acknowledged"
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -14,11 +14,18 @@
 from typing import Any
 
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
-from pearhead.testbed.emulator.answers import Piece, Seal, piece_text, read_piece, read_seal, request_digest
-from pearhead.testbed.emulator.entry import Entry
 from pearhead.testbed.emulator.ledger import RecordSink, Try, body_digest
+from pearhead.testbed.emulator.node_selector import Entry
 from pearhead.testbed.emulator.plan import RequestKind, SitePlan
-from pearhead.testbed.emulator.wire import Head, RawConnection, WireError
+from pearhead.testbed.emulator.raw_http import RawConnection, RawResponseHead, WireError
+from pearhead.testbed.emulator.response_format import (
+    Piece,
+    ResponseSeal,
+    parse_piece,
+    parse_seal,
+    piece_text,
+    request_digest,
+)
 
 # With these statuses the platform promises that the request has not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
@@ -64,7 +71,7 @@
         return max(MIN_SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
 
 
-class RequestDraw:
+class RequestGenerator:
     """Draws random requests for the routes of a configuration.
 
     A few tenants send most of the requests, and prompts on the same subject share their first part.
@@ -114,14 +121,14 @@
 
 
 @dataclass
-class StreamCheck:
+class StreamChecker:
     """Checks the pieces of one response. Each fault is a pair of the broken rule's name and a sentence.
 
     `version` is the weights version last announced, in the head or in an event; 0 before any was.
     """
 
     request: SiteRequest
-    seal: Seal
+    seal: ResponseSeal
     resumed_from: int
     last_number: int = 0
     version: int = 0
@@ -135,7 +142,7 @@
         if piece is None:
             self.faults.append(("MIXED", "bytes that are no event"))
             return
-        self.take_version(piece.version)
+        self.check_version(piece.version)
         if piece.text != piece_text(self.request.digest, piece.number):
             self.faults.append(("MIXED", f"piece {piece.text} belongs to another request"))
         if piece.number != self.last_number + 1:
@@ -144,7 +151,7 @@
             self.faults.append(("ORDER", f"pieces of the runs {self.seal.run} and {piece.run} are joined"))
         self.last_number = piece.number
 
-    def take_version(self, version: int) -> None:
+    def check_version(self, version: int) -> None:
         """Checks the weights version that the head or an event announces; 0 if it announces none."""
         if 0 < version < self.version:
             self.faults.append(("ORDER", f"weights {version} follow weights {self.version}"))
@@ -156,13 +163,13 @@
             self.faults.append(("ORDER", f"ended as whole after {self.last_number} of {self.seal.pieces} pieces"))
 
 
-def check_head(request_id: str, request: SiteRequest, head: Head) -> list[tuple[str, str]]:
+def check_head(request_id: str, request: SiteRequest, head: RawResponseHead) -> list[tuple[str, str]]:
     """Returns what is wrong with the head of a response."""
     faults = []
     echoed = head.text("x-request-id")
     if echoed and echoed != request_id:
         faults.append(("MIXED", f"the answer to {echoed} came to {request_id}"))
-    seal = read_seal(head.text("x-answer-seal"))
+    seal = parse_seal(head.text("x-answer-seal"))
     if seal is not None and seal.status != head.status:
         faults.append(("MIXED", f"a worker gave {seal.status}, and {head.status} came with its seal"))
     if not 200 <= head.status < 300:
@@ -365,15 +372,15 @@
         self,
         request: SiteRequest,
         connection: RawConnection,
-        head: Head,
+        head: RawResponseHead,
         outcome: Outcome,
         resumed_from: int,
         end_at: int,
     ) -> None:
         is_success = 200 <= head.status < 300
-        check = StreamCheck(request, read_seal(head.text("x-answer-seal")) or Seal("", "", 0), resumed_from)
+        check = StreamChecker(request, parse_seal(head.text("x-answer-seal")) or ResponseSeal("", "", 0), resumed_from)
         version_text = head.text("x-weight-versions").strip()
-        check.take_version(int(version_text) if version_text.isdecimal() else 0)
+        check.check_version(int(version_text) if version_text.isdecimal() else 0)
         splitter = EventSplitter()
         body = connection.read_body(head)
         try:
@@ -385,7 +392,7 @@
                 if not is_success:
                     continue
                 for event in splitter.take(chunk):
-                    check.take(read_piece(event))
+                    check.take(parse_piece(event))
                     outcome.first_at = outcome.first_at or self.clock.now()
                     outcome.last_number = check.last_number
             if is_success:
@@ -401,14 +408,14 @@
         left_micros = min(request.silence_micros, end_at - self.clock.now())
         return await asyncio.wait_for(work, max(1, left_micros) / SECOND)
 
-    def _retry_micros(self, head: Head) -> int:
+    def _retry_micros(self, head: RawResponseHead) -> int:
         try:
             return max(0, round(float(head.text("retry-after")) * SECOND))
         except ValueError:
             return 0
 
 
-class SiteCaller:
+class SiteLoadGenerator:
     """Many concurrent clients that send requests on the routes of a given configuration."""
 
     def __init__(self, plan: SitePlan, clock: Clock, chance: random.Random, sink: RecordSink) -> None:
@@ -418,7 +425,7 @@
     async def run(self, request_count: int, at_once: int, config: dict[str, Any] | None = None) -> CallReport:
         """Sends `request_count` requests, `at_once` of them at a time, and reports what the clients saw."""
         report = CallReport()
-        draw = RequestDraw(self.plan, config or self.plan.config, self.chance)
+        draw = RequestGenerator(self.plan, config or self.plan.config, self.chance)
         await self.entry.poll()
         await self.entry.poll()
         poll_task = asyncio.ensure_future(self.entry.run(self.clock))
--- a/src/pearhead/testbed/emulator/configcheckers.py
+++ b/src/pearhead/testbed/emulator/configcheckers.py
@@ -7,7 +7,13 @@
 from typing import Any
 
 from pearhead.testbed.emulator.ledger import SiteLedger
-from pearhead.testbed.emulator.rules import UNEXECUTED_STATUSES, ConfigHistory, SiteBounds, Touch, runs_by_request
+from pearhead.testbed.emulator.rules import (
+    UNEXECUTED_STATUSES,
+    ConfigHistory,
+    SiteBounds,
+    TroubleHistory,
+    runs_by_request,
+)
 
 REFUSAL_STATUSES = (400, 409, 412, 413, 422)
 MIN_LATER_REQUESTS = 20
@@ -110,9 +116,9 @@
         Trouble at one core machine extends the time allowed for applying a configuration by `stretch_micros`. With
         trouble at more than one, nodes can't learn the newest configuration, so these requests aren't checked.
         """
-        configs, runs, trouble_history = ConfigHistory(ledger), runs_by_request(ledger), Touch(ledger, bounds)
+        configs, runs, trouble_history = ConfigHistory(ledger), runs_by_request(ledger), TroubleHistory(ledger, bounds)
         for attempt in ledger.tries:
-            if not trouble_history.is_sound(attempt.node, attempt.sent_at, attempt.ended_at):
+            if not trouble_history.is_undisturbed(attempt.node, attempt.sent_at, attempt.ended_at):
                 continue
             stretched_micros = bounds.apply_micros + bounds.stretch_micros
             troubled = trouble_history.troubled_cores(attempt.sent_at - stretched_micros, attempt.ended_at)
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pearhead.testbed.emulator.keptparts import KeptPart, PartCache, PartEventLog, count_blocks
 from pearhead.testbed.emulator.ledger import OrderSeen, RecordSink, Run, Use
+from pearhead.testbed.emulator.part_cache import KeptPart, PartCache, PartEventLog, count_blocks
 
 DEFAULT_URGENCY = 5
 # What happens to requests that run when new weights are ordered: they finish first, are reset, or go on with the new
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class PartNeed:
+class PromptPartSpec:
     """A named part of a prompt and its length in tokens."""
 
     part: str
@@ -85,7 +85,7 @@
     tenant: str
     salt: str
     model: str
-    parts: tuple[PartNeed, ...]
+    parts: tuple[PromptPartSpec, ...]
     prompt_tokens: int
     output_tokens: int
     deadline_at: int
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True)
-class FetchWanted:
+class FetchRequested:
     """Cached parts are wanted from the address `source`. `keys` are in the order of the prompt."""
 
     ticket: int
@@ -163,7 +163,7 @@
 
 
 @dataclass(frozen=True)
-class SaveWanted:
+class SaveRequested:
     """Cached parts are to be sent to the store at the address `target`."""
 
     target: str
@@ -171,7 +171,14 @@
 
 
 EngineOutput = (
-    RunStarted | PieceProduced | RunFinished | LateRejection | DeadlineExceeded | RunAborted | FetchWanted | SaveWanted
+    RunStarted
+    | PieceProduced
+    | RunFinished
+    | LateRejection
+    | DeadlineExceeded
+    | RunAborted
+    | FetchRequested
+    | SaveRequested
 )
 
 
@@ -300,7 +307,7 @@
                 self._remove(entry)
         self._admit(now)
 
-    def take_fetch(self, now: int, ticket: int, parts: list[KeptPart] | None, is_far: bool = False) -> None:
+    def complete_fetch(self, now: int, ticket: int, parts: list[KeptPart] | None, is_far: bool = False) -> None:
         """Handles the result of a fetch: the parts that the source had, or None if it did not respond.
 
         The tenant and the version of the parts are not checked. With `is_far` the source is in another zone, and the
@@ -385,7 +392,7 @@
 
     # ---- time --------------------------------------------------------------------------------------
 
-    def next_at(self) -> int | None:
+    def next_event_at(self) -> int | None:
         """Returns when `advance` next has something to do if nothing is submitted; None if nothing will happen."""
         event_times = [r.request.deadline_at for r in (*self.queue, *self.running)]
         if self.step_end_at is not None:
@@ -397,7 +404,7 @@
 
     def advance(self, now: int) -> list[EngineOutput]:
         """Processes all events up to `now` and returns the outputs, in order."""
-        while (event_at := self.next_at()) is not None and event_at <= now:
+        while (event_at := self.next_event_at()) is not None and event_at <= now:
             self._process_due_events(event_at)
         self._record_state(now)
         outputs, self.outputs = self.outputs, []
@@ -498,7 +505,7 @@
         if entry.request.source and missing and not entry.has_fetched:
             entry.phase, entry.has_fetched = "fetching", True
             keys = tuple((entry.request.salt, entry.request.model, p.part) for p in missing)
-            self.outputs.append(FetchWanted(entry.ticket, entry.request.source, keys))
+            self.outputs.append(FetchRequested(entry.ticket, entry.request.source, keys))
             return True
         entry.phase = "prefill"
         self._pin_cached_parts(now, entry)
@@ -631,7 +638,7 @@
             if entry.request.target:
                 self._save(now, entry)
 
-    def _cache_read_part(self, now: int, entry: _RequestState, prompt_part: PartNeed) -> None:
+    def _cache_read_part(self, now: int, entry: _RequestState, prompt_part: PromptPartSpec) -> None:
         request = entry.request
         entry.part_index, entry.part_tokens_read = entry.part_index + 1, 0
         entry.private_blocks -= count_blocks(prompt_part.tokens)
@@ -648,7 +655,7 @@
         start_at = max(now, self.link_free_at)
         if parts and start_at - now <= self.settings.move_wait_micros:
             self.link_free_at = start_at + self._transfer_micros(sum(p.tokens for p in parts), False)
-            self.outputs.append(SaveWanted(entry.request.target, parts))
+            self.outputs.append(SaveRequested(entry.request.target, parts))
 
     def _transfer_micros(self, tokens: int, is_far: bool) -> int:
         bits = tokens * self.settings.token_bytes * 8
--- a/src/pearhead/testbed/emulator/enginedriver.py
+++ b/src/pearhead/testbed/emulator/engine_driver.py
@@ -12,12 +12,12 @@
     EngineModel,
     EngineOutput,
     EngineRequest,
-    FetchWanted,
+    FetchRequested,
     RunAborted,
-    SaveWanted,
+    SaveRequested,
 )
-from pearhead.testbed.emulator.keptparts import KeptPart, PartKey
-from pearhead.testbed.emulator.wire import ask
+from pearhead.testbed.emulator.part_cache import KeptPart, PartKey
+from pearhead.testbed.emulator.raw_http import ask
 
 PartKeys = tuple[PartKey, ...]
 
@@ -34,7 +34,7 @@
         ...
 
 
-class HttpPartLink:
+class HttpPartTransfer:
     """Moves parts between processes of the emulator, on paths that the real platform does not have."""
 
     async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None:
@@ -61,11 +61,11 @@
 
     def submit(self, request: EngineRequest) -> tuple[int, asyncio.Queue[EngineOutput]]:
         """Submits a request; returns its ticket and the queue of its outputs. Raises RequestRejectedError."""
-        self.kick()
+        self.advance_to_now()
         ticket = self.model.submit(self.clock.now(), request)
         queue: asyncio.Queue[EngineOutput] = asyncio.Queue()
         self.output_queues[ticket] = queue
-        self.kick()
+        self.advance_to_now()
         return ticket, queue
 
     def cancel(self, ticket: int) -> None:
@@ -74,28 +74,30 @@
         if queue is not None:
             queue.put_nowait(RunAborted(ticket))
         self.model.cancel(self.clock.now(), ticket)
-        self.kick()
+        self.advance_to_now()
 
     def order(self, body: dict[str, Any]) -> int:
         """Passes an order to the engine and returns its status."""
-        self.kick()
+        self.advance_to_now()
         status = self.model.order(self.clock.now(), body)
-        self.kick()
+        self.advance_to_now()
         return status
 
-    def kick(self) -> None:
+    def advance_to_now(self) -> None:
         """Advances the engine to the present, delivers its outputs, and sets the timer for its next event."""
         for output in self.model.advance(self.clock.now()):
             self._deliver(output)
         if self.timer is not None:
             self.timer.cancel()
-        next_at_micros = self.model.next_at()
-        self.timer = None if next_at_micros is None else self.clock.after(next_at_micros - self.clock.now(), self.kick)
+        next_at_micros = self.model.next_event_at()
+        self.timer = (
+            None if next_at_micros is None else self.clock.after(next_at_micros - self.clock.now(), self.advance_to_now)
+        )
 
     def _deliver(self, output: EngineOutput) -> None:
-        if isinstance(output, FetchWanted):
+        if isinstance(output, FetchRequested):
             self._spawn(self._fetch(output))
-        elif isinstance(output, SaveWanted):
+        elif isinstance(output, SaveRequested):
             self._spawn(self.transfer.save(output.target, output.parts))
         elif output.ticket in self.output_queues:
             self.output_queues[output.ticket].put_nowait(output)
@@ -105,8 +107,8 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _fetch(self, request: FetchWanted) -> None:
+    async def _fetch(self, request: FetchRequested) -> None:
         result = await self.transfer.fetch(request.source, request.keys)
         parts, zone = result if result is not None else (None, self.zone)
-        self.model.take_fetch(self.clock.now(), request.ticket, parts, zone != self.zone)
-        self.kick()
+        self.model.complete_fetch(self.clock.now(), request.ticket, parts, zone != self.zone)
+        self.advance_to_now()
--- a/src/pearhead/testbed/emulator/enginefront.py
+++ b/src/pearhead/testbed/emulator/engine_server.py
@@ -15,23 +15,23 @@
 from tornado.web import Application, RequestHandler
 
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
-from pearhead.testbed.emulator.answers import Piece, Seal, piece_text, request_digest
 from pearhead.testbed.emulator.engine import (
     DEFAULT_URGENCY,
     DeadlineExceeded,
     EngineOutput,
     EngineRequest,
     LateRejection,
-    PartNeed,
     PieceProduced,
+    PromptPartSpec,
     RequestRejectedError,
     RunAborted,
     RunFinished,
     RunStarted,
 )
-from pearhead.testbed.emulator.enginedriver import EngineDriver
-from pearhead.testbed.emulator.enginefaults import EngineFaults
+from pearhead.testbed.emulator.engine_driver import EngineDriver
+from pearhead.testbed.emulator.engine_faults import EngineFaults
 from pearhead.testbed.emulator.ledger import Arrival, BrokenOff, Finished, RecordSink, body_digest
+from pearhead.testbed.emulator.response_format import Piece, ResponseSeal, piece_text, request_digest
 
 IDLE_SECONDS = 30
 # With the fault `forgets_idle`, connections are closed this long after a response.
@@ -45,12 +45,12 @@
 DEFAULT_DEADLINE_MICROS = 30 * SECOND
 
 
-def parse_prompt_parts(text: str) -> tuple[PartNeed, ...]:
+def parse_prompt_parts(text: str) -> tuple[PromptPartSpec, ...]:
     """Parses `ID:TOKENS` items separated by commas. Raises ValueError."""
     parts = []
     for item in text.split(",") if text else []:
         part, _, tokens_text = item.partition(":")
-        parts.append(PartNeed(part, int(tokens_text)))
+        parts.append(PromptPartSpec(part, int(tokens_text)))
     return tuple(parts)
 
 
@@ -67,7 +67,7 @@
         stream.close()
 
 
-class EngineSite:
+class EngineContext:
     """State that the handlers of one emulated worker share.
 
     `reader_limit`: event readers served at a time. `connection_limit`: open connections, beyond which new ones are
@@ -102,7 +102,7 @@
 class EngineHandler(RequestHandler):
     """Base of the worker's handlers."""
 
-    def initialize(self, context: EngineSite) -> None:
+    def initialize(self, context: EngineContext) -> None:
         """Takes the shared state from the application's routes."""
         self.context = context
         self.model = context.driver.model
@@ -137,7 +137,7 @@
             self.set_header("X-Request-Id", request_id)
         if has_run:
             digest = request_digest(str(self.request.method), str(self.request.uri), self.request.body)
-            self.set_header("X-Answer-Seal", Seal(digest, "failed", 0, status).text())
+            self.set_header("X-Answer-Seal", ResponseSeal(digest, "failed", 0, status).text())
         await self.finish()
 
 
@@ -282,7 +282,7 @@
     def _start_response(self, engine_request: EngineRequest, started: RunStarted, digest: str) -> None:
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("X-Request-Id", engine_request.request_id)
-        self.set_header("X-Answer-Seal", Seal(digest, started.run, started.pieces).text())
+        self.set_header("X-Answer-Seal", ResponseSeal(digest, started.run, started.pieces).text())
         self.set_header("X-Weight-Versions", str(started.version))
         self.closes_connection = self.context.is_draining or self.context.chance.random() < CLOSE_AFTER_RESPONSE_SHARE
         if self.closes_connection:
@@ -327,7 +327,7 @@
 
     def get(self) -> None:
         """Answers the state, as it was some time ago."""
-        self.context.driver.kick()
+        self.context.driver.advance_to_now()
         self.finish(self.model.report(self.context.clock.now()))
 
 
@@ -435,7 +435,7 @@
         super().handle_stream(stream, address)
 
 
-def build_engine_server(context: EngineSite, probe_path: str) -> ConnectionLimitedServer:
+def build_engine_server(context: EngineContext, probe_path: str) -> ConnectionLimitedServer:
     """Returns the worker's HTTP server. `probe_path`: where the health probe is served."""
     handler_args = {"context": context}
     application = Application(
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -19,9 +19,9 @@
 
 from pearhead.runtime.clock import SECOND, BootClock
 from pearhead.testbed.deployment import Deployment
-from pearhead.testbed.emulator.addressblock import AddressBlock, BlockTakenError, claim_free_block
+from pearhead.testbed.emulator.address_block import AddressBlock, BlockTakenError, claim_free_block
 from pearhead.testbed.emulator.checkers import find_breaches
-from pearhead.testbed.emulator.client import CallReport, SiteCaller
+from pearhead.testbed.emulator.client import CallReport, SiteLoadGenerator
 from pearhead.testbed.emulator.ledger import LedgerFile, Life, SiteLedger, Trouble, read_ledger
 from pearhead.testbed.emulator.operator import SiteOperator, apply_patch
 from pearhead.testbed.emulator.plan import (
@@ -29,7 +29,7 @@
     CLOUD_PORT,
     CONTROL_PORT,
     FRONT_PORT,
-    INNER_PORTS,
+    INTERNAL_PORTS,
     READINESS_PORT,
     STORE_PORT,
     WORKER_PORT,
@@ -41,7 +41,7 @@
     program_settings,
     read_plan,
 )
-from pearhead.testbed.emulator.wire import ask
+from pearhead.testbed.emulator.raw_http import ask
 from pearhead.testbed.launcher import Launcher
 
 ROOT = Path(__file__).resolve().parents[4]
@@ -52,7 +52,7 @@
     "store": STORE_PORT,
     "cloud": CLOUD_PORT,
 }
-CLAIMED_PORTS = (*PORTS.values(), READINESS_PORT, INNER_PORTS[0])
+CLAIMED_PORTS = (*PORTS.values(), READINESS_PORT, INTERNAL_PORTS[0])
 PLATFORM_PROGRAMS = ("control_plane", "router")
 START_ORDER = ("cloud", "store", "engine", "control_plane", "router")
 TROUBLE_BY_SIGNAL = {
@@ -152,7 +152,7 @@
             return program_settings(site, machine, str(self.folder_path))
         data_path = self.folder_path / f"{name}.data"
         data_path.mkdir(exist_ok=True)
-        return node_settings(site, machine, str(data_path), not self.plan["is_begun"], self.listed_controls())
+        return node_settings(site, machine, str(data_path), not self.plan["is_begun"], self.listed_control_addresses())
 
     def _spawn(self, name: str, settings_path: Path) -> int:
         """Starts the program of a process and returns the process id."""
@@ -254,7 +254,7 @@
         shutil.rmtree(self.folder_path / f"{name}.data")
         self._note(name, "wiped")
 
-    def listed_controls(self) -> list[str]:
+    def listed_control_addresses(self) -> list[str]:
         """The control addresses of the core by the platform's list, which lags behind by `SeedLagS`."""
         shown_until = self.clock.now() - BOUNDS["SeedLagS"] * SECOND
         shown = [addresses for at, addresses in self.plan["listed"] if at <= shown_until]
@@ -274,7 +274,7 @@
         sink = LedgerFile(self.ledger_path / "operator.jsonl")
         chance = random.Random(f"{self.plan['seed']} {sink.file.tell()}")
         try:
-            yield SiteOperator(self.listed_controls, self.clock, sink, chance, lost_answers)
+            yield SiteOperator(self.listed_control_addresses, self.clock, sink, chance, lost_answers)
         finally:
             sink.close()
 
@@ -390,7 +390,7 @@
         """
         sink = LedgerFile(self.ledger_path / "clients.jsonl")
         chance = random.Random(f"{seed} {sink.file.tell()}")
-        caller = SiteCaller(self.site, self.clock, chance, sink)
+        caller = SiteLoadGenerator(self.site, self.clock, chance, sink)
         try:
             return asyncio.run(caller.run(request_count, at_once, self.plan["config"]))
         finally:
@@ -452,7 +452,7 @@
     return [*lines, *(f"  {fault}" for fault in report.faults[:20])], len(report.faults)
 
 
-def judge_site(folder: str) -> tuple[list[str], int]:
+def check_site(folder: str) -> tuple[list[str], int]:
     """Checks the ledger of a site. Returns lines to show, and how many breaches of rules were found."""
     ledger = SiteLauncher(folder).ledger()
     breaches = find_breaches(ledger)
@@ -462,7 +462,7 @@
     return [*lines, *(f"  {breach.line()}" for breach in breaches)], len(breaches)
 
 
-def finish_site(result: tuple[list[str], int]) -> None:
+def print_site_result(result: tuple[list[str], int]) -> None:
     """Prints the lines of a result; exits with status 1 if its count is not 0."""
     lines, count = result
     print("\n".join(lines))
--- a/src/pearhead/testbed/emulator/main.py
+++ b/src/pearhead/testbed/emulator/main.py
@@ -19,11 +19,11 @@
 from pearhead.runtime.socketnet import split_address
 from pearhead.testbed.emulator.cloud import CloudModel, build_cloud
 from pearhead.testbed.emulator.engine import EngineModel, EngineSettings
-from pearhead.testbed.emulator.enginedriver import EngineDriver, HttpPartLink
-from pearhead.testbed.emulator.enginefront import EngineSite, build_engine_server
+from pearhead.testbed.emulator.engine_driver import EngineDriver, HttpPartTransfer
+from pearhead.testbed.emulator.engine_server import EngineContext, build_engine_server
 from pearhead.testbed.emulator.ledger import LedgerFile
-from pearhead.testbed.emulator.store import StoreModel, StoreSite, build_store
-from pearhead.testbed.emulator.wire import ask
+from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.store import StoreContext, StoreModel, build_store
 
 HEARTBEAT_INTERVAL_MICROS = 250 * MILLI
 DRAIN_MARGIN_MICROS = 1_500 * MILLI
@@ -70,7 +70,7 @@
             await self._send_heartbeat(site)
             await sleep_for(self.clock, HEARTBEAT_INTERVAL_MICROS)
 
-    def _build(self, version: int) -> EngineSite:
+    def _build(self, version: int) -> EngineContext:
         settings = self.settings
         sink = LedgerFile(Path(settings["ledger"]))
         model = EngineModel(
@@ -83,8 +83,8 @@
             self.chance,
             sink,
         )
-        driver = EngineDriver(model, self.clock, HttpPartLink(), settings["zone"])
-        return EngineSite(driver, self.clock, self.chance, sink, settings["readers"], settings["connections"])
+        driver = EngineDriver(model, self.clock, HttpPartTransfer(), settings["zone"])
+        return EngineContext(driver, self.clock, self.chance, sink, settings["readers"], settings["connections"])
 
     def _save_version(self, version: int) -> None:
         """Replaces the version file atomically, as the worker may be killed at any moment."""
@@ -92,14 +92,14 @@
         new_path.write_text(str(version))
         new_path.replace(self.version_path)
 
-    async def _send_heartbeat(self, site: EngineSite) -> None:
+    async def _send_heartbeat(self, site: EngineContext) -> None:
         """Reports the worker's state to the worker list.
 
         Learns from the answer which versions are announced, and how many workers load at once, which slows its own
         loading beyond `loads_at_once`.
         """
         model, settings = site.driver.model, self.settings
-        site.driver.kick()
+        site.driver.advance_to_now()
         self._save_version(model.version)
         state = model.state()
         answer = await ask(
@@ -138,7 +138,7 @@
         settings = self.settings
         model = StoreModel(settings["cache_tokens"], random.Random())
         server = HTTPServer(
-            build_store(StoreSite(model, BootClock(), settings["zone"], settings["readers"])),
+            build_store(StoreContext(model, BootClock(), settings["zone"], settings["readers"])),
             max_body_size=64 * 1024 * 1024,
         )
         host_name, port_number = split_address(settings["address"])
--- a/src/pearhead/testbed/emulator/entry.py
+++ b/src/pearhead/testbed/emulator/node_selector.py
@@ -7,7 +7,7 @@
 
 from pearhead.runtime.clock import SECOND, Clock, sleep_for
 from pearhead.testbed.emulator.plan import FRONT_PORT, READINESS_PORT, Machine
-from pearhead.testbed.emulator.wire import ask
+from pearhead.testbed.emulator.raw_http import ask
 
 MISS_LIMIT = 2
 
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -18,7 +18,7 @@
     VersionNamed,
     body_digest,
 )
-from pearhead.testbed.emulator.wire import Answer, ask
+from pearhead.testbed.emulator.raw_http import RawResponse, ask
 
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 MIN_RETRY_DELAY_MICROS = 100 * MILLI
@@ -71,11 +71,11 @@
         sink: RecordSink,
         chance: random.Random | None = None,
         lost_answers: int = 0,
-        silence_seconds: float = ANSWER_TIMEOUT_SECONDS,
+        answer_timeout_seconds: float = ANSWER_TIMEOUT_SECONDS,
     ) -> None:
         self.controls, self.clock, self.sink = controls, clock, sink
         self.chance = chance or random.Random(0)
-        self.lost_answers, self.silence_seconds = lost_answers, silence_seconds
+        self.lost_answers, self.answer_timeout_seconds = lost_answers, answer_timeout_seconds
         self.last_body: dict[str, Any] = {}
 
     async def put(
@@ -145,7 +145,7 @@
         headers: dict[str, str],
         limit_micros: int,
         change: ConfigChange | None = None,
-    ) -> Answer | None:
+    ) -> RawResponse | None:
         """Sends a request to one node after another until one gives a conclusive answer.
 
         Conclusive are a 2xx, a status in `FINAL_STATUSES`, and the third answer with another 4xx, except 408 and 429.
@@ -184,7 +184,7 @@
         body: dict[str, Any] | None,
         headers: dict[str, str],
         change: ConfigChange | None,
-    ) -> Answer | None:
+    ) -> RawResponse | None:
         """Sends a request to one node; records the answer to a change, and drops it if it is to be lost."""
         sent_at = self.clock.now()
         answer = await self._ask(control, method, path, body, headers)
@@ -202,16 +202,16 @@
 
     async def _ask(
         self, control: str, method: str, path: str, body: dict[str, Any] | None, headers: dict[str, str]
-    ) -> Answer | None:
+    ) -> RawResponse | None:
         """Sends one request, following up to `MAX_REDIRECTS` redirects.
 
         None after a timeout, which is longer for large bodies, and after too many redirects.
         """
         body_bytes = b"" if body is None else json.dumps(body).encode()
-        silence_seconds = self.silence_seconds + len(body_bytes) / UPLOAD_BYTES_PER_SECOND
+        answer_timeout_seconds = self.answer_timeout_seconds + len(body_bytes) / UPLOAD_BYTES_PER_SECOND
         target, target_path = control, path
         for _ in range(1 + MAX_REDIRECTS):
-            answer = await ask(target, method, target_path, body_bytes, headers, silence_seconds)
+            answer = await ask(target, method, target_path, body_bytes, headers, answer_timeout_seconds)
             if answer is None or answer.head.status != 307:
                 return answer
             location = answer.head.text("location").removeprefix("http://")
--- a/src/pearhead/testbed/emulator/plan.py
+++ b/src/pearhead/testbed/emulator/plan.py
@@ -15,7 +15,7 @@
 
 CONTROL_PORT, FRONT_PORT, READINESS_PORT, WORKER_PORT = 8169, 8167, 8162, 8080
 STORE_PORT, CLOUD_PORT = 8165, 8161
-INNER_PORTS = (7640, 7655)
+INTERNAL_PORTS = (7640, 7655)
 BOUNDS: dict[str, Any] = {
     "SeedLagS": 3,
     "ReuseAfterS": 2,
@@ -287,7 +287,7 @@
         "Region": plan.region,
         "Zones": {zone: plan.region for zone in plan.zones},
         "BindAddresses": binds,
-        "PortRange": list(INNER_PORTS),
+        "PortRange": list(INTERNAL_PORTS),
         "SeedNodes": (seeds or plan.addresses("control_plane", CONTROL_PORT))[:SEED_COUNT],
         "FirstStart": is_first,
         "Counted": is_core,
--- a/src/pearhead/testbed/emulator/plannedcheckers.py
+++ b/src/pearhead/testbed/emulator/plannedcheckers.py
@@ -9,7 +9,7 @@
 from pearhead.testbed.emulator.rules import (
     ConfigHistory,
     SiteBounds,
-    Touch,
+    TroubleHistory,
     TroubleSpan,
     runs_by_request,
     trouble_spans,
@@ -190,7 +190,7 @@
         Counts only requests whose node and workers had no trouble, while no core machine had any either. Up to
         `TOLERATED_CLOSES` of them are tolerated.
         """
-        trouble_history = Touch(ledger, bounds)
+        trouble_history = TroubleHistory(ledger, bounds)
         closed = [
             a
             for a in cut
@@ -198,7 +198,7 @@
             and not a.first_at
             and a.request_id in workers
             and not trouble_history.troubled_cores(a.sent_at, a.ended_at)
-            and all(trouble_history.is_sound(n, a.sent_at, a.ended_at) for n in (a.node, *workers[a.request_id]))
+            and all(trouble_history.is_undisturbed(n, a.sent_at, a.ended_at) for n in (a.node, *workers[a.request_id]))
         ]
         if len(closed) > TOLERATED_CLOSES:
             yield f"{len(closed)} requests of kept connections had no answer, {closed[0].request_id} first"
--- a/src/pearhead/testbed/emulator/wire.py
+++ b/src/pearhead/testbed/emulator/raw_http.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Head:
+class RawResponseHead:
     """Status and headers of a response; header names are in lower case."""
 
     status: int
@@ -42,10 +42,10 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class RawResponse:
     """A complete response."""
 
-    head: Head
+    head: RawResponseHead
     body: bytes = b""
 
     def fields(self) -> dict[str, Any]:
@@ -94,7 +94,7 @@
         except OSError as error:
             raise WireError(str(error)) from error
 
-    async def read_head(self) -> Head:
+    async def read_head(self) -> RawResponseHead:
         """Reads the status line and headers of a response; interim (1xx) responses are skipped."""
         status_line = await self._read_line()
         version, _, rest = status_line.partition(" ")
@@ -109,9 +109,9 @@
             headers[name.strip().lower()] = value.strip()
         if 100 <= int(status_text) < 200:
             return await self.read_head()
-        return Head(int(status_text), headers)
+        return RawResponseHead(int(status_text), headers)
 
-    async def read_body(self, head: Head) -> AsyncGenerator[bytes, None]:
+    async def read_body(self, head: RawResponseHead) -> AsyncGenerator[bytes, None]:
         """Yields the body in chunks, as they come. Ends only where the framing says that the body is complete."""
         if head.status in (204, 304):
             return
@@ -157,7 +157,7 @@
     body: object = None,
     headers: dict[str, str] | None = None,
     timeout_seconds: float = 1.0,
-) -> Answer | None:
+) -> RawResponse | None:
     """Sends one request on a connection of its own, for calls between processes rather than those of clients.
 
     A body that is not bytes is sent as JSON. Returns None if no complete response came within the time.
@@ -176,4 +176,4 @@
                 connection.close()
     except (OSError, WireError, TimeoutError):
         return None
-    return Answer(head, b"".join(chunks))
+    return RawResponse(head, b"".join(chunks))
--- a/src/pearhead/testbed/emulator/answers.py
+++ b/src/pearhead/testbed/emulator/response_format.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Seal:
+class ResponseSeal:
     """Header that identifies a response: its request, the run that produced it, its number of pieces, its status."""
 
     digest: str
@@ -33,12 +33,12 @@
         return f"{self.digest}.{self.run}.{self.pieces}.{self.status}"
 
 
-def read_seal(text: str) -> Seal | None:
+def parse_seal(text: str) -> ResponseSeal | None:
     """Parses a header value; None if it is not a seal."""
     fields = text.split(".")
     if len(fields) != 4 or not fields[2].isdigit() or not fields[3].isdigit():
         return None
-    return Seal(fields[0], fields[1], int(fields[2]), int(fields[3]))
+    return ResponseSeal(fields[0], fields[1], int(fields[2]), int(fields[3]))
 
 
 @dataclass(frozen=True)
@@ -56,7 +56,7 @@
         return f"{head}id: {self.number}\ndata: {self.run} {self.text}\n\n".encode()
 
 
-def read_piece(event_bytes: bytes) -> Piece | None:
+def parse_piece(event_bytes: bytes) -> Piece | None:
     """Parses an event without its closing blank line; None if a worker did not produce it."""
     fields = dict(line.split(": ", 1) for line in event_bytes.decode("latin-1").split("\n") if ": " in line)
     run, _, text = fields.get("data", "").partition(" ")
--- a/src/pearhead/testbed/emulator/rules.py
+++ b/src/pearhead/testbed/emulator/rules.py
@@ -121,7 +121,7 @@
     return spans
 
 
-class Touch:
+class TroubleHistory:
     """Tells which processes had trouble around a given time.
 
     By the rules a process is in contact if it had no trouble in the last `ContactMs` and the core is settled. A reload
@@ -132,7 +132,7 @@
         self.bounds = bounds
         self.spans = trouble_spans(t for t in ledger.troubles if t.what != "reloaded")
 
-    def is_sound(self, name: str, begin_at: int, end_at: int) -> bool:
+    def is_undisturbed(self, name: str, begin_at: int, end_at: int) -> bool:
         """Whether a process had no trouble from `ContactMs` before the first time until the second."""
         return not self._troubled_names(lambda t: t.name == name, begin_at, end_at)
 
--- a/src/pearhead/testbed/emulator/strikes.py
+++ b/src/pearhead/testbed/emulator/sitefaults.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from pearhead.testbed.emulator.client import CallReport
-from pearhead.testbed.emulator.corestrikes import CoreFaultInjector
+from pearhead.testbed.emulator.corefaults import CoreFaultInjector
 from pearhead.testbed.emulator.launcher import SiteLauncher
 
-SOUND: dict[str, Any] = {
+NO_FAULTS: dict[str, Any] = {
     "cut": 0.0,
     "lost": 0.0,
     "fails": 0.0,
@@ -34,7 +34,7 @@
 }
 
 
-class SiteStrikes:
+class SiteFaultInjector:
     """Injects random faults and changes into a running site.
 
     At any time the core loses no more than `Tolerance` allows: one machine, or all processes with at most one disk.
@@ -99,7 +99,7 @@
         caller.join()
         for machine in self.launcher.site.of("engine"):
             if action_name.startswith("trouble"):
-                self.launcher.inject_worker_faults(machine.name, SOUND)
+                self.launcher.inject_worker_faults(machine.name, NO_FAULTS)
         return f"{action_name} ({detail})", reports[0]
 
     def _names(self, program: str, count: int) -> list[str]:
--- a/src/pearhead/testbed/emulator/store.py
+++ b/src/pearhead/testbed/emulator/store.py
@@ -14,7 +14,7 @@
 from tornado.web import Application, RequestHandler
 
 from pearhead.runtime.clock import MILLI, Clock, sleep_for
-from pearhead.testbed.emulator.keptparts import KeptPart, PartCache, PartEventLog
+from pearhead.testbed.emulator.part_cache import KeptPart, PartCache, PartEventLog
 
 
 class StoreModel:
@@ -41,7 +41,7 @@
         return found
 
 
-class StoreSite:
+class StoreContext:
     """State that the handlers of one store share. `reader_limit`: event readers served at a time."""
 
     def __init__(self, model: StoreModel, clock: Clock, zone: str, reader_limit: int) -> None:
@@ -52,7 +52,7 @@
 class StoreHandler(RequestHandler):
     """Base of the store's handlers."""
 
-    def initialize(self, context: StoreSite) -> None:
+    def initialize(self, context: StoreContext) -> None:
         """Takes the shared state from the application's routes."""
         self.context = context
         self.model = context.model
@@ -113,7 +113,7 @@
         )
 
 
-def build_store(context: StoreSite) -> Application:
+def build_store(context: StoreContext) -> Application:
     """Returns the store's HTTP application."""
     handler_args = {"context": context}
     return Application(
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -17,14 +17,14 @@
 from pearhead.testbed.emulator.launcher import (
     SiteLauncher,
     call_site,
-    finish_site,
+    check_site,
     is_site,
-    judge_site,
     open_launcher,
+    print_site_result,
     start_site,
 )
 from pearhead.testbed.emulator.plan import SiteSize
-from pearhead.testbed.emulator.strikes import SiteStrikes
+from pearhead.testbed.emulator.sitefaults import SiteFaultInjector
 from pearhead.testbed.launcher import Launcher, find_deployment
 from pearhead.testbed.simulator.measurements import MEASURES, run_measure, summary_rows
 from pearhead.testbed.simulator.recording import compare_replay, preview_description, read_recording, replay
@@ -112,7 +112,7 @@
         --first is the number in the id of the first job; an emulated site ignores it.
         """
         if is_site(folder):
-            finish_site(call_site(folder, jobs, at_once, seed))
+            print_site_result(call_site(folder, jobs, at_once, seed))
             return
         launcher = Launcher(folder)
         caller = Caller(
@@ -130,16 +130,16 @@
 
     def judge(self, folder: str) -> None:
         """Checks what callers, workers and operators of an emulated site recorded, by the platform's rules."""
-        finish_site(judge_site(folder))
+        print_site_result(check_site(folder))
 
     def strike(self, folder: str, rounds: int = 10, seed: int = 1, jobs: int = 300, at_once: int = 16) -> None:
         """Injects random faults into an emulated site while it serves checked requests, then runs `judge`."""
-        strikes = SiteStrikes(SiteLauncher(folder), seed)
+        strikes = SiteFaultInjector(SiteLauncher(folder), seed)
         for number in range(rounds):
             fault_text, report = strikes.strike(number, jobs, at_once)
             print(f"{fault_text}: {dict(report.outcomes)}", flush=True)
         strikes.launcher.wait_ready()
-        finish_site(judge_site(folder))
+        print_site_result(check_site(folder))
 
     def soak(
         self,
--- a/src/pearhead/testbed/soak/faults.py
+++ b/src/pearhead/testbed/soak/fault_runner.py
@@ -15,9 +15,9 @@
 from pearhead.testbed.emulator.ledger import LedgerFile
 from pearhead.testbed.emulator.operator import apply_patch
 from pearhead.testbed.emulator.plan import CLOUD_PORT, WORKER_PORT
-from pearhead.testbed.emulator.strikes import SOUND
-from pearhead.testbed.emulator.wire import ask
-from pearhead.testbed.soak.faultproxy import TOO_MANY_REQUESTS, LinkFault
+from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.sitefaults import NO_FAULTS
+from pearhead.testbed.soak.fault_proxy import TOO_MANY_REQUESTS, LinkFault
 from pearhead.testbed.soak.fleet import SoakFleet
 from pearhead.testbed.soak.schedule import FaultKind, ScheduledFault
 
@@ -134,7 +134,7 @@
         self.fleet.record_worker_faulty(name, True)
         await self._set_worker_faults(name, WORKER_FAULT_SETS[fault.count % len(WORKER_FAULT_SETS)])
         await sleep_for(self.clock, fault.duration_micros)
-        await self._set_worker_faults(name, SOUND)
+        await self._set_worker_faults(name, NO_FAULTS)
         self.fleet.record_worker_faulty(name, False)
 
     async def _set_worker_faults(self, name: str, faults: dict[str, Any]) -> None:
--- a/src/pearhead/testbed/soak/fleet.py
+++ b/src/pearhead/testbed/soak/fleet.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from pearhead.runtime.clock import SECOND, sleep_for
-from pearhead.testbed.emulator.entry import Entry
 from pearhead.testbed.emulator.launcher import SiteLauncher
 from pearhead.testbed.emulator.ledger import LedgerFile
+from pearhead.testbed.emulator.node_selector import Entry
 from pearhead.testbed.emulator.operator import SiteOperator
 from pearhead.testbed.emulator.plan import (
     BOUNDS,
@@ -29,9 +29,9 @@
     RequestKind,
     SiteSize,
 )
-from pearhead.testbed.emulator.wire import ask
+from pearhead.testbed.emulator.raw_http import ask
 from pearhead.testbed.launcher import Launcher, find_deployment
-from pearhead.testbed.soak.faultproxy import NO_LINK_FAULT, FaultProxy, LinkFault
+from pearhead.testbed.soak.fault_proxy import NO_LINK_FAULT, FaultProxy, LinkFault
 from pearhead.testbed.soak.schedule import SoakProfile
 
 PROXY_OCTET_OFFSET = 100
@@ -187,7 +187,7 @@
 
     def proxied_control_addresses(self) -> list[str]:
         """Where operators send changes: the proxies of the core nodes that the platform lists."""
-        listed = (address.rpartition(":") for address in self.listed_controls())
+        listed = (address.rpartition(":") for address in self.listed_control_addresses())
         return [f"{proxy_ip(ip)}:{port}" for ip, _, port in listed]
 
     def make_operator(self, sink: LedgerFile, lost_answers: int, seed_text: str) -> SiteOperator:
--- a/src/pearhead/testbed/soak/logscan.py
+++ b/src/pearhead/testbed/soak/log_scanner.py
@@ -11,7 +11,7 @@
 from datetime import UTC, datetime, timedelta
 from pathlib import Path
 
-from pearhead.testbed.emulator.rules import Touch
+from pearhead.testbed.emulator.rules import TroubleHistory
 
 ERROR_LINE_PATTERN = re.compile(
     r"^(\S+Z (ERROR|CRITICAL) |Traceback \(most recent call last\):|Task exception was never )"
@@ -41,7 +41,7 @@
     microseconds since the Unix epoch.
     """
 
-    def __init__(self, folder_path: Path, trouble_history: Touch, boot_time_micros: int) -> None:
+    def __init__(self, folder_path: Path, trouble_history: TroubleHistory, boot_time_micros: int) -> None:
         self.folder_path, self.trouble_history, self.boot_time_micros = folder_path, trouble_history, boot_time_micros
 
     def find_errors(self) -> Iterator[str]:
@@ -55,4 +55,4 @@
         if STALE_ROSTER_MARKER not in line:
             return False
         at = line_time_micros(line) - self.boot_time_micros
-        return not all(self.trouble_history.is_sound(n, at, at) for n in (name, CLOUD_PROCESS))
+        return not all(self.trouble_history.is_undisturbed(n, at, at) for n in (name, CLOUD_PROCESS))
--- a/src/pearhead/testbed/soak/run.py
+++ b/src/pearhead/testbed/soak/run.py
@@ -22,11 +22,11 @@
 from pearhead.testbed.emulator.checkers import find_breaches
 from pearhead.testbed.emulator.client import CallReport
 from pearhead.testbed.emulator.ledger import LedgerFile
-from pearhead.testbed.emulator.rules import Breach, SiteBounds, Touch
+from pearhead.testbed.emulator.rules import Breach, SiteBounds, TroubleHistory
 from pearhead.testbed.launcher import Launcher
-from pearhead.testbed.soak.faults import FaultRunner
+from pearhead.testbed.soak.fault_runner import FaultRunner
 from pearhead.testbed.soak.fleet import NotReadyError, SoakFleet
-from pearhead.testbed.soak.logscan import LogScanner
+from pearhead.testbed.soak.log_scanner import LogScanner
 from pearhead.testbed.soak.schedule import ScheduledFault, ScheduleGenerator, SoakProfile
 from pearhead.testbed.soak.traffic import SoakTraffic
 
@@ -143,7 +143,7 @@
     def _build_result(self, fleet: SoakFleet, breaches: list[Breach], outcomes: Counter[str]) -> SoakResult:
         ledger = fleet.ledger()
         boot_time_micros = time.time_ns() // 1_000 - fleet.clock.now()
-        logs = LogScanner(self.folder_path, Touch(ledger, SiteBounds()), boot_time_micros)
+        logs = LogScanner(self.folder_path, TroubleHistory(ledger, SiteBounds()), boot_time_micros)
         found = [*breaches, *find_breaches(ledger), *(Breach("LOGS", line) for line in logs.find_errors())]
         faults = Counter(f.kind.value for f in self.schedule)
         return SoakResult(
--- a/src/pearhead/testbed/soak/traffic.py
+++ b/src/pearhead/testbed/soak/traffic.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
-from pearhead.testbed.emulator.client import CallReport, Outcome, RequestDraw, SiteClient, SiteRequest
+from pearhead.testbed.emulator.client import CallReport, Outcome, RequestGenerator, SiteClient, SiteRequest
 from pearhead.testbed.emulator.ledger import RecordSink
 from pearhead.testbed.emulator.plan import SitePlan
-from pearhead.testbed.emulator.wire import RawConnection
-from pearhead.testbed.soak.faultproxy import FaultProxy
+from pearhead.testbed.emulator.raw_http import RawConnection
+from pearhead.testbed.soak.fault_proxy import FaultProxy
 from pearhead.testbed.soak.fleet import ProxiedEntry
 
 MIN_PAUSE_MICROS = 100 * MILLI
@@ -26,7 +26,7 @@
 
     def __init__(self, plan: SitePlan, config: dict[str, Any], chance: random.Random) -> None:
         self.plan, self.chance = plan, chance
-        self.generators: list[RequestDraw] = []
+        self.generators: list[RequestGenerator] = []
         self.use_config(config)
 
     def use_config(self, config: dict[str, Any]) -> None:
@@ -35,9 +35,9 @@
         added_routes = [r["Name"] for r in config["RouteTable"] if r["Name"] not in known_routes]
         template = self.plan.kinds[0]
         kinds = [*self.plan.kinds, *(replace(template, route=name, share=0.1) for name in added_routes)]
-        self.generators.append(RequestDraw(replace(self.plan, kinds=kinds), config, self.chance))
+        self.generators.append(RequestGenerator(replace(self.plan, kinds=kinds), config, self.chance))
 
-    def pick_generator(self) -> RequestDraw:
+    def pick_generator(self) -> RequestGenerator:
         """Returns the generator to draw the next request from."""
         is_old = len(self.generators) > 1 and self.chance.random() < OLD_CONFIG_PROBABILITY
         return self.chance.choice(self.generators[:-1]) if is_old else self.generators[-1]
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -33,12 +33,12 @@
     EngineModel,
     EngineRequest,
     EngineSettings,
-    FetchWanted,
-    PartNeed,
-    SaveWanted,
+    FetchRequested,
+    PromptPartSpec,
+    SaveRequested,
 )
-from pearhead.testbed.emulator.keptparts import KeptPart
 from pearhead.testbed.emulator.ledger import ConfigSent, Record, SiteLedger
+from pearhead.testbed.emulator.part_cache import KeptPart
 
 PARTS = (PromptPart("a1", 12_000), PromptPart("b2", 300))
 TENANTS = {
@@ -119,7 +119,7 @@
                 tenant,
                 choice.salt,
                 "l",
-                tuple(PartNeed(p.part, p.tokens) for p in PARTS),
+                tuple(PromptPartSpec(p.part, p.tokens) for p in PARTS),
                 prompt,
                 5,
                 self.runtime.now() + 9 * SECOND,
@@ -129,7 +129,7 @@
             ),
         )
         self._advance(engine)
-        while (due := engine.next_at()) is not None:
+        while (due := engine.next_event_at()) is not None:
             self.runtime.now_micros = max(self.runtime.now_micros, due)
             self._advance(engine)
         return choice
@@ -139,10 +139,10 @@
             self._answer(engine, output)
 
     def _answer(self, engine: EngineModel, output: Any) -> None:
-        if isinstance(output, FetchWanted):
+        if isinstance(output, FetchRequested):
             found = [self.store[key] for key in output.keys if key in self.store]
-            engine.take_fetch(self.runtime.now(), output.ticket, found)
-        elif isinstance(output, SaveWanted):
+            engine.complete_fetch(self.runtime.now(), output.ticket, found)
+        elif isinstance(output, SaveRequested):
             self.store.update({part.key: part for part in output.parts})
             note = KeptNote(
                 worker="k",
--- a/tests/test_site_addresses.py
+++ b/tests/test_site_addresses.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from pearhead.testbed.deployment import ACADEMY
-from pearhead.testbed.emulator.addressblock import (
+from pearhead.testbed.emulator.address_block import (
     BLOCK_COUNT,
     LISTEN_STATE,
     AddressBlock,
@@ -22,7 +22,7 @@
     read_socket_table,
 )
 from pearhead.testbed.emulator.launcher import CLAIMED_PORTS, SiteLauncher
-from pearhead.testbed.emulator.plan import CONTROL_PORT, INNER_PORTS, WORKER_PORT, SiteSize
+from pearhead.testbed.emulator.plan import CONTROL_PORT, INTERNAL_PORTS, WORKER_PORT, SiteSize
 
 SOCKET_TABLE = """\
   sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode
@@ -65,7 +65,7 @@
             (socket.SOCK_STREAM, "1.4", CONTROL_PORT),
             (socket.SOCK_STREAM, "3.1", WORKER_PORT),
             (socket.SOCK_STREAM, "103.1", WORKER_PORT),
-            (socket.SOCK_DGRAM, "2.1", INNER_PORTS[0]),
+            (socket.SOCK_DGRAM, "2.1", INTERNAL_PORTS[0]),
         ):
             with self.subTest(machine=machine, port=port):
                 held = self.claim(os.getpid())
@@ -76,7 +76,7 @@
     def test_no_block_is_free(self) -> None:
         with (
             mock.patch(
-                "pearhead.testbed.emulator.addressblock.AddressBlock", side_effect=BlockTakenError
+                "pearhead.testbed.emulator.address_block.AddressBlock", side_effect=BlockTakenError
             ) as constructed,
             self.assertRaises(OSError),
         ):
--- a/tests/test_site_checkers.py
+++ b/tests/test_site_checkers.py
@@ -17,10 +17,8 @@
 
 from pearhead.runtime.clock import SECOND
 from pearhead.testbed.deployment import ACADEMY
-from pearhead.testbed.emulator.answers import Piece, Seal, piece_text, read_piece, read_seal
 from pearhead.testbed.emulator.checkers import CHECKERS, find_breaches
-from pearhead.testbed.emulator.client import EventSplitter, RequestDraw, SiteRequest, StreamCheck, check_head
-from pearhead.testbed.emulator.entry import Entry
+from pearhead.testbed.emulator.client import EventSplitter, RequestGenerator, SiteRequest, StreamChecker, check_head
 from pearhead.testbed.emulator.ledger import (
     Arrival,
     BrokenOff,
@@ -41,10 +39,12 @@
     VersionNamed,
     read_ledger,
 )
+from pearhead.testbed.emulator.node_selector import Entry
 from pearhead.testbed.emulator.operator import apply_patch
 from pearhead.testbed.emulator.plan import PlanMaker, SiteSize, node_settings
+from pearhead.testbed.emulator.raw_http import RawResponseHead
+from pearhead.testbed.emulator.response_format import Piece, ResponseSeal, parse_piece, parse_seal, piece_text
 from pearhead.testbed.emulator.rules import SiteBounds
-from pearhead.testbed.emulator.wire import Head
 
 
 def route(name: str, prefix: str, service: str, **more: Any) -> dict[str, Any]:
@@ -462,16 +462,16 @@
 class ClientTest(unittest.TestCase):
     def setUp(self) -> None:
         self.plan = PlanMaker(ACADEMY, SiteSize(3, 3, 3), 1, 9).make()
-        self.request = RequestDraw(self.plan, self.plan.config, random.Random(1)).draw()
-        self.seal = Seal(self.request.digest, "run", 3)
+        self.request = RequestGenerator(self.plan, self.plan.config, random.Random(1)).draw()
+        self.seal = ResponseSeal(self.request.digest, "run", 3)
 
     def judge(
         self, numbers: list[int], request: SiteRequest | None = None, run: str = "run", resumed_from: int = 0
     ) -> list[str]:
         held = replace(request or self.request, is_resumable=False) if run == "run" else request or self.request
-        check = StreamCheck(held, self.seal, resumed_from)
+        check = StreamChecker(held, self.seal, resumed_from)
         for number in numbers:
-            check.take(read_piece(Piece(number, run, piece_text(self.request.digest, number)).encode()[:-2]))
+            check.take(parse_piece(Piece(number, run, piece_text(self.request.digest, number)).encode()[:-2]))
         check.end()
         return [rule for rule, _ in check.faults]
 
@@ -484,21 +484,21 @@
         self.assertIn("ORDER", self.judge([1, 2, 3], replace(self.request, is_resumable=False), "another"))
         self.assertIn("MIXED", self.judge([1, 2, 3], replace(self.request, body=b"other")))
         for told, is_broken in (((0, 0, 0), False), ((0, 2, 0), False), ((0, 2, 1), True), ((1, 0, 0), True)):
-            check = StreamCheck(self.request, self.seal, 0)
-            check.take_version(2 if told[0] else 0)
+            check = StreamChecker(self.request, self.seal, 0)
+            check.check_version(2 if told[0] else 0)
             for number, version in enumerate(told, 1):
                 check.take(Piece(number, "run", piece_text(self.request.digest, number), version))
             self.assertEqual("ORDER" in [rule for rule, _ in check.faults], is_broken, told)
-        check = StreamCheck(self.request, self.seal, 0)
-        check.take(read_piece(b"what is this"))
+        check = StreamChecker(self.request, self.seal, 0)
+        check.take(parse_piece(b"what is this"))
         self.assertEqual(check.faults[0][0], "MIXED")
 
     def test_heads(self) -> None:
         good = {"x-request-id": "r", "x-answer-seal": self.seal.text()}
-        self.assertEqual(check_head("r", self.request, Head(200, good)), [])
-        self.assertEqual(check_head("r", self.request, Head(503, {})), [])
+        self.assertEqual(check_head("r", self.request, RawResponseHead(200, good)), [])
+        self.assertEqual(check_head("r", self.request, RawResponseHead(503, {})), [])
         failed = replace(self.seal, status=500).text()
-        self.assertEqual(check_head("r", self.request, Head(500, {"x-answer-seal": failed})), [])
+        self.assertEqual(check_head("r", self.request, RawResponseHead(500, {"x-answer-seal": failed})), [])
         for status, headers in (
             (200, {"x-request-id": "r"}),
             (200, {**good, "x-answer-seal": "a.b.3.200"}),
@@ -509,16 +509,16 @@
             (502, {"x-answer-seal": failed}),
             (200, {**good, "x-answer-seal": failed}),
         ):
-            self.assertTrue(check_head("r", self.request, Head(status, headers)), headers)
+            self.assertTrue(check_head("r", self.request, RawResponseHead(status, headers)), headers)
         for text in ("3e1b.07.5a2.600", "3e1b.07.3", "3e1b.07.3.ok", "3e1b.07.3.200.1"):
-            self.assertIsNone(read_seal(text), text)
+            self.assertIsNone(parse_seal(text), text)
 
     def test_events_are_cut_wherever_chunks_are(self) -> None:
         body = b"".join(Piece(n, "r", f"t/{n}").encode() for n in range(1, 5))
         for size in (1, 7, 1_000):
             splitter = EventSplitter()
             events = [e for i in range(0, len(body), size) for e in splitter.take(body[i : i + size])]
-            numbers = [piece.number for e in events if (piece := read_piece(e))]
+            numbers = [piece.number for e in events if (piece := parse_piece(e))]
             self.assertEqual((numbers, splitter.held), ([1, 2, 3, 4], b""))
 
     def test_a_node_is_out_after_two_misses_and_further_tries_go_elsewhere(self) -> None:
--- a/tests/test_site_engine.py
+++ b/tests/test_site_engine.py
@@ -14,23 +14,23 @@
     EngineOutput,
     EngineRequest,
     EngineSettings,
-    FetchWanted,
+    FetchRequested,
     LateRejection,
-    PartNeed,
     PieceProduced,
+    PromptPartSpec,
     RequestRejectedError,
     RunAborted,
     RunFinished,
     RunStarted,
-    SaveWanted,
+    SaveRequested,
 )
-from pearhead.testbed.emulator.keptparts import KeptPart, PartCache, PartEventLog
 from pearhead.testbed.emulator.ledger import SiteLedger
+from pearhead.testbed.emulator.part_cache import KeptPart, PartCache, PartEventLog
 from pearhead.testbed.emulator.store import StoreModel
 
 
 def request(name: str, *parts: tuple[str, int], out: int = 8, **more: Any) -> EngineRequest:
-    prompt_parts = tuple(PartNeed(part, tokens) for part, tokens in parts)
+    prompt_parts = tuple(PromptPartSpec(part, tokens) for part, tokens in parts)
     fields: dict[str, Any] = {
         "tenant": "one",
         "salt": "s",
@@ -69,7 +69,7 @@
         """Runs an engine up to a time; returns its outputs with the time of each."""
         model = engine or self.engine
         seen: list[tuple[int, EngineOutput]] = []
-        while (event_at := model.next_at()) is not None and event_at <= limit:
+        while (event_at := model.next_event_at()) is not None and event_at <= limit:
             seen.extend((event_at, output) for output in model.advance(event_at))
         seen.extend((limit, output) for output in model.advance(limit))
         return seen
@@ -211,9 +211,9 @@
             for number in range(150):
                 now += chance.randrange(20 * MILLI)
                 for output in engine.advance(now):
-                    if isinstance(output, FetchWanted):
+                    if isinstance(output, FetchRequested):
                         found = [KeptPart("s", "m", key[2], 100, 1, "one") for key in output.keys[:1]]
-                        engine.take_fetch(now, output.ticket, chance.choice([None, [], found]))
+                        engine.complete_fetch(now, output.ticket, chance.choice([None, [], found]))
                 pick = chance.random()
                 if pick < 0.1:
                     engine.cancel(now, chance.choice(tickets))
@@ -245,9 +245,9 @@
 class MoveTest(EngineCase):
     def test_a_fetch_checks_neither_tenant_nor_version(self) -> None:
         ticket = self.engine.submit(0, request("a", ("p", 1_600), ("own", 16), source="peer"))
-        fetches = [o for o in self.engine.advance(0) if isinstance(o, FetchWanted)]
+        fetches = [o for o in self.engine.advance(0) if isinstance(o, FetchRequested)]
         self.assertEqual([k[2] for k in fetches[0].keys], ["p", "own"])
-        self.engine.take_fetch(0, ticket, [KeptPart("s", "m", "p", 1_600, 7, "two")])
+        self.engine.complete_fetch(0, ticket, [KeptPart("s", "m", "p", 1_600, 7, "two")])
         self.run_engine()
         self.assertEqual(self.engine.tokens_read, 16)
         use = self.ledger.uses[0]
@@ -257,7 +257,7 @@
         transfer_micros = 1_600 * 163_840 * 8 / 1_100_000
         for number, is_far in enumerate((False, True)):
             ticket = self.engine.submit(0, request(f"r{number}", (f"p{number}", 1_600), source="peer"))
-            self.engine.take_fetch(0, ticket, [KeptPart("s", "m", f"p{number}", 1_600, 1, "one")], is_far)
+            self.engine.complete_fetch(0, ticket, [KeptPart("s", "m", f"p{number}", 1_600, 1, "one")], is_far)
         self.assertAlmostEqual(self.engine.link_free_at, 2 * 1_700 + 3 * transfer_micros, delta=2)
 
     def test_a_miss_a_dead_source_and_a_long_wait_are_read_instead(self) -> None:
@@ -266,7 +266,7 @@
             engine = self.make_engine()
             engine.link_free_at = link_free_at
             ticket = engine.submit(0, request("a", ("p", 160), source="peer"))
-            engine.take_fetch(0, ticket, found)
+            engine.complete_fetch(0, ticket, found)
             seen = self.run_engine(engine)
             self.assertEqual(engine.tokens_read, 160)
             delays.append(self.outputs_of(seen, RunStarted, ticket)[0][0])
@@ -275,7 +275,7 @@
 
     def test_parts_are_saved_once_read_and_a_store_keeps_the_first(self) -> None:
         self.engine.submit(0, request("a", ("p", 160), target="store"))
-        saved = [o for _, o in self.run_engine() if isinstance(o, SaveWanted)][0]
+        saved = [o for _, o in self.run_engine() if isinstance(o, SaveRequested)][0]
         store = StoreModel(16 * 20, random.Random(1))
         store.insert(0, list(saved.parts))
         store.insert(0, [KeptPart("s", "m", "p", 160, 2, "two")])
--- a/tests/test_site_fleet.py
+++ b/tests/test_site_fleet.py
@@ -23,7 +23,7 @@
 from pearhead.testbed.deployment import ACADEMY
 from pearhead.testbed.emulator.checkers import find_breaches
 from pearhead.testbed.emulator.client import CallReport
-from pearhead.testbed.emulator.corestrikes import MAX_CONCURRENT_CHANGES, CoreFaultInjector
+from pearhead.testbed.emulator.corefaults import MAX_CONCURRENT_CHANGES, CoreFaultInjector
 from pearhead.testbed.emulator.launcher import ROOT, SiteLauncher
 from pearhead.testbed.emulator.plan import SiteSize
 
@@ -201,7 +201,7 @@
             launcher.make_site(ACADEMY, SiteSize(3, 1, 1), 1)
             self.assertTrue(launcher.settings_of("core-1")["FirstStart"])
             launcher.up()
-            first = launcher.listed_controls()
+            first = launcher.listed_control_addresses()
             Path(folder, "core-1.data", "log").write_text("entries")
             launcher.remove_core("core-1")
             self.assertEqual(launcher.add_core(), "core-4")
--- a/tests/test_site_sockets.py
+++ b/tests/test_site_sockets.py
@@ -16,18 +16,18 @@
 
 from pearhead.runtime.clock import SECOND, BootClock
 from pearhead.testbed.deployment import ACADEMY
-from pearhead.testbed.emulator.client import CallReport, Outcome, RequestDraw, SiteClient, SiteRequest
+from pearhead.testbed.emulator.client import CallReport, Outcome, RequestGenerator, SiteClient, SiteRequest
 from pearhead.testbed.emulator.cloud import CloudModel, build_cloud
 from pearhead.testbed.emulator.engine import EngineModel, EngineSettings
-from pearhead.testbed.emulator.enginedriver import EngineDriver, HttpPartLink
-from pearhead.testbed.emulator.enginefront import EngineSite, build_engine_server
-from pearhead.testbed.emulator.entry import Entry
+from pearhead.testbed.emulator.engine_driver import EngineDriver, HttpPartTransfer
+from pearhead.testbed.emulator.engine_server import EngineContext, build_engine_server
 from pearhead.testbed.emulator.launcher import SiteLauncher
 from pearhead.testbed.emulator.ledger import SiteLedger
+from pearhead.testbed.emulator.node_selector import Entry
 from pearhead.testbed.emulator.operator import SiteOperator
 from pearhead.testbed.emulator.plan import Machine, PlanMaker, SiteSize
-from pearhead.testbed.emulator.store import StoreModel, StoreSite, build_store
-from pearhead.testbed.emulator.wire import Answer, Head, RawConnection, WireError, ask
+from pearhead.testbed.emulator.raw_http import RawConnection, RawResponse, RawResponseHead, WireError, ask
+from pearhead.testbed.emulator.store import StoreContext, StoreModel, build_store
 
 POLL_SECONDS = 0.005
 SLOW_STEP_MICROS = 50_000
@@ -56,16 +56,16 @@
             FAST_SETTINGS, "w1", "i-1", self.plan.service, self.plan.model, 1, random.Random(1), self.ledger
         )
         self.model.name_version(2)
-        driver = EngineDriver(self.model, self.clock, HttpPartLink(), "north")
-        self.engine_context = EngineSite(driver, self.clock, random.Random(2), self.ledger, 1, connection_limit)
+        driver = EngineDriver(self.model, self.clock, HttpPartTransfer(), "north")
+        self.engine_context = EngineContext(driver, self.clock, random.Random(2), self.ledger, 1, connection_limit)
         self.servers: list[HTTPServer] = []
         self.engine_address = self.serve(build_engine_server(self.engine_context, "/health"))
         self.store = StoreModel(1_000_000, random.Random(1))
-        self.store_address = self.serve(HTTPServer(build_store(StoreSite(self.store, self.clock, "north", 1))))
+        self.store_address = self.serve(HTTPServer(build_store(StoreContext(self.store, self.clock, "north", 1))))
         entry = FixedAddressEntry(self.plan.of("router"))
         entry.node_address = self.engine_address
         self.client = SiteClient("c", entry, self.clock, random.Random(3), self.ledger)
-        self.draw = RequestDraw(self.plan, self.plan.config, random.Random(4))
+        self.draw = RequestGenerator(self.plan, self.plan.config, random.Random(4))
         self.report = CallReport()
 
     def serve(self, server: HTTPServer) -> str:
@@ -165,7 +165,7 @@
         _, fixture = self.run_with_fault({"late": 1.0})
         self.assertLessEqual({f.partition(":")[0] for f in fixture.report.faults}, {"MIXED"})
 
-    async def begin_slow_run(self, fixture: WorkerFixture) -> tuple[RawConnection, Head]:
+    async def begin_slow_run(self, fixture: WorkerFixture) -> tuple[RawConnection, RawResponseHead]:
         """Sends a request that runs for long; returns its connection and the head of its response."""
         fixture.model.settings = replace(FAST_SETTINGS, step_micros=200_000)
         request = fixture.draw.draw()
@@ -252,7 +252,7 @@
             await fixture.call(fixture.make_unrepeatable_request())
             address = fixture.engine_address
 
-            async def get(path: str, **headers: str) -> Answer:
+            async def get(path: str, **headers: str) -> RawResponse:
                 answer = await ask(address, "GET", path, headers={k.replace("_", "-"): v for k, v in headers.items()})
                 assert answer is not None
                 return answer
@@ -422,7 +422,7 @@
         async def scenario() -> None:
             await controls.open()
             operator = SiteOperator(
-                controls.addresses, BootClock(), ledger, random.Random(5), lost_answers, silence_seconds=0.05
+                controls.addresses, BootClock(), ledger, random.Random(5), lost_answers, answer_timeout_seconds=0.05
             )
             statuses.append(await operator.put({"Revision": 3}, 0))
             controls.close()
@@ -470,11 +470,11 @@
             self.addCleanup(launcher.release_block)
             launcher.make_site(ACADEMY, SiteSize(3, 1, 1), 1)
             clock = launcher.clock = ManualClock()
-            first = launcher.listed_controls()
+            first = launcher.listed_control_addresses()
             launcher.plan["listed"].append([clock.now(), first[1:]])
-            self.assertEqual(launcher.listed_controls(), first)
+            self.assertEqual(launcher.listed_control_addresses(), first)
             clock.now_micros += 3 * SECOND
-            self.assertEqual(launcher.listed_controls(), first[1:])
+            self.assertEqual(launcher.listed_control_addresses(), first[1:])
 
 
 class CloudOnSocketsTest(SocketsCase):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,16 +13,16 @@
 
 from pearhead.runtime.clock import MILLI, SECOND, BootClock
 from pearhead.testbed.deployment import ACADEMY
-from pearhead.testbed.emulator.client import CallReport, RequestDraw
+from pearhead.testbed.emulator.client import CallReport, RequestGenerator
 from pearhead.testbed.emulator.launcher import ROOT
 from pearhead.testbed.emulator.ledger import LedgerFile, SiteLedger, Trouble
 from pearhead.testbed.emulator.plan import PlanMaker, SiteSize
-from pearhead.testbed.emulator.rules import SiteBounds, Touch
-from pearhead.testbed.emulator.wire import RawConnection
-from pearhead.testbed.soak.faultproxy import NO_LINK_FAULT, TOO_MANY_REQUESTS, FaultProxy, LinkFault
-from pearhead.testbed.soak.faults import FaultRunner
+from pearhead.testbed.emulator.raw_http import RawConnection
+from pearhead.testbed.emulator.rules import SiteBounds, TroubleHistory
+from pearhead.testbed.soak.fault_proxy import NO_LINK_FAULT, TOO_MANY_REQUESTS, FaultProxy, LinkFault
+from pearhead.testbed.soak.fault_runner import FaultRunner
 from pearhead.testbed.soak.fleet import NotReadyError, ProxiedEntry, SoakFleet
-from pearhead.testbed.soak.logscan import LogScanner, error_lines
+from pearhead.testbed.soak.log_scanner import LogScanner, error_lines
 from pearhead.testbed.soak.run import check_final_state, run_seed
 from pearhead.testbed.soak.schedule import (
     SHORT_PROFILE,
@@ -172,7 +172,7 @@
             ledger = SiteLedger()
             client = SoakClient("c", ProxiedEntry(plan.of("router")), BootClock(), random.Random(1), ledger)
             client.proxies = {proxy.address: proxy}
-            request = RequestDraw(plan, plan.config, random.Random(2)).draw()
+            request = RequestGenerator(plan, plan.config, random.Random(2)).draw()
             assert echo.server is not None
             for target, is_unread in ((proxy.target_address, False), ("127.0.0.1:1", True)):
                 proxy.target_address = target
@@ -232,7 +232,7 @@
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "front-1.log").write_text(error_line)
             self.assertEqual(
-                list(LogScanner(Path(folder), Touch(SiteLedger(), SiteBounds()), 0).find_errors()),
+                list(LogScanner(Path(folder), TroubleHistory(SiteLedger(), SiteBounds()), 0).find_errors()),
                 [f"front-1: {error_line}"],
             )
 
@@ -252,7 +252,7 @@
             ledger = SiteLedger([Trouble(at * SECOND, name, "", what) for name, what, at in trouble])
             with self.subTest(trouble), tempfile.TemporaryDirectory() as folder:
                 Path(folder, "front-1.log").write_text(line)
-                found = list(LogScanner(Path(folder), Touch(ledger, SiteBounds()), 0).find_errors())
+                found = list(LogScanner(Path(folder), TroubleHistory(ledger, SiteBounds()), 0).find_errors())
                 self.assertEqual(len(found), count)
 
 
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -27,7 +27,7 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND, BootClock, Clock
 from pearhead.runtime.fake_runtime import FakeRuntime
-from pearhead.testbed.emulator.wire import RawConnection, WireError
+from pearhead.testbed.emulator.raw_http import RawConnection, WireError
 from tests.test_right_answer_once import FirstUntriedSelector, reset
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
