--- a/src/pearhead/config/startup.py
+++ b/src/pearhead/config/startup.py
@@ -125,7 +125,7 @@
         is_required = startup_field.default is dataclasses.MISSING and (
             startup_field.default_factory is dataclasses.MISSING
         )
-        default = "needed" if is_required else repr(getattr(startup_field, "default", ""))
+        default = "required" if is_required else repr(getattr(startup_field, "default", ""))
         if startup_field.default_factory is not dataclasses.MISSING:
             default = "[]"
         lines.append(f"  --{startup_field.name:<20} {startup_field.type:<10} {default}")
--- a/src/pearhead/consensus/roles.py
+++ b/src/pearhead/consensus/roles.py
@@ -24,7 +24,7 @@
 
     def become_leader(self) -> None:
         """Becomes the leader of the current term; the caller has counted a majority of its votes."""
-        LOGGER.info("consensus: Leads. epoch=%d", self.state.term)
+        LOGGER.info("consensus: Became the leader. epoch=%d", self.state.term)
         self.state.role = Role.LEADER
         self.state.leader_identity = self.state.identity
         for listener in self.leadership_listeners:
--- a/src/pearhead/consensus/snapshot_receiver.py
+++ b/src/pearhead/consensus/snapshot_receiver.py
@@ -79,7 +79,7 @@
         if result.next_offset < ask.total or ask.index <= self.state.commit_index:
             self._answer(address, result)
         elif not self.incoming.has_valid_checksum():
-            LOGGER.error("consensus: A snapshot fails its checksum. index=%d", ask.index)
+            LOGGER.error("consensus: A received snapshot failed its checksum. index=%d", ask.index)
             self.incoming.drop()
             result.next_offset = 0
             self._answer(address, result)
--- a/src/pearhead/consensus/wal.py
+++ b/src/pearhead/consensus/wal.py
@@ -254,7 +254,10 @@
             found = read_record(segment_bytes, offset)
             if found is None:
                 self._check_tail(segment_number, segment_bytes, offset, is_last)
-                LOGGER.warning("consensus: Cut a torn tail. bytes=%d", len(segment_bytes) - offset)
+                LOGGER.warning(
+                    "consensus: Truncated an incomplete write at the end of the log. bytes=%d",
+                    len(segment_bytes) - offset,
+                )
                 await self.disk.truncate(segment_name(segment_number), offset)
                 break
             record, offset = found.record, found.end_offset
--- a/src/pearhead/control_plane/data_folder_inspector.py
+++ b/src/pearhead/control_plane/data_folder_inspector.py
@@ -47,7 +47,9 @@
     async def truncate(self, file_name: str, kept_size: int) -> None:
         """Records that the file would be truncated to `kept_size` bytes."""
         size = (self.folder_path / file_name).stat().st_size
-        self.skipped_truncations.append(f"{file_name}: a torn tail of {size - kept_size} bytes would be cut")
+        self.skipped_truncations.append(
+            f"{file_name}: an incomplete write of {size - kept_size} bytes at its end would be truncated"
+        )
 
 
 @dataclass
@@ -87,7 +89,7 @@
         if epochs != sorted(epochs):
             report.faults.append("the epochs of the log entries decrease")
         if epochs and recovered.mark.epoch < epochs[-1]:
-            report.faults.append("a log entry has a later epoch than the mark")
+            report.faults.append("a log entry has a later epoch than the stored epoch")
         if recovered.digest is not None:
             fleet.load_digest(recovered.digest.state)
             members = recovered.digest.members
--- a/src/pearhead/control_plane/main.py
+++ b/src/pearhead/control_plane/main.py
@@ -39,7 +39,7 @@
     failed = asyncio.Event()
 
     def fail(reason: str) -> None:
-        LOGGER.error("control_plane: Must stop. reason=%r", reason)
+        LOGGER.error("control_plane: Stopping after a fatal error. reason=%r", reason)
         failed.set()
 
     clock = BootClock()
@@ -109,7 +109,7 @@
         outcome = asyncio.run(QuorumLossRecovery(disk).run(str(identity), address, consent))
         if isinstance(outcome, Err):
             return exit_with_errors("control_plane", [outcome.err_value])
-        print(f"control_plane: core {identity} is the only voter from entry {outcome.ok_value} on")
+        print(f"control_plane: core {identity} is the only voter from log entry {outcome.ok_value} onwards")
 
     def check(self, startup: str = "", **flags: Any) -> None:
         """Checks a startup file and flags, and lists all faults."""
@@ -119,7 +119,7 @@
         checked = read_startup(startup, flags, requires_data_folder=True)
         if isinstance(checked, Err):
             return exit_with_errors("control_plane", checked.err_value)
-        print("control_plane: the startup is sound")
+        print("control_plane: the startup configuration is valid")
 
 
 def main() -> None:
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -282,7 +282,7 @@
 
     async def _set_votes(self, votes: dict[str, bool]) -> bool:
         for identity, is_voter in votes.items():
-            LOGGER.info("control_plane: Changes a vote. core=%s votes=%s", identity[:8], is_voter)
+            LOGGER.info("control_plane: Changes whether a core votes. core=%s votes=%s", identity[:8], is_voter)
         return await self._submit_membership(
             [
                 Member(identity=m.identity, address=m.address, zone=m.zone, voter=votes.get(m.identity, m.voter))
--- a/src/pearhead/router/client_http_server.py
+++ b/src/pearhead/router/client_http_server.py
@@ -469,7 +469,7 @@
         except StreamClosedError:
             pass
         except Exception:
-            LOGGER.exception("edge: A request ended by a fault.")
+            LOGGER.exception("edge: Unhandled exception in a request handler.")
         finally:
             if not writer.is_over:
                 writer.abort()
--- a/src/pearhead/router/main.py
+++ b/src/pearhead/router/main.py
@@ -85,7 +85,7 @@
         checked = read_startup(startup, flags, requires_data_folder=False)
         if isinstance(checked, Err):
             return exit_with_errors("router", checked.err_value)
-        print("router: the startup is sound")
+        print("router: the startup configuration is valid")
 
 
 def main() -> None:
--- a/src/pearhead/router/roster_age_monitor.py
+++ b/src/pearhead/router/roster_age_monitor.py
@@ -22,7 +22,7 @@
         if age_micros > OLD_MICROS:
             self.longest_micros = max(self.longest_micros, age_micros)
             if not was_old:
-                LOGGER.warning("router: The list of workers is old. age_ms=%d", age_micros // MILLI)
+                LOGGER.warning("router: The roster is stale. age_ms=%d", age_micros // MILLI)
         elif was_old:
-            LOGGER.info("router: The list of workers is fresh again. longest_ms=%d", self.longest_micros // MILLI)
+            LOGGER.info("router: The roster is fresh again. longest_ms=%d", self.longest_micros // MILLI)
             self.longest_micros = 0
--- a/src/pearhead/router/roster_publisher.py
+++ b/src/pearhead/router/roster_publisher.py
@@ -54,7 +54,7 @@
                 continue
             command_result = await self.command_client.command(Command(workers=change))
             if isinstance(command_result, Err) or command_result.ok_value.status != "done":
-                LOGGER.warning("router: The core did not accept the roster.")
+                LOGGER.warning("router: A roster change was not confirmed by the core.")
             # Leaves time for the change to show in the view; until then it would be sent again.
             await sleep_for(self.clock, PUBLISH_PAUSE_MICROS)
 
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -196,7 +196,7 @@
             self._stop_asking(AskerStopReason.LIST_FAILED)
             if self.failure_count in (1, 10):
                 failure = list_result.err_value if isinstance(list_result, Err) else "it is empty"
-                LOGGER.warning("router: The list of workers returned no workers. fault=%r", failure)
+                LOGGER.warning("router: The request for the worker list returned no workers. fault=%r", failure)
             self._announce_attempt(requested_micros)
             return
         self.failure_count = 0
@@ -264,12 +264,12 @@
     def _begin_asking(self) -> None:
         if not self.is_asker:
             self.is_asker = True
-            LOGGER.info("router: Begins to ask the list for the fleet. rank=%d", self._rank())
+            LOGGER.info("router: Starts polling the worker list on behalf of all nodes. rank=%d", self._rank())
 
     def _stop_asking(self, reason: AskerStopReason) -> None:
         if self.is_asker:
             self.is_asker = False
-            LOGGER.info("router: Stops asking the list for the fleet. reason=%s", reason.value)
+            LOGGER.info("router: Stops polling the worker list on behalf of all nodes. reason=%s", reason.value)
 
     # ---- broadcasting ----------------------------------------------------------------------------
 
@@ -364,7 +364,9 @@
     def _log_leaving(self, leaving_before: set[str], at_micros: int, source: str) -> None:
         age_millis = (self.clock.now() - at_micros) // MILLI
         for name in sorted(self.merge.leaving - leaving_before - self.merge.excluded_until.keys()):
-            LOGGER.info("router: A worker leaves. worker=%s source=%s age_ms=%d", name, source, age_millis)
+            LOGGER.info(
+                "router: A worker is marked as leaving. worker=%s source=%s age_ms=%d", name, source, age_millis
+            )
 
     def _observe_age(self) -> None:
         age_micros = self.age_micros()
--- a/src/pearhead/router/stats_log.py
+++ b/src/pearhead/router/stats_log.py
@@ -70,7 +70,7 @@
         while self.every_micros > 0:
             await sleep_for(self.clock, self.every_micros)
             LOGGER.info(
-                "router: Counts since the line before. open=%d %s", self.gate.open_count(), self.format_counts()
+                "router: Counts since the previous line. open=%d %s", self.gate.open_count(), self.format_counts()
             )
 
     def format_counts(self) -> str:
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -290,7 +290,9 @@
 
     async def _load(self, worker: WorkerRecord, fence: int, line: str, weights: str, revision: int) -> None:
         try:
-            LOGGER.info("router: Loads weights. worker=%s weights=%s fence=%d", worker.name, weights, fence)
+            LOGGER.info(
+                "router: Tells a worker to load weights. worker=%s weights=%s fence=%d", worker.name, weights, fence
+            )
             load_result = await self.link.load(
                 worker.address,
                 fence,
@@ -301,7 +303,9 @@
             )
             if isinstance(load_result, Err):
                 LOGGER.warning(
-                    "router: A worker did not load. worker=%s fault=%r", worker.name, str(load_result.err_value)
+                    "router: A worker did not load the weights. worker=%s fault=%r",
+                    worker.name,
+                    str(load_result.err_value),
                 )
                 await sleep_for(self.clock, POLL_MICROS)
                 return
@@ -441,7 +445,11 @@
     async def _bump_line(self, line: str) -> None:
         """Bumps the known parts of a line in batches after its weights changed; done by one node (§6.3)."""
         parts = self.index.parts_of_line(line)[:BUMP_LIMIT]
-        LOGGER.info("router: Bumps parts for new weights. line=%s parts=%d", line, len(parts))
+        LOGGER.info(
+            "router: Bumps the revisions of a model line's parts after a weights change. line=%s parts=%d",
+            line,
+            len(parts),
+        )
         for position in range(0, len(parts), BUMP_BATCH_SIZE):
             for part in parts[position : position + BUMP_BATCH_SIZE]:
                 self.task_group.start(self.listener.bump(*part))
--- a/src/pearhead/runtime/daemon.py
+++ b/src/pearhead/runtime/daemon.py
@@ -84,11 +84,11 @@
     await asyncio.wait([first_signal, failure_wait], return_when=asyncio.FIRST_COMPLETED)
     if failed.is_set():
         return 1
-    LOGGER.info("daemon: Drains.")
+    LOGGER.info("daemon: Received a stop signal, draining.")
     drain_task = asyncio.ensure_future(drain())
     second_signal = asyncio.ensure_future(stop_events[1].wait())
     await asyncio.wait([drain_task, second_signal, failure_wait], return_when=asyncio.FIRST_COMPLETED)
-    LOGGER.info("daemon: Stops.")
+    LOGGER.info("daemon: Stopping.")
     return 0
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -74,7 +74,7 @@
         try:
             raise ValueError("odd")
         except ValueError:
-            self.logger.exception("edge: A request ended by a fault.")
+            self.logger.exception("edge: Unhandled exception in a request handler.")
         self.assertEqual(self.lines()[1], "Traceback (most recent call last):")
         self.assertEqual(self.lines()[-1], "ValueError: odd")
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -357,8 +357,8 @@
         self.assertEqual(
             [(record.levelname, record.getMessage()) for record in caught.records],
             [
-                ("WARNING", "router: The list of workers is old. age_ms=2005"),
-                ("INFO", "router: The list of workers is fresh again. longest_ms=4000"),
+                ("WARNING", "router: The roster is stale. age_ms=2005"),
+                ("INFO", "router: The roster is fresh again. longest_ms=4000"),
             ],
         )
 
@@ -387,7 +387,7 @@
             listed["w1"] = dataclasses.replace(listed["w1"], is_leaving=True)
             with self.assertLogs(LOGGER, "INFO") as caught:
                 await pause(world, 10 * SECOND)
-            lines = messages(caught, "A worker leaves.")
+            lines = messages(caught, "A worker is marked as leaving.")
             self.assertEqual(len(lines), 8, lines)
             asker = next(node for node in fleet.nodes if node.rosters.is_asker)
             sources = [line.partition("source=")[2].partition(" ")[0] for line in lines]
@@ -409,13 +409,13 @@
                 await pause(world, 8 * SECOND)
                 fleet.platform.is_list_up = True
                 await pause(world, 6 * SECOND)
-            self.assertEqual(len(messages(caught, "The list of workers is old.")), 6)
-            fresh = messages(caught, "The list of workers is fresh again.")
+            self.assertEqual(len(messages(caught, "The roster is stale.")), 6)
+            fresh = messages(caught, "The roster is fresh again.")
             self.assertEqual(len(fresh), 6)
             self.assertGreater(min(int(line.partition("longest_ms=")[2]) for line in fresh), 7_500)
             self.assertEqual(len(messages(caught, "reason=list_failed")), 1)
-            begun = messages(caught, "Begins to ask the list for the fleet.")
-            ended = messages(caught, "Stops asking the list for the fleet.")
+            begun = messages(caught, "Starts polling the worker list on behalf of all nodes.")
+            ended = messages(caught, "Stops polling the worker list on behalf of all nodes.")
             self.assertEqual(len(begun), len(ended), "one polling node before and one after")
 
         run_in_virtual_time(1, scenario)
--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -94,7 +94,7 @@
         self.assertEqual(fetch_status(addresses["Readiness"], "/v1/readiness"), 503)
         self.assertEqual(fetch_status(addresses["Front"], "/x/"), 503)
         process.send_signal(signal.SIGTERM)
-        self.wait_for(log_path, "daemon: Drains.")
+        self.wait_for(log_path, "daemon: Received a stop signal, draining.")
         self.assertEqual(fetch_status(addresses["Front"], "/x/"), 503, "requests are still answered while it drains")
         self.assertEqual(process.wait(WAIT_SECONDS), 0)
         self.check_log(log_path)
@@ -141,7 +141,7 @@
             DataDir=str(data_folder),
             FirstStart=True,
         )
-        self.wait_for(log_path, "consensus: Leads.")
+        self.wait_for(log_path, "consensus: Became the leader.")
         process.send_signal(signal.SIGHUP)
         time.sleep(0.3)
         self.assertIsNone(process.poll())
@@ -173,7 +173,7 @@
 
     def test_a_core_tells_its_figures(self) -> None:
         _, log_path = self.start_core()
-        self.wait_for(log_path, "consensus: Leads.")
+        self.wait_for(log_path, "consensus: Became the leader.")
         metrics = self.fetch_metrics()
         self.assertEqual(metrics["pearhead_raft_voters"], 1)
         self.assertGreaterEqual(metrics["pearhead_raft_term"], 1)
@@ -184,7 +184,7 @@
         self.assertEqual(self.fetch_metrics()["pearhead_draining"], 0)
         fetch_status(f"{self.host}:8167", "/x/")
         process.send_signal(signal.SIGTERM)
-        self.wait_for(log_path, "daemon: Drains.")
+        self.wait_for(log_path, "daemon: Received a stop signal, draining.")
         fetch_status(f"{self.host}:8167", "/x/")
         metrics = self.fetch_metrics()
         self.assertEqual(metrics["pearhead_draining"], 1)
@@ -215,7 +215,7 @@
             "FirstStart": True,
         }
         _, log_path = self.start("run_control_plane.py", DataDir=str(data_folder), **settings)
-        self.wait_for(log_path, "consensus: Leads.")
+        self.wait_for(log_path, "consensus: Became the leader.")
         other_folder = self.folder / "other"
         other_folder.mkdir()
         second, second_log = self.start("run_control_plane.py", DataDir=str(other_folder), **settings)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -223,7 +223,7 @@
 class LogScanTest(unittest.TestCase):
     def test_errors_and_tracebacks_are_told(self) -> None:
         clean_log = "2026-12-02T03:36:44.250765Z WARNING consensus: The disk is full.\nERROR of another form\n"
-        error_line = "2026-12-02T03:36:44.250765Z ERROR edge: A request ended by a fault."
+        error_line = "2026-12-02T03:36:44.250765Z ERROR edge: Unhandled exception in a request handler."
         self.assertEqual(error_lines(clean_log), [])
         self.assertEqual(error_lines(clean_log + error_line), [error_line])
         invariant = "2026-12-02T03:36:44.250765Z ERROR daemon: An invariant does not hold. invariant=order detail='x'"
