--- a/src/pearhead/consensus/elections.py
+++ b/src/pearhead/consensus/elections.py
@@ -23,7 +23,7 @@
         self.timer = timer
         self.roles = roles
         self.send = send
-        self.granted_by: set[str] = set()
+        self.granting_identities: set[str] = set()
         self.is_pre_vote = False
         self.election_count = 0
 
@@ -103,7 +103,7 @@
         self.state.role = Role.CANDIDATE
         self.state.leader_identity = ""
         self.is_pre_vote = is_pre_vote
-        self.granted_by = set()
+        self.granting_identities = set()
         ask = self._build_ask(is_pre_vote, is_transfer)
         if is_pre_vote:
             self._request_votes(ask)
@@ -129,7 +129,7 @@
         )
 
     def _request_votes(self, ask: VoteAsk) -> None:
-        self.granted_by.add(self.state.identity)
+        self.granting_identities.add(self.state.identity)
         for voter_identity, voter_address in self.state.log.membership().voters.items():
             if voter_identity != self.state.identity:
                 self.send(voter_address, "vote_ask", ask)
@@ -146,12 +146,12 @@
             return
         if result.asked != self.state.term + (1 if self.is_pre_vote else 0):
             return
-        self.granted_by.add(identity)
+        self.granting_identities.add(identity)
         self.count_votes()
 
     def count_votes(self) -> None:
         """Starts the real vote after a majority of pre-votes, and becomes leader after a majority of votes."""
-        if not self.state.log.membership().has_quorum(self.granted_by):
+        if not self.state.log.membership().has_quorum(self.granting_identities):
             return
         if self.is_pre_vote:
             self.start(is_pre_vote=False, is_transfer=False)
--- a/src/pearhead/consensus/persistence.py
+++ b/src/pearhead/consensus/persistence.py
@@ -37,7 +37,7 @@
         self.fail = fail
         self.pending_records: list[LogRecord] = []
         self.pending_callbacks: list[SyncedCallback] = []
-        self.flush_started: int | None = None
+        self.flush_started_micros: int | None = None
         self.wake = asyncio.Event()
         self.disk_full = False
 
@@ -60,7 +60,7 @@
 
     def is_busy(self) -> bool:
         """Whether any records are queued or being synced."""
-        return bool(self.pending_records) or self.flush_started is not None
+        return bool(self.pending_records) or self.flush_started_micros is not None
 
     def is_slow(self) -> bool:
         """Whether the sync in progress takes longer than a leader should wait for a response."""
@@ -71,7 +71,7 @@
         return self.disk_full or self._flush_micros() > STALLED_FLUSH_MICROS
 
     def _flush_micros(self) -> int:
-        return self.clock.now() - self.flush_started if self.flush_started is not None else 0
+        return self.clock.now() - self.flush_started_micros if self.flush_started_micros is not None else 0
 
     async def run(self) -> None:
         """Writes queued records; runs until it is cancelled."""
@@ -80,10 +80,10 @@
             self.wake.clear()
             records, self.pending_records = self.pending_records, []
             callbacks, self.pending_callbacks = self.pending_callbacks, []
-            self.flush_started = self.clock.now()
+            self.flush_started_micros = self.clock.now()
             if records:
                 await self._write_until_done(records)
-            self.flush_started = None
+            self.flush_started_micros = None
             for callback in callbacks:
                 callback()
 
--- a/src/pearhead/consensus/raft.py
+++ b/src/pearhead/consensus/raft.py
@@ -74,7 +74,7 @@
         self.clock = clock
         self.task_group = task_group
         # The time of the last tick. If it is long ago, the process was suspended.
-        self.ticked_micros = clock.now()
+        self.last_tick_micros = clock.now()
         self.state = RaftState(identity)
         self.writer = LogWriter(self.state, wal, clock, fail)
         self.timer = ElectionTimer(clock, random_source)
@@ -113,8 +113,8 @@
         """Restores term, vote, snapshot and log from disk; raises WalCorruptError if the data is damaged."""
         recovered = await self.wal.recover()
         self.state.term, self.state.voted_for = recovered.mark.epoch, recovered.mark.voted_for
-        if recovered.digest is not None:
-            self.snapshots.load(recovered.digest)
+        if recovered.snapshot is not None:
+            self.snapshots.load(recovered.snapshot)
         self.log.replace_entries(recovered.entries)
 
     async def bootstrap(self, own_address: str, wanted: int = 1, zone: str = "") -> None:
@@ -227,7 +227,7 @@
         """The address of the leader; empty if none is known."""
         return self.membership().addresses.get(self.state.leader_identity, "")
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether this member leads and has committed an entry of its own term.
 
         Only then may it confirm reads and change the membership.
@@ -252,12 +252,12 @@
         """Changes the members to these; returns once the whole change is applied, see MembershipChanges.change."""
         return await self.membership_changes.change(changed)
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Confirms that this member still leads: True once a majority answered messages sent after this call (§4.1).
 
         False if this member does not lead, has not committed an entry of its own term yet, or loses leadership.
         """
-        if not self.settled():
+        if not self.is_settled():
             return False
         confirmation = self.reads.begin()
         self.replication.broadcast()
@@ -304,7 +304,7 @@
         while True:
             await sleep_for(self.clock, TICK_MICROS)
             self.tick()
-            self.ticked_micros = self.clock.now()
+            self.last_tick_micros = self.clock.now()
 
     def tick(self) -> None:
         """Runs what is due by time: the duties of a leader, or an election after a timeout."""
--- a/src/pearhead/consensus/snapshot_receiver.py
+++ b/src/pearhead/consensus/snapshot_receiver.py
@@ -25,7 +25,7 @@
     term: int
     index: int
     last_term: int
-    total: int
+    total_bytes: int
     checksum: int
 
 
--- a/src/pearhead/consensus/snapshot_store.py
+++ b/src/pearhead/consensus/snapshot_store.py
@@ -68,7 +68,7 @@
         snapshot = DigestFile(
             index=applied_index,
             epoch=self.state.log.term_at(applied_index),
-            state=self.machine.take_digest(),
+            state=self.machine.build_snapshot(),
         )
         snapshot.members.CopyFrom(self.state.log.membership_at(applied_index).members)
         return snapshot
@@ -132,7 +132,7 @@
 
     def load(self, snapshot: DigestFile) -> None:
         """Replaces the state machine and the log with a snapshot that is already on disk."""
-        self.machine.load_digest(snapshot.state)
+        self.machine.load_snapshot(snapshot.state)
         self.state.log.restore(snapshot)
         self.state.commit_index = self.state.applied_index = snapshot.index
         self.snapshot_index = snapshot.index
--- a/src/pearhead/consensus/state.py
+++ b/src/pearhead/consensus/state.py
@@ -22,10 +22,10 @@
     def apply(self, index: int, command_bytes: bytes) -> Any:
         """Applies a committed command and returns its outcome."""
 
-    def take_digest(self) -> bytes:
+    def build_snapshot(self) -> bytes:
         """Serializes the whole state for a snapshot."""
 
-    def load_digest(self, digest_bytes: bytes) -> None:
+    def load_snapshot(self, snapshot_bytes: bytes) -> None:
         """Replaces the whole state with that of a snapshot."""
 
 
--- a/src/pearhead/consensus/wal.py
+++ b/src/pearhead/consensus/wal.py
@@ -37,7 +37,7 @@
     """What recovery found on disk: the last term and vote, the latest snapshot, and the entries after it."""
 
     mark: Mark = field(default_factory=Mark)
-    digest: DigestFile | None = None
+    snapshot: DigestFile | None = None
     entries: list[Entry] = field(default_factory=list)
 
 
@@ -116,7 +116,7 @@
         file_names = self.disk.names()
         snapshot_file_names = [n for n in file_names if SNAPSHOT_PATTERN.fullmatch(n)]
         if snapshot_file_names:
-            recovered.digest = self._read_snapshot_file(snapshot_file_names[-1])
+            recovered.snapshot = self._read_snapshot_file(snapshot_file_names[-1])
         segment_numbers = [int(n[4:]) for n in file_names if SEGMENT_PATTERN.fullmatch(n)]
         for segment_number in segment_numbers:
             await self._recover_segment(segment_number, segment_number == segment_numbers[-1], recovered)
@@ -132,7 +132,7 @@
 
         Raises WalCorruptError if an entry is missing.
         """
-        snapshot = recovered.digest or DigestFile()
+        snapshot = recovered.snapshot or DigestFile()
         entry_at_snapshot = next((e for e in recovered.entries if e.index == snapshot.index), None)
         recovered.entries = [e for e in recovered.entries if e.index > snapshot.index]
         is_diverged = entry_at_snapshot is not None and entry_at_snapshot.epoch != snapshot.epoch
@@ -166,7 +166,7 @@
             for record in written_records:
                 self._track_record(record)
 
-    async def save_snapshot(self, digest: DigestFile) -> None:
+    async def save_snapshot(self, snapshot: DigestFile) -> None:
         """Writes a snapshot, then removes the segments that it covers and all but the latest KEPT_SNAPSHOTS snapshots.
 
         Raises OSError if the disk fails.
@@ -174,17 +174,17 @@
         async with self.write_lock:
             # A torn tail is allowed in the last segment only, and a new segment is opened below.
             await self._cut_dirty_tail()
-            await self._write_snapshot_file(digest)
+            await self._write_snapshot_file(snapshot)
             await self._open_segment([])
             for segment_number in sorted(self.first_indexes):
                 next_first = self.first_indexes.get(segment_number + 1)
                 # A segment is removed only if all its entries are covered by the snapshot.
-                if next_first is None or next_first > digest.index + 1:
+                if next_first is None or next_first > snapshot.index + 1:
                     break
                 await self._remove_segment(segment_number)
             await self._remove_old_snapshots()
 
-    async def reset_to_snapshot(self, digest: DigestFile, kept_entries: list[Entry]) -> None:
+    async def reset_to_snapshot(self, snapshot: DigestFile, kept_entries: list[Entry]) -> None:
         """Replaces the log with a snapshot received from a leader and the entries that are kept after it.
 
         The truncation and the kept entries are written as one new segment, atomically; older segments are removed only
@@ -194,9 +194,9 @@
         async with self.write_lock:
             # A torn tail is allowed in the last segment only, and a new segment is opened below.
             await self._cut_dirty_tail()
-            await self._write_snapshot_file(digest)
+            await self._write_snapshot_file(snapshot)
             await self._open_segment([LogRecord(cut_from=1), *(LogRecord(entry=entry) for entry in kept_entries)])
-            self.next_index = digest.index + 1 + len(kept_entries)
+            self.next_index = snapshot.index + 1 + len(kept_entries)
             for segment_number in sorted(self.first_indexes)[:-1]:
                 await self._remove_segment(segment_number)
             await self._remove_old_snapshots()
--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -243,13 +243,13 @@
             self.publish_event(EVENT_TYPES[body_name], index, {"revision": index})
         return outcome
 
-    def take_digest(self) -> bytes:
+    def build_snapshot(self) -> bytes:
         """The fleet state, for a snapshot."""
-        return self.fleet.take_digest()
+        return self.fleet.build_snapshot()
 
-    def load_digest(self, digest_bytes: bytes) -> None:
+    def load_snapshot(self, snapshot_bytes: bytes) -> None:
         """Replaces the fleet state by that of a snapshot."""
-        self.fleet.load_digest(digest_bytes)
+        self.fleet.load_snapshot(snapshot_bytes)
         # A snapshot does not tell when holds were last renewed, so their time counts from now (§7.2).
         self.hold_last_seen = {worker: (hold["fence"], self.clock.now()) for worker, hold in self.fleet.holds.items()}
 
@@ -269,9 +269,9 @@
         """Whether this core leads, as far as it knows."""
         return self.raft.is_leader()
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Whether this core leads and a majority, asked after this call, still follows it."""
-        return await self.raft.confirm()
+        return await self.raft.confirm_leadership()
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
         """Raises a part's revision by one; returns the revision and its log index once committed, or None."""
@@ -283,7 +283,7 @@
         body = outcome.ok_value[1]
         return (body["revision"], body["index"]) if "index" in body else None
 
-    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+    def raised_part_revisions(self, owner: str, line: str) -> list[tuple[int, int]]:
         """Part number and revision of each part whose revision is above one."""
         return self.fleet.raised_part_revisions(f"{owner}/{line}")
 
@@ -374,7 +374,7 @@
         that it was checked against.
         """
         change = command.change
-        if not await self.raft.confirm():
+        if not await self.raft.confirm_leadership():
             return unavailable_result("no majority follows this core")
         fleet = self.fleet
         change.content_hash = ""
@@ -423,7 +423,7 @@
             command.hold.renew_fence = held["fence"]
 
     async def _make_command_result(self, identity: str, address: str, ask: CommandAsk) -> CommandResult:
-        if self.clock.now() - self.raft.ticked_micros > MAX_STALL_MICROS:
+        if self.clock.now() - self.raft.last_tick_micros > MAX_STALL_MICROS:
             # This process was suspended or blocked, so it is unknown how long the command has waited (§4.2).
             return unavailable_result("this core stood still")
         return await self.execute(Command.FromString(ask.command), relayed=ask.relayed)
@@ -491,7 +491,7 @@
         return result if result.held else None
 
     async def _make_description_result(self, identity: str, address: str, ask: DescriptionAsk) -> DescriptionResult:
-        if not self.raft.is_leader() or not await self.raft.confirm():
+        if not self.raft.is_leader() or not await self.raft.confirm_leadership():
             return DescriptionResult()
         result = DescriptionResult(held=True, number=self.fleet.description_number)
         result.document = to_json(self.fleet.description)
@@ -501,6 +501,6 @@
 
     async def read_fleet(self) -> dict[str, Any] | None:
         """The present fleet state, read on the leader after a majority confirmed it; None on other cores."""
-        if not await self.raft.confirm():
+        if not await self.raft.confirm_leadership():
             return None
         return self.fleet.read()
--- a/src/pearhead/control_plane/data_folder_inspector.py
+++ b/src/pearhead/control_plane/data_folder_inspector.py
@@ -88,9 +88,9 @@
             report.faults.append("the epochs of the log entries decrease")
         if epochs and recovered.mark.epoch < epochs[-1]:
             report.faults.append("a log entry has a later epoch than the mark")
-        if recovered.digest is not None:
-            fleet.load_digest(recovered.digest.state)
-            members = recovered.digest.members
+        if recovered.snapshot is not None:
+            fleet.load_snapshot(recovered.snapshot.state)
+            members = recovered.snapshot.members
         for entry in recovered.entries:
             if entry.kind == KIND_COMMAND:
                 try:
@@ -105,7 +105,7 @@
                 "files": {n: (self.folder_path / n).stat().st_size for n in file_names},
                 "epoch": recovered.mark.epoch,
                 "votedFor": recovered.mark.voted_for,
-                "digestIndex": recovered.digest.index if recovered.digest else 0,
+                "digestIndex": recovered.snapshot.index if recovered.snapshot else 0,
                 "firstEntry": recovered.entries[0].index if recovered.entries else 0,
                 "lastEntry": recovered.entries[-1].index if recovered.entries else 0,
                 "members": [{"identity": m.identity, "address": m.address, "voter": m.voter} for m in members.member],
--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -149,7 +149,7 @@
         if len(self.sessions) > SESSION_LIMIT:
             self.sessions.popitem(last=False)
 
-    def take_digest(self) -> bytes:
+    def build_snapshot(self) -> bytes:
         """The state for a snapshot: magic bytes, the length of a JSON head, the head, then the routes' bytes in order.
 
         The sections with routes are rebuilt from these bytes on loading, so their bodies are left out.
@@ -172,13 +172,13 @@
         route_bytes = [piece for pieces in self.routes.values() for piece in pieces]
         return b"".join([SNAPSHOT_MAGIC, len(head).to_bytes(8, "big"), head, *route_bytes])
 
-    def load_digest(self, digest_bytes: bytes) -> None:
+    def load_snapshot(self, snapshot_bytes: bytes) -> None:
         """Replaces the whole state by that of a snapshot, also of an earlier release."""
         start = len(SNAPSHOT_MAGIC) + 8
-        has_magic = digest_bytes.startswith(SNAPSHOT_MAGIC)
-        end = start + int.from_bytes(digest_bytes[len(SNAPSHOT_MAGIC) : start], "big")
+        has_magic = snapshot_bytes.startswith(SNAPSHOT_MAGIC)
+        end = start + int.from_bytes(snapshot_bytes[len(SNAPSHOT_MAGIC) : start], "big")
         # An earlier release wrote only the head, without magic bytes, numbers and routes.
-        data = json.loads(digest_bytes[start:end] if has_magic else digest_bytes)
+        data = json.loads(snapshot_bytes[start:end] if has_magic else snapshot_bytes)
         for key, name in SNAPSHOT_FIELDS.items():
             setattr(self, name, data.get(key, 0))
         self.parts = {volume: {part: revision for part, revision in pairs} for volume, pairs in data["parts"].items()}
@@ -189,9 +189,9 @@
         )
         self.routes = {}
         for name, shown_size, source_size in data.get("routes", []):
-            shown = digest_bytes[end : end + shown_size]
+            shown = snapshot_bytes[end : end + shown_size]
             end += shown_size + source_size
-            self.routes[name] = (shown, digest_bytes[end - source_size : end])
+            self.routes[name] = (shown, snapshot_bytes[end - source_size : end])
         self.sections = {name: (0, EMPTY_BODY) for name in SECTION_NAMES}
         self.sections.update(
             (name, (index, base64.b64decode(body))) for name, (index, body) in data["sections"].items()
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -243,9 +243,9 @@
         """While this core leads, brings the membership to its target, by one committed change after the other."""
         while True:
             await sleep_for(self.clock, RECONCILE_INTERVAL_MICROS)
-            if self.raft.settled():
+            if self.raft.is_settled():
                 caught_up_index = self.raft.commit_index
-                while self.raft.settled() and await self._reconcile_once():
+                while self.raft.is_settled() and await self._reconcile_once():
                     pass
                 self.caught_up_index = caught_up_index
 
--- a/src/pearhead/control_plane/metrics.py
+++ b/src/pearhead/control_plane/metrics.py
@@ -43,7 +43,7 @@
 
     def _flush_seconds(self) -> float:
         """How long the present write of the log has been under way; 0 if there is none."""
-        started_micros = self.core.raft.writer.flush_started
+        started_micros = self.core.raft.writer.flush_started_micros
         return 0.0 if started_micros is None else (self.core.clock.now() - started_micros) / SECOND
 
 
--- a/src/pearhead/control_plane/operator_api.py
+++ b/src/pearhead/control_plane/operator_api.py
@@ -179,7 +179,7 @@
 
         Status 404 if the command is not known, 503 if this core can't confirm that it leads.
         """
-        if not await self.core.confirm():
+        if not await self.core.confirm_leadership():
             self.set_status(503)
             self.finish({"status": "unavailable"})
             return
--- a/src/pearhead/control_plane/quorum_loss_recovery.py
+++ b/src/pearhead/control_plane/quorum_loss_recovery.py
@@ -32,11 +32,11 @@
             return Err(f"this folder is of core {self.disk.read('identity').decode()}; name it by --identity")
         wal = Wal(self.disk)
         recovered = await wal.recover()
-        digest_index = recovered.digest.index if recovered.digest else 0
-        last_index = recovered.entries[-1].index if recovered.entries else digest_index
+        snapshot_index = recovered.snapshot.index if recovered.snapshot else 0
+        last_index = recovered.entries[-1].index if recovered.entries else snapshot_index
         if not last_index:
             return Err("this core's log is empty: there is nothing to rescue")
-        memberships = [recovered.digest.members] if recovered.digest else []
+        memberships = [recovered.snapshot.members] if recovered.snapshot else []
         memberships += [Members.FromString(e.payload) for e in recovered.entries if e.kind == KIND_MEMBERS]
         wanted = memberships[-1].wanted if memberships else 0
         # The epoch rises by two, so that nothing of the old membership can match it.
--- a/src/pearhead/discovery/directory.py
+++ b/src/pearhead/discovery/directory.py
@@ -44,7 +44,7 @@
         # whole seconds.
         self.cached_members: dict[str | None, list[Record]] = {}
         self.cache_start_micros = self.cache_expiry_micros = 0
-        rpc_endpoint.on_message("hello", self._take_hello)
+        rpc_endpoint.on_message("hello", self._handle_hello)
         rpc_endpoint.on_message("hello_result", self._handle_hello_result)
 
     def members(self, role: str | None = None) -> list[Record]:
@@ -120,7 +120,7 @@
             aged_records.append(aged_record)
         return aged_records
 
-    def _take_hello(self, identity: str, address: str, hello: Hello) -> None:
+    def _handle_hello(self, identity: str, address: str, hello: Hello) -> None:
         self._merge_record(hello.self, 0)
         if not hello.wants_known:
             return
--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -41,8 +41,8 @@
     holds the table's revision of each part; a part that is missing there has revision 1. `newer_revisions` holds the
     revision and log index of changes that came after the table, and `changing` the transaction and start time of
     changes whose result is not known yet. The `pages` fields collect the pages of an incoming table until all have
-    arrived. `asked_micros` is when a table was last requested, plus a random delay, and `relay_due_micros` is when this
-    node sends its own table to other listeners, 0 if it is not going to.
+    arrived. `last_request_micros` is when a table was last requested, plus a random delay, and `relay_due_micros` is
+    when this node sends its own table to other listeners, 0 if it is not going to.
     """
 
     used_micros: int
@@ -50,7 +50,7 @@
     index: int = 0
     serial: int = 0
     expiry_micros: int = -1
-    asked_micros: int = -SECOND
+    last_request_micros: int = -SECOND
     relay_due_micros: int = 0
     table_revisions: dict[int, int] = field(default_factory=dict)
     newer_revisions: dict[int, tuple[int, int]] = field(default_factory=dict)
@@ -90,9 +90,9 @@
         self.volumes: dict[Volume, VolumeState] = {}
         self.repairs: dict[bytes, RevisionRepair] = {}
         self.open_transactions: set[bytes] = set()
-        self.conflict_count = 0
+        self.concurrent_change_count = 0
         self.copy_note_handler: Callable[[PurgeNote], None] = lambda note: None
-        rpc_endpoint.on_message("purge_note", self._take_note)
+        rpc_endpoint.on_message("purge_note", self._handle_purge_note)
 
     # ---- queries and changes by the router ------------------------------------------------------
 
@@ -149,7 +149,7 @@
                 repair = self.repairs.pop(transaction, None)
                 if repair is not None:
                     if repair.revision != expected_revision:
-                        self.conflict_count += 1
+                        self.concurrent_change_count += 1
                         LOGGER.info(
                             "invalidation: Another node changed the part at the same time. owner=%s line=%s part=%d",
                             owner,
@@ -184,10 +184,10 @@
                 state.relay_due_micros = 0
                 self._relay_table(owner, line, state)
             is_expiring = state.expiry_micros - now_micros < self.lifetime_micros // 3
-            if is_expiring and now_micros - state.asked_micros >= TABLE_REQUEST_INTERVAL_MICROS:
+            if is_expiring and now_micros - state.last_request_micros >= TABLE_REQUEST_INTERVAL_MICROS:
                 # Randomized, as in Scalable Reliable Multicast (SRM), so that the listeners' requests are spread and
                 # one request and its table serve all of them.
-                state.asked_micros = now_micros + self.chance.randrange(100) * MILLI
+                state.last_request_micros = now_micros + self.chance.randrange(100) * MILLI
                 request = PurgeNote(owner=owner, line=line)
                 request.table_request.SetInParent()
                 self._send_to_channel(volume_channel(owner, line), request, include_cores=True)
@@ -217,7 +217,7 @@
 
     # ---- messages ---------------------------------------------------------------------------------
 
-    def _take_note(self, identity: str, address: str, note: PurgeNote) -> None:
+    def _handle_purge_note(self, identity: str, address: str, note: PurgeNote) -> None:
         if note.HasField("copy_note") or note.HasField("changed_note"):
             self.copy_note_handler(note)
             return
--- a/src/pearhead/invalidation/revision_sequencer.py
+++ b/src/pearhead/invalidation/revision_sequencer.py
@@ -23,7 +23,7 @@
     def is_leader(self) -> bool:
         """Whether this core believes that it leads."""
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Whether a majority, asked after this call, still follows this core as the leader."""
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
@@ -32,7 +32,7 @@
         Returns None if it is not known to be committed.
         """
 
-    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+    def raised_part_revisions(self, owner: str, line: str) -> list[tuple[int, int]]:
         """Returns the part number and revision of each part of a volume whose revision is above 1."""
 
     def position(self) -> tuple[int, int]:
@@ -53,28 +53,28 @@
 
     def __init__(
         self,
-        keeper: RevisionStore,
+        store: RevisionStore,
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
         clock: Clock,
         task_group: BackgroundTaskGroup,
         lifetime_micros: int,
     ) -> None:
-        self.keeper = keeper
+        self.store = store
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
         self.clock = clock
         self.task_group = task_group
         self.lifetime_micros = lifetime_micros
         self.channels = JoinedChannels()
-        self.busy_tables: set[tuple[str, str]] = set()
-        self.busy_transactions: set[bytes] = set()
+        self.tables_in_progress: set[tuple[str, str]] = set()
+        self.transactions_in_progress: set[bytes] = set()
         self.table_serial = 0
         self.handlers: dict[str, Callable[[str, PurgeNote], Coroutine[Any, Any, None]]] = {
             "revision_request": self._assign_revision,
             "table_request": self._send_table,
         }
-        rpc_endpoint.on_message("purge_note", self._take_note)
+        rpc_endpoint.on_message("purge_note", self._handle_purge_note)
 
     def join_volumes(self, volumes: Iterable[tuple[str, str]]) -> None:
         """Joins the channels of the given volumes only; object channels are joined when a wakeup names the part."""
@@ -85,12 +85,12 @@
         if self.channels.join(channel_number):
             self.directory.self_record.channels = self.channels.to_bytes()
 
-    def _take_note(self, identity: str, address: str, note: PurgeNote) -> None:
+    def _handle_purge_note(self, identity: str, address: str, note: PurgeNote) -> None:
         body_name = note.WhichOneof("body")
         if body_name == "wakeup":
             self._join_channel(object_channel(note.owner, note.line, note.part))
         handler = self.handlers.get(body_name or "")
-        if handler is not None and self.keeper.is_leader():
+        if handler is not None and self.store.is_leader():
             self.task_group.start(handler(address, note))
 
     async def _assign_revision(self, address: str, note: PurgeNote) -> None:
@@ -98,16 +98,16 @@
         if not self.channels.joined_bits[channel_number]:
             return  # The channel is not joined yet: the sender's next wakeup makes the sequencer join it.
         transaction = note.revision_request.transaction
-        if transaction in self.busy_transactions:
+        if transaction in self.transactions_in_progress:
             return
-        self.busy_transactions.add(transaction)
+        self.transactions_in_progress.add(transaction)
         try:
-            revision_and_index = await self.keeper.bump(note)
+            revision_and_index = await self.store.bump(note)
         finally:
-            self.busy_transactions.discard(transaction)
+            self.transactions_in_progress.discard(transaction)
         if revision_and_index is None:
             return
-        epoch, _ = self.keeper.position()
+        epoch, _ = self.store.position()
         repair = PurgeNote(owner=note.owner, line=note.line, part=note.part)
         repair.revision_repair.CopyFrom(
             RevisionRepair(
@@ -118,16 +118,16 @@
 
     async def _send_table(self, address: str, note: PurgeNote) -> None:
         volume = (note.owner, note.line)
-        if volume in self.busy_tables:
+        if volume in self.tables_in_progress:
             return
-        self.busy_tables.add(volume)
+        self.tables_in_progress.add(volume)
         try:
             request_micros = self.clock.now()
             # A former leader that resumes after a pause fails here, so it can't extend an old table (§6.4).
-            if not await self.keeper.confirm():
+            if not await self.store.confirm_leadership():
                 return
-            epoch, index = self.keeper.position()
-            pages = paginate_pairs(self.keeper.pairs_of(note.owner, note.line))
+            epoch, index = self.store.position()
+            pages = paginate_pairs(self.store.raised_part_revisions(note.owner, note.line))
             remaining_micros = self.lifetime_micros - (self.clock.now() - request_micros)
             if remaining_micros <= 0:
                 return
@@ -147,7 +147,7 @@
                 )
                 self._send_to_channel(volume_channel(note.owner, note.line), address, table_note)
         finally:
-            self.busy_tables.discard(volume)
+            self.tables_in_progress.discard(volume)
 
     def _send_to_channel(self, channel_number: int, requester_address: str, note: PurgeNote) -> None:
         target_addresses = self.directory.listeners(channel_number)
--- a/src/pearhead/rpc/rpc_endpoint.py
+++ b/src/pearhead/rpc/rpc_endpoint.py
@@ -101,8 +101,8 @@
         for target_address in target_addresses:
             self.send_message(target_address, body_name, body)
 
-    async def call(self, target_address: str, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
-        """Sends a request and waits at most `limit_micros` microseconds for its reply; Err if none arrives."""
+    async def call(self, target_address: str, body_name: str, body: Message, timeout_micros: int) -> Result[Any, str]:
+        """Sends a request and waits at most `timeout_micros` microseconds for its reply; Err if none arrives."""
         request_number = self.next_request_number
         self.next_request_number += 1
         reply_future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
@@ -112,7 +112,7 @@
             if not reply_future.done():
                 reply_future.set_result(None)
 
-        timeout_timer = self.clock.after(limit_micros, expire)
+        timeout_timer = self.clock.after(timeout_micros, expire)
         try:
             self.net.send(target_address, self._encode_envelope(body_name, body, ask=request_number))
             result_body = await reply_future
--- a/src/pearhead/runtime/background_task_group.py
+++ b/src/pearhead/runtime/background_task_group.py
@@ -11,12 +11,12 @@
 
 
 class BackgroundTaskGroup:
-    """A group of tasks; exceptions that end a task are logged under `prefix` and collected in `faults`."""
+    """A group of tasks; exceptions that end a task are logged under `prefix` and collected in `exceptions`."""
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
         self.owned_tasks: dict[asyncio.Task[Any], None] = {}
-        self.faults: list[BaseException] = []
+        self.exceptions: list[BaseException] = []
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Starts a task on the running event loop; it belongs to the group until it ends."""
@@ -35,5 +35,5 @@
         if not owned_task.cancelled() and owned_task.exception() is not None:
             fault = owned_task.exception()
             assert fault is not None
-            self.faults.append(fault)
+            self.exceptions.append(fault)
             LOGGER.error("%s: A background task failed. fault=%r", self.prefix, fault, exc_info=fault)
--- a/src/pearhead/runtime/disk.py
+++ b/src/pearhead/runtime/disk.py
@@ -49,7 +49,7 @@
     def names(self) -> list[str]:
         """Returns the names of all files except the lock file, sorted."""
 
-    def holds(self, file_name: str) -> bool:
+    def exists(self, file_name: str) -> bool:
         """Whether a file of that name exists."""
 
     def read(self, file_name: str) -> bytes:
@@ -84,8 +84,8 @@
         """See `FileSystem.names`."""
         return sorted(path.name for path in self.folder_path.iterdir() if path.name != LOCK_FILE)
 
-    def holds(self, file_name: str) -> bool:
-        """See `FileSystem.holds`."""
+    def exists(self, file_name: str) -> bool:
+        """See `FileSystem.exists`."""
         return (self.folder_path / file_name).exists()
 
     def read(self, file_name: str) -> bytes:
@@ -145,9 +145,9 @@
         except OSError as lock_error:
             LOGGER.warning("disk: The data folder can't be locked and is used without a lock. fault=%r", lock_error)
         self.worker = concurrent.futures.ThreadPoolExecutor(1, "disk")
-        self._begin(FolderFileSystem(folder_path))
+        self._attach_file_system(FolderFileSystem(folder_path))
 
-    def _begin(self, files: FileSystem) -> None:
+    def _attach_file_system(self, files: FileSystem) -> None:
         self.files = files
         # Names of files created by an append after which the folder has not been synced yet, e.g. as it failed.
         self.unsynced_names: set[str] = set()
@@ -175,25 +175,25 @@
 
     async def append(self, file_name: str, content_bytes: bytes) -> None:
         """See `Disk.append`."""
-        await self._off_loop(lambda: self._append(file_name, content_bytes))
+        await self._run_in_thread(lambda: self._append(file_name, content_bytes))
 
     async def replace(self, file_name: str, content_bytes: bytes) -> None:
         """See `Disk.replace`."""
-        await self._off_loop(lambda: self._replace(file_name, content_bytes))
+        await self._run_in_thread(lambda: self._replace(file_name, content_bytes))
 
     async def remove(self, file_name: str) -> None:
         """See `Disk.remove`."""
-        await self._off_loop(lambda: self._remove(file_name))
+        await self._run_in_thread(lambda: self._remove(file_name))
 
     async def truncate(self, file_name: str, kept_size: int) -> None:
         """See `Disk.truncate`."""
-        await self._off_loop(lambda: self._truncate(file_name, kept_size))
+        await self._run_in_thread(lambda: self._truncate(file_name, kept_size))
 
-    async def _off_loop(self, call: Callable[[], AnyT]) -> AnyT:
+    async def _run_in_thread(self, call: Callable[[], AnyT]) -> AnyT:
         return await asyncio.get_running_loop().run_in_executor(self.worker, call)
 
     def _append(self, file_name: str, content_bytes: bytes) -> None:
-        if not self.files.holds(file_name):
+        if not self.files.exists(file_name):
             self.unsynced_names.add(file_name)
         self.files.write(file_name, content_bytes, at_end=True)
         if file_name in self.unsynced_names:
--- a/src/pearhead/runtime/invariants.py
+++ b/src/pearhead/runtime/invariants.py
@@ -36,7 +36,7 @@
         self.clock = clock
         self.strict = strict
         self.violations: dict[Invariant, int] = dict.fromkeys(Invariant, 0)
-        self.logged_micros: dict[Invariant, int] = {}
+        self.last_logged_micros: dict[Invariant, int] = {}
 
     def check(self, name: Invariant, holds: bool, detail: object = "") -> None:
         """Records a violation unless `holds`; only then is `detail` converted to text.
@@ -53,8 +53,8 @@
     def _log(self, name: Invariant, detail: object) -> None:
         """Logs each invariant at most once a second, so that a violation in a loop does not use up the processor."""
         now_micros = self.clock.now()
-        logged_micros = self.logged_micros.get(name)
-        if logged_micros is not None and now_micros - logged_micros < LOG_INTERVAL_MICROS:
+        last_logged_micros = self.last_logged_micros.get(name)
+        if last_logged_micros is not None and now_micros - last_logged_micros < LOG_INTERVAL_MICROS:
             return
-        self.logged_micros[name] = now_micros
+        self.last_logged_micros[name] = now_micros
         LOGGER.error("daemon: An invariant does not hold. invariant=%s detail=%r", name.value, detail)
--- a/src/pearhead/runtime/socketnet.py
+++ b/src/pearhead/runtime/socketnet.py
@@ -101,7 +101,7 @@
         """Connects and sends the queued frames, until it is cancelled."""
         try:
             while True:
-                self._drop_stale()
+                self._drop_stale_frames()
                 if not self.queued_frames:
                     self.wake.clear()
                     await self.wake.wait()
@@ -117,7 +117,7 @@
         self.queued_byte_count -= len(frame)
         return frame
 
-    def _drop_stale(self) -> None:
+    def _drop_stale_frames(self) -> None:
         while self.queued_frames and self.clock.now() - self.queued_frames[0][0] > FRAME_EXPIRY_MICROS:
             self._pop_oldest_frame()
             self.losses.stale_frames += 1
@@ -147,7 +147,7 @@
         set_options(self.stream_writer)
         # The transport buffers as little as possible, so that frames wait in the queue, where stale ones are dropped.
         self.stream_writer.transport.set_write_buffer_limits(high=0)
-        self._drop_stale()
+        self._drop_stale_frames()
         return bool(self.queued_frames)
 
     async def _write(self, batch: bytes) -> None:
--- a/src/pearhead/testbed/capacity/change_costs.py
+++ b/src/pearhead/testbed/capacity/change_costs.py
@@ -160,7 +160,7 @@
         for member in self.members:
             member.start()
         self.leader.take_elect_now("0", "0", ElectNow(epoch=self.leader.term))
-        await self.wait_until(self.leader.settled)
+        await self.wait_until(self.leader.is_settled)
         for count in range(2, MEMBER_COUNT + 1):
             changed = [Member(identity=str(n), address=str(n), voter=True) for n in range(count)]
             await self.leader.change_members(Members(member=changed, wanted=count))
@@ -307,8 +307,8 @@
         written_bytes=written,
         disk_bytes=group.disks[0].disk_bytes(),
         entry_count=len(leader.log.entries),
-        snapshot_bytes=len(fleet.take_digest()),
-        snapshot_micros=_processor_micros(fleet.take_digest),
+        snapshot_bytes=len(fleet.build_snapshot()),
+        snapshot_micros=_processor_micros(fleet.build_snapshot),
         lookup_micros=_processor_micros(lambda: _look_up(leader)) / LOOKUP_COUNT,
         peak_kibibytes=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
     )
--- a/src/pearhead/testbed/capacity/hollow_nodes.py
+++ b/src/pearhead/testbed/capacity/hollow_nodes.py
@@ -222,7 +222,7 @@
             "last_micros": max(arrivals, default=0),
             "lost": sum(n.is_term_lost for n in self.nodes),
             "lost_count": sum(n.lost_count for n in self.nodes),
-            "faults": [repr(f) for f in self.task_group.faults[:3]],
+            "faults": [repr(f) for f in self.task_group.exceptions[:3]],
             "sent": dict(sent),
             "sent_bytes": dict(sent_bytes),
             "received": dict(received),
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -203,13 +203,13 @@
     def is_leader(self) -> bool:
         return True
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return True
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
         return None
 
-    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+    def raised_part_revisions(self, owner: str, line: str) -> list[tuple[int, int]]:
         return [(part, 2) for part in range(1, VOLUME_PARTS + 1)]
 
     def position(self) -> tuple[int, int]:
@@ -255,7 +255,7 @@
             listener.volumes[name, "line"].used_micros = node_net.now_micros
         for note in core_net.notes:
             start = time.process_time()
-            listener._take_note("core", "10.0.0.2:7000", note)
+            listener._handle_purge_note("core", "10.0.0.2:7000", note)
             node_seconds += time.process_time() - start
         core_net.notes.clear()
     return {
@@ -332,10 +332,10 @@
         view = first.with_delta(delta)
         assert view is not None and len(view.loads) == workers and len(view.workers) == workers
 
-    digest_micros = _cpu_micros(fleet.take_digest, 3)
+    digest_micros = _cpu_micros(fleet.build_snapshot, 3)
     return {
         "core's state, MB": held_bytes / 1e6,
-        "digest, KB": len(fleet.take_digest()) / 1e3,
+        "digest, KB": len(fleet.build_snapshot()) / 1e3,
         "making a digest, ms": digest_micros / MILLI,
         "a confirmed load at a core, ms": confirm_micros / MILLI,
         "bytes to a node a confirmed load": float(delta.ByteSize()),
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -83,20 +83,20 @@
 
     A member that started from a snapshot recognizes no repeat of what was applied before it.
     """
-    real_load_digest = FleetState.load_digest
+    real_load_snapshot = FleetState.load_snapshot
 
-    def load_digest(self: FleetState, digest_bytes: bytes) -> None:
-        real_load_digest(self, digest_bytes)
+    def load_snapshot(self: FleetState, snapshot_bytes: bytes) -> None:
+        real_load_snapshot(self, snapshot_bytes)
         self.taken = OrderedDict()
 
-    FleetState.load_digest = load_digest  # type: ignore[method-assign]
+    FleetState.load_snapshot = load_snapshot  # type: ignore[method-assign]
 
 
 @mutation("leader-cut-off", "orders")
 def description_read_unconfirmed(fleet: SimFleet) -> None:
     """A leader that lost its followers still answers reads of the description, from its own stale state."""
 
-    async def confirm() -> bool:
+    async def confirm_leadership() -> bool:
         return True
 
     def change(core: CoreProcess) -> None:
@@ -104,7 +104,7 @@
 
         async def start() -> None:
             await real_start()
-            core.raft.confirm = confirm  # type: ignore[method-assign]
+            core.raft.confirm_leadership = confirm_leadership  # type: ignore[method-assign]
 
         core.start = start  # type: ignore[method-assign]
 
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -153,7 +153,7 @@
     await pause(fleet.world, 2 * SECOND)
     fleet.kill(fleet.leader())
     start_micros = fleet.world.now()
-    while not fleet.leader() or not fleet.cores[fleet.leader()].raft.settled():
+    while not fleet.leader() or not fleet.cores[fleet.leader()].raft.is_settled():
         await pause(fleet.world, 5 * MILLI)
     elected_micros = fleet.world.now()
     await pause(fleet.world, 5 * SECOND)
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -234,14 +234,14 @@
     """A leader answers reads without having a majority confirm that it still leads."""
 
     def change(core: CoreProcess) -> None:
-        async def confirm() -> bool:
+        async def confirm_leadership() -> bool:
             return True
 
         real_start = core.start
 
         async def start() -> None:
             await real_start()
-            core.raft.confirm = confirm  # type: ignore[method-assign]
+            core.raft.confirm_leadership = confirm_leadership  # type: ignore[method-assign]
 
         core.start = start  # type: ignore[method-assign]
 
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -1051,7 +1051,9 @@
         if record_path:
             build_recording(fleet, start_micros).write(record_path)
         for machine in world.machines.values():
-            fleet.ledger.breaches.extend(f"{machine.name}: a task ended by {f!r}" for f in machine.task_group.faults)
+            fleet.ledger.breaches.extend(
+                f"{machine.name}: a task ended by {f!r}" for f in machine.task_group.exceptions
+            )
         return fleet.ledger, world
 
     outcome: tuple[Ledger, World] = run_in_virtual_time(seed, run_in_world)
--- a/tests/powerless_files.py
+++ b/tests/powerless_files.py
@@ -78,7 +78,7 @@
     def names(self) -> list[str]:
         return sorted(self.files)
 
-    def holds(self, file_name: str) -> bool:
+    def exists(self, file_name: str) -> bool:
         return file_name in self.files
 
     def read(self, file_name: str) -> bytes:
@@ -199,7 +199,7 @@
     """The product's FolderDisk on simulated files, without its thread and its lock."""
 
     def __init__(self, files: FileSystem) -> None:
-        self._begin(files)
+        self._attach_file_system(files)
 
-    async def _off_loop(self, call: Callable[[], AnyT]) -> AnyT:
+    async def _run_in_thread(self, call: Callable[[], AnyT]) -> AnyT:
         return call()
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -295,11 +295,11 @@
         self.on_applied(index, command_bytes)
         return command_bytes.decode()
 
-    def take_digest(self) -> bytes:
+    def build_snapshot(self) -> bytes:
         return json.dumps(self.history).encode()
 
-    def load_digest(self, digest_bytes: bytes) -> None:
-        self.history = [(index, text) for index, text in json.loads(digest_bytes)]
+    def load_snapshot(self, snapshot_bytes: bytes) -> None:
+        self.history = [(index, text) for index, text in json.loads(snapshot_bytes)]
         for index, text in self.history:
             self.on_applied(index, text.encode())
 
@@ -628,7 +628,7 @@
         if leader is not None:
             self.add_trace(f"{leader.identity} confirms a read")
             host = next(h for h in self.hosts if h.member is leader)
-            confirm_task = self.loop.create_task(leader.confirm())
+            confirm_task = self.loop.create_task(leader.confirm_leadership())
             self.tasks.append(confirm_task)
             self.confirms.append((host, leader, max(self.committed), confirm_task))
 
@@ -721,8 +721,8 @@
             raise self.violation
 
     def _check_member(self, host: Host, member: RaftMember) -> None:
-        if member.task_group.faults:
-            self.fail("task", f"{host.address}: {member.task_group.faults[0]!r}")
+        if member.task_group.exceptions:
+            self.fail("task", f"{host.address}: {member.task_group.exceptions[0]!r}")
         self._check_log(host, member)
         if member.is_leader() and member.term != host.led_epoch:
             host.led_epoch = member.term
@@ -782,9 +782,10 @@
         # The leader's first entry may already be a membership change; it was elected under the membership before that.
         first_own_index = next((e.index for e in member.log.entries if e.epoch == member.term), member.last_index() + 1)
         sets = voter_sets(member.log.membership_at(first_own_index - 1).members)
-        if not is_quorum(member.elections.granted_by, sets):
+        if not is_quorum(member.elections.granting_identities, sets):
             self.fail(
-                "election", f"{member.identity} leads {member.term} by {sorted(member.elections.granted_by)} of {sets}"
+                "election",
+                f"{member.identity} leads {member.term} by {sorted(member.elections.granting_identities)} of {sets}",
             )
         for index, committed in self.committed.items():
             if committed.by_epoch < member.term:
@@ -928,7 +929,7 @@
 
     def _settled_leader(self) -> RaftMember | None:
         for host in self._running_hosts():
-            if host.member is not None and host.member.settled():
+            if host.member is not None and host.member.is_settled():
                 if not host.member.transfer.is_in_progress() and not host.member.disk_full:
                     return host.member
         return None
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -76,7 +76,7 @@
     def members(self) -> Members:
         return Members(member=[Member(identity="one", address="127.0.0.1:1", voter=True)])
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return self.leads
 
     async def propose(self, payload: bytes) -> Result[tuple[int, Any], str]:
@@ -148,7 +148,7 @@
             ("unknown field", whole(more=1)),
         ]
         await self.run_change(0, 1, whole())
-        before = self.core.fleet.take_digest()
+        before = self.core.fleet.build_snapshot()
         for expected_fault, document in cases:
             status, body = await self.run_change(1, 2, document)
             self.assertEqual(status, "refused", (expected_fault, body))
@@ -167,7 +167,7 @@
             self.assertIn(expected_fault, " | ".join(body["faults"]))
         for number in (0, 1):
             self.assertEqual((await self.run_change(1, number, whole(source="other")))[0], "refused")
-        self.assertEqual(self.core.fleet.take_digest(), before)
+        self.assertEqual(self.core.fleet.build_snapshot(), before)
 
     async def test_what_the_pages_call_valid_is_taken(self) -> None:
         splits = [{"service": "s", "share": 90}, {"service": "s", "share": 10}, {"service": "t", "share": 0}]
@@ -201,7 +201,7 @@
         second = await self.run_change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True)
         self.assertEqual((first[0], second[0]), ("done", "done"))
         restarted = build_core()
-        restarted.fleet.load_digest(self.core.fleet.take_digest())
+        restarted.fleet.load_snapshot(self.core.fleet.build_snapshot())
         self.core = restarted
         self.assertEqual(await self.run_change(0, 3, whole()), first)
         self.assertEqual(await self.run_change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True), second)
@@ -293,8 +293,8 @@
             "an unchanged route was parsed again",
         )
         restored = FleetState()
-        restored.load_digest(fleet.take_digest())
-        self.assertEqual((restored.sections, restored.take_digest()), (fleet.sections, fleet.take_digest()))
+        restored.load_snapshot(fleet.build_snapshot())
+        self.assertEqual((restored.sections, restored.build_snapshot()), (fleet.sections, fleet.build_snapshot()))
 
     async def test_an_older_releases_digest_and_description_are_read(self) -> None:
         data = {"routes": [route("r1", "/a/", source="one")], "services": whole()["services"]}
@@ -304,7 +304,7 @@
         older_digest = {name: value for name, value in fleet.read().items() if name != "description_number"}
         older_digest.update(parts={}, transactions=[], sections={}, description={})
         restored = FleetState()
-        restored.load_digest(to_json(older_digest))
+        restored.load_snapshot(to_json(older_digest))
         self.assertEqual((restored.description_revision, restored.description_number, restored.routes), (1, 0, {}))
 
     async def test_a_large_description_is_checked_in_pieces(self) -> None:
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -41,7 +41,7 @@
     def is_leader(self) -> bool:
         return True
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return True
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
@@ -51,7 +51,7 @@
         outcome = self.fleet.apply(self.index, command.SerializeToString())
         return outcome["revision"], outcome["index"]
 
-    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+    def raised_part_revisions(self, owner: str, line: str) -> list[tuple[int, int]]:
         return self.fleet.raised_part_revisions(f"{owner}/{line}")
 
     def position(self) -> tuple[int, int]:
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -58,11 +58,11 @@
     def apply(self, index: int, command_bytes: bytes) -> Any:
         self.applied.append(command_bytes)
 
-    def take_digest(self) -> bytes:
+    def build_snapshot(self) -> bytes:
         return b"".join(self.applied)
 
-    def load_digest(self, digest_bytes: bytes) -> None:
-        self.loaded = digest_bytes
+    def load_snapshot(self, snapshot_bytes: bytes) -> None:
+        self.loaded = snapshot_bytes
 
 
 class ExpiredClock(FakeRuntime):
@@ -157,7 +157,7 @@
         candidate = SingleMember("b", "abc", epoch=8, log_epochs=[5])
         candidate.raft.elections.start(is_pre_vote=True, is_transfer=False)
         candidate.raft.take_vote_result("a", "a:1", VoteResult(epoch=5, granted=True, trial=True, asked=7))
-        self.assertEqual(candidate.raft.elections.granted_by, {"b"})
+        self.assertEqual(candidate.raft.elections.granting_identities, {"b"})
 
 
 class SurvivorsTest(unittest.TestCase):
@@ -192,9 +192,9 @@
     async def test_a_command_that_waited_in_a_process_that_stood_still_is_not_run(self) -> None:
         core: Any = build_core()
         ask = CommandAsk(command=change(0, 1, {}, by_name=True).SerializeToString(), relayed=True)
-        core.raft.ticked_micros = core.clock.now() - 2 * SECOND
+        core.raft.last_tick_micros = core.clock.now() - 2 * SECOND
         self.assertEqual((await core._make_command_result("n", "n:1", ask)).status, "unavailable")
-        core.raft.ticked_micros = core.clock.now()
+        core.raft.last_tick_micros = core.clock.now()
         self.assertNotEqual((await core._make_command_result("n", "n:1", ask)).status, "unavailable")
 
     async def test_a_command_that_waited_too_long_here_is_not_proposed(self) -> None:
@@ -384,7 +384,7 @@
         first = self.apply(command)
         self.assertEqual(self.apply(command), first)
         restored = FleetState()
-        restored.load_digest(self.fleet.take_digest())
+        restored.load_snapshot(self.fleet.build_snapshot())
         self.assertEqual(restored.apply(99, command.SerializeToString()), first)
 
     def test_a_change_older_than_memory_is_left_without_a_clear_answer(self) -> None:
--- a/tests/test_control_plane_fleet.py
+++ b/tests/test_control_plane_fleet.py
@@ -26,10 +26,10 @@
         later_field = b"\xfa\x3f\x03new"  # Field 1023, which this release does not know.
         self.assertEqual(fleet.apply(1, command.SerializeToString() + later_field)["status"], "done")
         self.assertIn(later_field, Command.FromString(command.SerializeToString() + later_field).SerializeToString())
-        before = fleet.take_digest()
+        before = fleet.build_snapshot()
         with self.assertRaises(UnknownCommandError):
             fleet.apply(2, later_field)
-        self.assertEqual(fleet.take_digest(), before, "an unknown command changed the state")
+        self.assertEqual(fleet.build_snapshot(), before, "an unknown command changed the state")
 
     def test_a_mark_outlasts_the_platforms_list_and_a_base_tells_of_races(self) -> None:
         fleet = FleetState()
@@ -84,7 +84,7 @@
         self.assertEqual(run(8, b"", hold=TakeHold(worker="w", holder="n1"))["fence"], 8)
         self.assertEqual(run(9, b"", hold=TakeHold(worker="w", holder="n2"))["status"], "held")
         same_holder_state = FleetState()
-        same_holder_state.load_digest(fleet.take_digest())
+        same_holder_state.load_snapshot(fleet.build_snapshot())
         same_holder = Command(hold=TakeHold(worker="w", holder="n1")).SerializeToString()
         self.assertEqual(
             same_holder_state.apply(10, same_holder),
@@ -96,6 +96,6 @@
         stale_load = ConfirmLoad(worker="w", fence=8, weights_revision=1)
         self.assertEqual(run(11, b"", confirm=stale_load)["status"], "refused")
         restored = FleetState()
-        restored.load_digest(fleet.take_digest())
-        self.assertEqual(restored.take_digest(), fleet.take_digest())
+        restored.load_snapshot(fleet.build_snapshot())
+        self.assertEqual(restored.build_snapshot(), fleet.build_snapshot())
         self.assertEqual(restored.raised_part_revisions("tenant:t/l"), [(7, 3)])
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -121,7 +121,7 @@
     directory = Directory(Record(identity="me"), ["s:1"], rpc_endpoint, clock, random.Random(1))
     view_replica = ViewReplica(rpc_endpoint, directory, clock, random.Random(1), BackgroundTaskGroup("t"), SECOND)
 
-    async def ask(target_address: str, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
+    async def ask(target_address: str, body_name: str, body: Message, timeout_micros: int) -> Result[Any, str]:
         await asyncio.sleep(0)
         return Ok(TermResult(member=True, delta=views[int(target_address)]))
 
@@ -179,7 +179,7 @@
     def is_leader(self) -> bool:
         return self.log.leader == self.name
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return self.is_leader()
 
     async def bump(self, note: PurgeNote) -> tuple[int, int] | None:
@@ -191,7 +191,7 @@
         # A leader that lost leadership can't tell whether the command was committed.
         return (outcome["revision"], outcome["index"]) if self.is_leader() else None
 
-    def pairs_of(self, owner: str, line: str) -> list[tuple[int, int]]:
+    def raised_part_revisions(self, owner: str, line: str) -> list[tuple[int, int]]:
         return []
 
     def position(self) -> tuple[int, int]:
@@ -216,7 +216,7 @@
 
     async def send() -> None:
         for name in ("old", "new", "old"):
-            sequencers[name]._take_note("n", "n:1", request)
+            sequencers[name]._handle_purge_note("n", "n:1", request)
             await asyncio.sleep(0)
 
     async def change() -> None:
--- a/tests/test_invalidation_listener.py
+++ b/tests/test_invalidation_listener.py
@@ -44,7 +44,7 @@
 
     def receive(self, **body: Any) -> None:
         part = body.pop("part", 0)
-        self.listener._take_note("core", "c:1", PurgeNote(owner="o", line="l", part=part, **body))
+        self.listener._handle_purge_note("core", "c:1", PurgeNote(owner="o", line="l", part=part, **body))
 
     def receive_table(self, epoch: int, index: int, lifetime_micros: int = 30 * SECOND, **pairs: int) -> None:
         self.receive(
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -184,7 +184,7 @@
             commit_index=10,
             applied_index=9,
             elections=SimpleNamespace(election_count=2),
-            writer=SimpleNamespace(flush_started=99 * SECOND),
+            writer=SimpleNamespace(flush_started_micros=99 * SECOND),
             disk_full=False,
             last_index=lambda: 11,
             members=lambda: members,
@@ -200,7 +200,7 @@
         expected = {"raft_term": 3, "raft_commit_index": 10, "raft_applied_index": 9, "raft_last_index": 11}
         expected |= {"raft_members": 2, "raft_voters": 1, "raft_elections_total": 2, "raft_flush_seconds": 1}
         self.assertEqual({name: samples[name] for name in expected}, expected)
-        raft.writer.flush_started = None
+        raft.writer.flush_started_micros = None
         self.assertEqual(read(build_registry([CoreCollector(core)]))["raft_flush_seconds"], 0)
 
 
@@ -217,7 +217,7 @@
         self.assertEqual(samples["link_queued_bytes"], 5 * QUEUE_LIMIT)
         self.assertEqual(samples["link_frames_dropped_total{queue_full}"], 3)
         runtime.now_micros += FRAME_EXPIRY_MICROS + 1
-        link._drop_stale()
+        link._drop_stale_frames()
         self.assertEqual(read(registry)["link_frames_dropped_total{stale}"], QUEUE_LIMIT)
         self.assertEqual(read(registry)["link_queued_bytes"], 0)
 
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -178,7 +178,7 @@
     """Changes several voters by a single entry, without joint consensus."""
 
     async def change_members(self, changed: Members) -> Result[tuple[int, Any], str]:
-        if not self.settled() or self.membership().index > self.commit_index or self.membership().is_joint:
+        if not self.is_settled() or self.membership().index > self.commit_index or self.membership().is_joint:
             return Err("another change of members is under way")
         return await self.propose(changed.SerializeToString(), KIND_MEMBERS)
 
@@ -359,15 +359,19 @@
 
         def lead_twice(model: Model) -> None:
             follower = member(model, False)
-            follower.state.role, follower.elections.granted_by = Role.LEADER, {"m1", "m2", "m3"}
+            follower.state.role, follower.elections.granting_identities = Role.LEADER, {"m1", "m2", "m3"}
 
         def lead_without_votes(model: Model) -> None:
             follower = member(model, False)
-            follower.state.role, follower.elections.granted_by, follower.state.term = Role.LEADER, {"m1"}, 9
+            follower.state.role, follower.elections.granting_identities, follower.state.term = Role.LEADER, {"m1"}, 9
 
         def lead_without_entry(model: Model) -> None:
             follower = member(model, False)
-            follower.state.role, follower.elections.granted_by, follower.state.term = Role.LEADER, {"m1", "m2"}, 9
+            follower.state.role, follower.elections.granting_identities, follower.state.term = (
+                Role.LEADER,
+                {"m1", "m2"},
+                9,
+            )
             follower.log.entries.pop()
 
         def change_entry(model: Model) -> None:
--- a/tests/test_relayed_tables.py
+++ b/tests/test_relayed_tables.py
@@ -42,7 +42,7 @@
         return self.listener.revision_of(OWNER, LINE, PART)
 
     def receive(self, note: PurgeNote) -> None:
-        self.listener._take_note("another", "another:1", note)
+        self.listener._handle_purge_note("another", "another:1", note)
 
     def receive_body(self, **body: Any) -> None:
         self.receive(PurgeNote(owner=OWNER, line=LINE, part=PART, **body))
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -100,8 +100,8 @@
 
         asyncio.run(write())
         recovered = asyncio.run(Wal(self.disk).recover())
-        assert recovered.digest is not None
-        self.assertEqual((recovered.digest.index, recovered.mark.epoch), (28, 39))
+        assert recovered.snapshot is not None
+        self.assertEqual((recovered.snapshot.index, recovered.mark.epoch), (28, 39))
         self.assertEqual([e.index for e in recovered.entries], list(range(29, 37)))
         self.assertEqual(recovered.entries[-1].epoch, 2)
         self.assertEqual(sum(n.startswith("log-") for n in self.disk.names()), 2)
--- a/tests/test_wal_power_loss.py
+++ b/tests/test_wal_power_loss.py
@@ -202,7 +202,7 @@
 def recover(files: PowerlessFiles) -> tuple[Wal, LogState]:
     wal = Wal(PowerlessDisk(files))
     recovered = run_synchronously(wal.recover())
-    found = recovered.digest
+    found = recovered.snapshot
     if found is not None:
         assert found.state == snapshot(found.index, found.epoch).state
     entries = tuple((e.index, e.epoch) for e in recovered.entries)
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -437,7 +437,7 @@
             node.start(*parts)
 
     def faults(self) -> list[BaseException]:
-        return [fault for node in self.nodes for fault in node.machine.task_group.faults]
+        return [fault for node in self.nodes for fault in node.machine.task_group.exceptions]
 
 
 def asker_of(fleet: WorkerFleet) -> FleetNode:
