--- a/src/pearhead/config/description.py
+++ b/src/pearhead/config/description.py
@@ -146,7 +146,7 @@
     return name if colon and (port.isdigit() or not port) and not name.endswith(":") else host.strip().lower()
 
 
-def owner_of(tenant: Tenant) -> str:
+def cache_owner(tenant: Tenant) -> str:
     """The owner of cached prompt parts: the tenant's sharing group or, without one, the tenant.
 
     The prefixes keep a group and a tenant of the same name apart.
@@ -234,20 +234,20 @@
 
     def __init__(self, roles: Mapping[str, str]) -> None:
         self.roles = roles
-        self.names: set[str] = set()
-        self.prefixes: dict[tuple[str, str], str] = {}
+        self.seen_names: set[str] = set()
+        self.route_name_by_prefix: dict[tuple[str, str], str] = {}
 
     def check_route(self, path: str, route: Route) -> list[str]:
         """Returns the errors of one route; each message begins with `path`."""
         errors = []
         if not route.name:
             errors.append(f"{path}.name: must not be empty")
-        if route.name in self.names:
+        if route.name in self.seen_names:
             errors.append(f"{path}.name: {route.name!r} is named twice")
-        self.names.add(route.name)
+        self.seen_names.add(route.name)
         if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
             errors.append(f"{path}.prefix: must begin and end with '/', not {route.prefix!r}")
-        other_route_name = self.prefixes.setdefault((normalize_host(route.host), route.prefix), route.name)
+        other_route_name = self.route_name_by_prefix.setdefault((normalize_host(route.host), route.prefix), route.name)
         if other_route_name != route.name:
             errors.append(f"{path}.prefix: {route.host}{route.prefix} is matched by {other_route_name!r} too")
         if route.deadline_micros <= 0:
--- a/src/pearhead/config/view.py
+++ b/src/pearhead/config/view.py
@@ -25,7 +25,7 @@
 ENTRY_SECTIONS = tuple(f"entries-{bucket:02d}" for bucket in range(BUCKET_COUNT))
 ROUTE_SECTIONS = tuple(f"routes-{bucket:02d}" for bucket in range(BUCKET_COUNT))
 SECTION_NAMES = ("description", *ENTRY_SECTIONS, *ROUTE_SECTIONS, "loads", "weights", "workers")
-EMPTY_BODY = b"{}"
+EMPTY_SECTION_BODY = b"{}"
 
 
 def bucket_index(entry_name: str) -> int:
@@ -77,7 +77,7 @@
     weights: str = ""
 
     @classmethod
-    def read(cls, item: dict[str, Any]) -> LoadRecord:
+    def from_state(cls, item: dict[str, Any]) -> LoadRecord:
         """Converts an item of the replicated state, which keeps the older key `weightsRevision`."""
         values = dict(item)
         return cls(weights_revision=values.pop("weightsRevision"), **values)
@@ -100,7 +100,7 @@
 
     index: int = 0
     sections: Mapping[str, tuple[int, bytes]] = field(
-        default_factory=lambda: {name: (0, EMPTY_BODY) for name in SECTION_NAMES}
+        default_factory=lambda: {name: (0, EMPTY_SECTION_BODY) for name in SECTION_NAMES}
     )
 
     @cached_property
@@ -125,7 +125,10 @@
         """The description, assembled from its sections."""
         head = self._section("description").get("description", {})
         entries = [
-            item for name in ENTRY_SECTIONS if self.sections[name][1] != EMPTY_BODY for item in self._section(name)
+            item
+            for name in ENTRY_SECTIONS
+            if self.sections[name][1] != EMPTY_SECTION_BODY
+            for item in self._section(name)
         ]
         return replace(description_from_checked_data({**head, "entries": entries}), routes=self._routes)
 
@@ -138,16 +141,16 @@
     def _routes(self) -> list[Route]:
         all_routes: list[Route] = []
         for name in ROUTE_SECTIONS:
-            _, body = self.sections.get(name, (0, EMPTY_BODY))
-            cached_body, routes = self._parsed_routes.get(name, (EMPTY_BODY, []))
-            if cached_body is not body and body != EMPTY_BODY:
+            _, body = self.sections.get(name, (0, EMPTY_SECTION_BODY))
+            cached_body, routes = self._parsed_routes.get(name, (EMPTY_SECTION_BODY, []))
+            if cached_body is not body and body != EMPTY_SECTION_BODY:
                 routes = description_from_checked_data({"routes": json.loads(body)}).routes
                 self._parsed_routes[name] = (body, routes)
-            all_routes.extend(routes if body != EMPTY_BODY else [])
+            all_routes.extend(routes if body != EMPTY_SECTION_BODY else [])
         return all_routes
 
     @cached_property
-    def number(self) -> int:
+    def description_number(self) -> int:
         """The number that operators gave the description (§5.4); 0 if they gave none."""
         return int(self._section("description").get("number", 0))
 
@@ -163,7 +166,7 @@
             routes_by_host.setdefault(normalize_host(route.host), {})[route.prefix] = route
         return routes_by_host
 
-    def route_of(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Returns the route of this host with the longest prefix of `path`, or None.
 
         Case and port of the host are ignored. The cost grows with the number of slashes in the path, not with the
@@ -188,7 +191,7 @@
     @cached_property
     def loads(self) -> dict[str, LoadRecord]:
         """The confirmed loads by worker name."""
-        return {n: LoadRecord.read(item) for n, item in self._section("loads").items()}
+        return {n: LoadRecord.from_state(item) for n, item in self._section("loads").items()}
 
     @cached_property
     def weights(self) -> dict[str, WeightsRecord]:
@@ -215,7 +218,7 @@
         """The names of all model lines."""
         return frozenset(x.name for x in self.description.lines)
 
-    def match(self, line_name: str, tenant_name: str, kind: str) -> CapabilityEntry | None:
+    def find_entry(self, line_name: str, tenant_name: str, kind: str) -> CapabilityEntry | None:
         """Returns the entry for a job, or None; one that names the tenant takes precedence over one for all tenants."""
         return self.entry_by_match.get((line_name, tenant_name, kind)) or self.entry_by_match.get(
             (line_name, ANY_TENANT, kind)
@@ -238,7 +241,7 @@
         next_view.__dict__["_parsed_routes"] = dict(self._parsed_routes)
         return next_view
 
-    def delta_since(self, have_index: int) -> ViewDelta | None:
+    def full_delta_if_newer(self, have_index: int) -> ViewDelta | None:
         """Returns the whole view as a delta without a base; None if `have_index` is not older than this view."""
         if have_index >= self.index:
             return None
--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -108,7 +108,7 @@
         self.directory: Directory
         self.membership: MembershipController
         self.view_service: ViewService
-        self.serializer: RevisionSequencer
+        self.revision_sequencer: RevisionSequencer
 
     async def start(self) -> None:
         """Recovers the state from disk, registers the message handlers and starts the background tasks.
@@ -151,7 +151,7 @@
         self.view_service = ViewService(self.identity, self.raft, self.fleet)
         self.raft.watch_leadership(self._on_leadership_change)
         self.raft.watch_members(self._on_members_change)
-        self.serializer = RevisionSequencer(
+        self.revision_sequencer = RevisionSequencer(
             self, self.rpc_endpoint, self.directory, self.clock, self.task_group, self.startup.tableLifetimeMicros
         )
         for body_name, handler in (
@@ -254,14 +254,14 @@
         self.hold_last_seen = {worker: (hold["fence"], self.clock.now()) for worker, hold in self.fleet.holds.items()}
 
     def _register_volumes(self) -> None:
-        """Joins the invalidation channel of each pair of owner and line; the serializer exists only after recovery."""
-        if hasattr(self, "serializer"):
+        """Joins the invalidation channel of each pair of owner and line; the sequencer exists only after recovery."""
+        if hasattr(self, "revision_sequencer"):
             owners = {
                 f"group:{tenant['group']}" if tenant.get("group") else f"tenant:{tenant['name']}"
                 for tenant in self.fleet.description.get("tenants", [])
             }
             line_names = [line["name"] for line in self.fleet.description.get("lines", [])]
-            self.serializer.join_volumes((owner, name) for owner in sorted(owners) for name in line_names)
+            self.revision_sequencer.join_volumes((owner, name) for owner in sorted(owners) for name in line_names)
 
     # ---- RevisionStore -------------------------------------------------------------------------
 
@@ -444,7 +444,7 @@
 
     # ---- state for operators -----------------------------------------------------------------------
 
-    def soundness(self) -> dict[str, Any]:
+    def health(self) -> dict[str, Any]:
         """Health and Raft state as this core alone sees them, for operators and the platform."""
         return {
             "kind": "core",
--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -13,7 +13,7 @@
 
 from pearhead import PEARHEAD_RELEASE
 from pearhead.config.view import (
-    EMPTY_BODY,
+    EMPTY_SECTION_BODY,
     ENTRY_SECTIONS,
     ROUTE_SECTIONS,
     SECTION_NAMES,
@@ -82,8 +82,8 @@
 class FleetState:
     """Description, workers, weights, holds, loads and part revisions, with the outcomes kept to recognize repeats.
 
-    Each section has the index of its last change, from which a node's delta is made. `taken` has the last changes under
-    operators' numbers, `parts` the part revisions by volume, "owner/line".
+    Each section has the index of its last change, from which a node's delta is made. `retained_changes` has the last
+    changes under operators' numbers, `parts` the part revisions by volume, "owner/line".
     """
 
     def __init__(self) -> None:
@@ -92,7 +92,7 @@
         self.description_revision = 0
         self.description_number = 0
         self.routes: EncodedRoutes = {}
-        self.taken: OrderedDict[str, Outcome] = OrderedDict()
+        self.retained_changes: OrderedDict[str, Outcome] = OrderedDict()
         self._section_digests: SectionDigests = {}
         self.history: list[Outcome] = []
         self.workers: dict[str, Outcome] = {}
@@ -104,7 +104,7 @@
         self.transactions: OrderedDict[str, Outcome] = OrderedDict()
         # Number and outcome of the last command of each session, least recently used first (§4.2).
         self.sessions: OrderedDict[str, tuple[int, Outcome]] = OrderedDict()
-        self.sections: dict[str, tuple[int, bytes]] = {name: (0, EMPTY_BODY) for name in SECTION_NAMES}
+        self.sections: dict[str, tuple[int, bytes]] = {name: (0, EMPTY_SECTION_BODY) for name in SECTION_NAMES}
         self.visible_index = 0
 
     # ---- StateMachine ----------------------------------------------------------------------------
@@ -163,7 +163,7 @@
                 **{key: getattr(self, name) for key, name in SNAPSHOT_FIELDS.items()},
                 "parts": {volume: sorted(revisions.items()) for volume, revisions in self.parts.items()},
                 "transactions": list(self.transactions.items()),
-                "taken": list(self.taken.items()),
+                "taken": list(self.retained_changes.items()),
                 "sessions": [(session, *last) for session, last in self.sessions.items()],
                 "sections": sections,
                 "routes": [(name, len(shown), len(source)) for name, (shown, source) in self.routes.items()],
@@ -183,7 +183,7 @@
             setattr(self, name, data.get(key, 0))
         self.parts = {volume: {part: revision for part, revision in pairs} for volume, pairs in data["parts"].items()}
         self.transactions = OrderedDict((transaction, outcome) for transaction, outcome in data["transactions"])
-        self.taken = OrderedDict((number, change) for number, change in data.get("taken", []))
+        self.retained_changes = OrderedDict((number, change) for number, change in data.get("taken", []))
         self.sessions = OrderedDict(
             (session, (number, outcome)) for session, number, outcome in data.get("sessions", [])
         )
@@ -192,12 +192,12 @@
             shown = snapshot_bytes[end : end + shown_size]
             end += shown_size + source_size
             self.routes[name] = (shown, snapshot_bytes[end - source_size : end])
-        self.sections = {name: (0, EMPTY_BODY) for name in SECTION_NAMES}
+        self.sections = {name: (0, EMPTY_SECTION_BODY) for name in SECTION_NAMES}
         self.sections.update(
             (name, (index, base64.b64decode(body))) for name, (index, body) in data["sections"].items()
         )
         for name, body in self._route_bodies().items():
-            self.sections[name] = (self.sections[name][0], body or EMPTY_BODY)
+            self.sections[name] = (self.sections[name][0], body or EMPTY_SECTION_BODY)
 
     # ---- reading ---------------------------------------------------------------------------------
 
@@ -261,7 +261,7 @@
         number = str(command.number)
         change_hash = hash_change(command)
         if self.has_applied_change(command):
-            return {"status": "done", "revision": self.taken[number]["revision"], "number": command.number}
+            return {"status": "done", "revision": self.retained_changes[number]["revision"], "number": command.number}
         if self.is_beyond_retained_changes(command):
             return {"status": "unknown", "why": "too old to tell whether it was taken"}
         has_present_base = command.base_number == self.description_number
@@ -274,9 +274,9 @@
         self.routes = merge_routes(self.routes, command, document)
         self.description = merge_document(self.description, document, command.by_name)
         self.description_number, self.description_revision = command.number, index
-        self.taken[number] = {"hash": change_hash, "revision": index}
-        if len(self.taken) > TAKEN_LIMIT:
-            self.taken.popitem(last=False)
+        self.retained_changes[number] = {"hash": change_hash, "revision": index}
+        if len(self.retained_changes) > TAKEN_LIMIT:
+            self.retained_changes.popitem(last=False)
         self.history.append({"revision": index, "by": "", "hash": change_hash, "number": command.number})
         del self.history[:-HISTORY_LIMIT]
         for line in self.description.get("lines", []):
@@ -287,7 +287,7 @@
 
     def has_applied_change(self, command: ChangeDescription) -> bool:
         """Whether this very change is among the last `TAKEN_LIMIT` applied ones."""
-        held = self.taken.get(str(command.number))
+        held = self.retained_changes.get(str(command.number))
         return held is not None and bool(held["hash"] == hash_change(command))
 
     def is_beyond_retained_changes(self, command: ChangeDescription) -> bool:
@@ -295,7 +295,7 @@
 
         It may have been applied, so it must not be answered as refused.
         """
-        return len(self.taken) >= TAKEN_LIMIT and command.number < int(next(iter(self.taken)))
+        return len(self.retained_changes) >= TAKEN_LIMIT and command.number < int(next(iter(self.retained_changes)))
 
     def _apply_workers(self, index: int, command: SetWorkers) -> Outcome:
         revision = self.sections["workers"][0]
@@ -392,10 +392,10 @@
         for entry in self.description.get("entries", []):
             buckets[bucket_index(entry["name"])].append(entry)
         for name, entries in zip(ENTRY_SECTIONS, buckets, strict=True):
-            if entries or self.sections[name][1] != EMPTY_BODY:
+            if entries or self.sections[name][1] != EMPTY_SECTION_BODY:
                 self._set_section(name, index, entries)
         for name, body in self._route_bodies().items():
-            if body is not None or self.sections[name][1] != EMPTY_BODY:
+            if body is not None or self.sections[name][1] != EMPTY_SECTION_BODY:
                 self._set_section_body(name, index, body or b"[]")
 
     def _route_bodies(self) -> dict[str, bytes | None]:
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -35,7 +35,7 @@
 RESPONSIVE_WITHIN_MICROS = 400 * MILLI
 # How long a new leader refuses the first command of the core group because other founders may still join: in any case,
 # and while it knows of cores that have no vote yet although voters are missing.
-FOUNDING_GRACE_MICROS = (1_500 * MILLI, 8 * SECOND)
+BOOTSTRAP_GRACE_MICROS = (1_500 * MILLI, 8 * SECOND)
 # A voter that was silent for this long is replaced by a caught-up learner; undoing that costs only two log entries.
 EXCHANGE_MICROS = 1_500 * MILLI
 LEAVE_TIMEOUT_MICROS = 1_500 * MILLI
@@ -188,8 +188,8 @@
         voters = self.raft.voters()
         has_known_nonvoter = any(record.identity not in voters for record in self.directory.members("control_plane"))
         is_awaiting_members = has_known_nonvoter and len(voters) < self.target_voter_count()
-        return leading_micros < FOUNDING_GRACE_MICROS[0] or (
-            is_awaiting_members and leading_micros < FOUNDING_GRACE_MICROS[1]
+        return leading_micros < BOOTSTRAP_GRACE_MICROS[0] or (
+            is_awaiting_members and leading_micros < BOOTSTRAP_GRACE_MICROS[1]
         )
 
     def on_leadership_change(self, leads: bool) -> None:
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -19,12 +19,12 @@
         self.identity = identity
         self.raft = raft
         self.fleet = fleet
-        self.packer = DeltaCompressor()
+        self.delta_compressor = DeltaCompressor()
         self.view_changes_by_position: dict[tuple[int, int], bool] = {}
 
     def on_leadership_change(self, leads: bool) -> None:
         """Drops the delta that was cached under the earlier leadership."""
-        self.packer = DeltaCompressor()
+        self.delta_compressor = DeltaCompressor()
 
     def last_visible_index(self) -> int:
         """The last index in this log that changes the view of the nodes, committed or not."""
@@ -58,5 +58,5 @@
             members=membership.members,
             members_index=membership.index,
         )
-        self.packer.put(result, self.fleet.delta_since(ask.have_index, ask.have_hash))
+        self.delta_compressor.put(result, self.fleet.delta_since(ask.have_index, ask.have_hash))
         return result
--- a/src/pearhead/pearheadctl/operator_command.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -44,7 +44,7 @@
     return data
 
 
-def merge_partial(present: dict[str, Any], partial: dict[str, Any]) -> dict[str, Any]:
+def merge_descriptions(present: dict[str, Any], partial: dict[str, Any]) -> dict[str, Any]:
     """Returns `present` updated by `partial`.
 
     In lists of named items, items replace those of the same name, and all others stay.
@@ -81,7 +81,7 @@
         for _ in range(PARTIAL_APPLY_ATTEMPTS):
             fleet = self._fetch_fleet()
             effective_base = base if base >= 0 else fleet["descriptionRevision"]
-            description = merge_partial(fleet["description"], file_data) if partial else file_data
+            description = merge_descriptions(fleet["description"], file_data) if partial else file_data
             body = {
                 "applyId": apply_id or secrets.token_hex(12),
                 "base": effective_base,
--- a/src/pearhead/router/cache_salt_builder.py
+++ b/src/pearhead/router/cache_salt_builder.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from pearhead.config.description import Tenant, owner_of
+from pearhead.config.description import Tenant, cache_owner
 from pearhead.config.view import View
 from pearhead.invalidation.revision_listener import RevisionListener
 from pearhead.router.opaque_request import PromptPart
@@ -57,14 +57,14 @@
         So a tenant that leaves a group shares nothing that was cached before (§6.7).
         """
         if tenant is None or not tenant.group:
-            return owner_of(tenant) if tenant is not None else "public:"
+            return cache_owner(tenant) if tenant is not None else "public:"
         if self.owners[0] is not view:
             self.owners = (view, {})
         owners_by_group = self.owners[1]
         if tenant.group not in owners_by_group:
             outside_group = sorted(t.name for t in view.description.tenants if t.group != tenant.group)
             digest = hashlib.blake2b("\0".join(outside_group).encode(), digest_size=6).hexdigest()
-            owners_by_group[tenant.group] = f"{owner_of(tenant)}:{digest}"
+            owners_by_group[tenant.group] = f"{cache_owner(tenant)}:{digest}"
         return owners_by_group[tenant.group]
 
 
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -245,7 +245,7 @@
         So a node keeps serving for a bounded time without the cores.
         """
         view_replica = self.view_replica
-        if not view_replica.has_view or view_replica.view.number == 0:
+        if not view_replica.has_view or view_replica.view.description_number == 0:
             return None
         is_fresh = self.clock.now() - view_replica.current_at <= self.settings.max_view_age_micros
         return view_replica.view if is_fresh else None
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from pearhead.config.description import CapabilityEntry, owner_of
+from pearhead.config.description import CapabilityEntry, cache_owner
 from pearhead.config.view import View, WorkerRecord
 from pearhead.invalidation.cache_keys import cache_salt, chain_keys
 from pearhead.invalidation.revision_listener import RevisionListener
@@ -209,7 +209,7 @@
     def _place_on_model(self, view: View, job: Job, candidates: list[WorkerRecord]) -> Placement:
         assert job.entry is not None and job.tenant is not None
         entry = job.entry
-        line, owner = entry.line, owner_of(job.tenant)
+        line, owner = entry.line, cache_owner(job.tenant)
         current = view.weights[line]
         on_current_weights = [w for w in candidates if view.loads[w.name].weights_revision == current.revision]
         if len(on_current_weights) < len(candidates):
--- a/src/pearhead/router/metrics.py
+++ b/src/pearhead/router/metrics.py
@@ -28,7 +28,7 @@
     def collect(self) -> Iterable[Metric]:
         """Yields the view's metrics; the age has no sample until the view is confirmed for the first time."""
         view = self.view_replica.view
-        yield gauge("view_number", "The operators' number of the description in force.", view.number)
+        yield gauge("view_number", "The operators' number of the description in force.", view.description_number)
         yield gauge("view_index", "The index of the log that the view stands at.", view.index)
         yield gauge("view_age_seconds", "Time since the view was known to be current.", self._age_seconds())
 
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -232,7 +232,7 @@
             return Err(Refusal(ErrorKind.UNKNOWN_MODEL, f"no model {request.model!r}"))
         if len(request.prefix) > job.view.description.limits.prefixParts:
             return Err(Refusal(ErrorKind.TOO_LARGE, "too many prefix parts"))
-        matched = job.view.match(request.model, job.tenant.name, request.kind)
+        matched = job.view.find_entry(request.model, job.tenant.name, request.kind)
         if matched is None:
             is_known = any(k == request.kind for _, _, k in job.view.entry_by_match)
             kind = ErrorKind.NOT_ENTITLED if is_known else ErrorKind.UNKNOWN_KIND
@@ -274,7 +274,7 @@
                 or (
                     view.tenant_by_hash.get(job.key_hash) == job.tenant
                     and job.tenant is not None
-                    and view.match(job.request.model, job.tenant.name, job.request.kind) == job.entry
+                    and view.find_entry(job.request.model, job.tenant.name, job.request.kind) == job.entry
                 )
             )
             and self.nominator.is_still_valid(job, placement)
--- a/src/pearhead/router/opaque_request.py
+++ b/src/pearhead/router/opaque_request.py
@@ -111,7 +111,7 @@
     def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
         """Returns the headers of the request to the worker."""
 
-    def read_head(
+    def read_response_head(
         self, request: OpaqueRequest, metadata: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
     ) -> ResponseHead:
         """Classifies the head of a worker's response to this request."""
--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -257,7 +257,7 @@
         limits = view.description.limits
         if limits.body_bytes and len(request.body) > limits.body_bytes:
             return Err(Refusal(ErrorKind.TOO_LARGE, "the body is over the limit"))
-        route = view.route_of(request.host, request.path)
+        route = view.find_route(request.host, request.path)
         if route is None:
             return Err(Refusal(ErrorKind.UNKNOWN_ROUTE, "no route for this host and path"))
         tenant = view.tenant_by_hash.get(request.key_hash) if request.key_hash else None
@@ -374,7 +374,7 @@
         if raw_head is None:
             self.loads.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the worker broke off")
-        head = self.adapter.read_head(request, metadata, *raw_head)
+        head = self.adapter.read_response_head(request, metadata, *raw_head)
         if head.verdict is not ResponseVerdict.UNRECOGNIZED:
             self.record_weight_versions(worker, head)
         if head.verdict in (ResponseVerdict.NOT_RUN, ResponseVerdict.OTHER_WORKER, ResponseVerdict.OTHER_VERSION):
--- a/src/pearhead/router/view_replica.py
+++ b/src/pearhead/router/view_replica.py
@@ -191,7 +191,7 @@
             members=self.membership.members,
             members_index=self.membership.index,
         )
-        delta = self.view.delta_since(request.have_index)
+        delta = self.view.full_delta_if_newer(request.have_index)
         self.packer.put(result, delta)
         return result
 
@@ -228,7 +228,7 @@
             LOGGER.info(
                 "router: A description is in force. revision=%d number=%d",
                 next_view.description_revision,
-                next_view.number,
+                next_view.description_number,
             )
 
     def _confirm_view(self) -> None:
--- a/src/pearhead/router/weights_rollout.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -300,7 +300,7 @@
             )
 
         order = LoadOrder(backend.name, line, wanted, self.identity, lease.fence)
-        reply = await self.control.order_load(backend.address, order, may_begin, ORDER_LIMIT_MICROS)
+        reply = await self.control.send_load_order(backend.address, order, may_begin, ORDER_LIMIT_MICROS)
         if isinstance(reply, Err):
             LOGGER.warning("router: A load order got no answer. worker=%s fault=%r", backend.name, reply.err_value)
             return None
--- a/src/pearhead/router/worker_control.py
+++ b/src/pearhead/router/worker_control.py
@@ -109,7 +109,7 @@
     async def report(self, address: str, limit_micros: int) -> Result[WorkerReport, str]:
         """The worker's current report."""
 
-    async def order_load(
+    async def send_load_order(
         self, address: str, order: LoadOrder, may_begin: Callable[[], bool], limit_micros: int
     ) -> Result[OrderOutcome, str]:
         """Sends a load order; after an Err the worker may still have taken it.
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -87,7 +87,7 @@
 
     def load_snapshot(self: FleetState, snapshot_bytes: bytes) -> None:
         real_load_snapshot(self, snapshot_bytes)
-        self.taken = OrderedDict()
+        self.retained_changes = OrderedDict()
 
     FleetState.load_snapshot = load_snapshot  # type: ignore[method-assign]
 
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -108,7 +108,7 @@
 @mutation("calm", "owners")
 def tenants_shared(fleet: SimFleet) -> None:
     """All tenants share one cache, whatever group they are in."""
-    vars(job_scheduler)["owner_of"] = lambda tenant: "group:all"
+    vars(job_scheduler)["cache_owner"] = lambda tenant: "group:all"
 
 
 @mutation("node-cut-off-from-cores", "force")
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -141,10 +141,10 @@
         parsed_description = description_from_checked_data(description)
         view = View()
         view.__dict__["description"] = parsed_description
-        view.match(ACADEMY.line, "trial", "kind-0")
+        view.find_entry(ACADEMY.line, "trial", "kind-0")
         start_seconds = time.perf_counter()
         for _ in range(10_000):
-            view.match(ACADEMY.line, "trial", "kind-0")
+            view.find_entry(ACADEMY.line, "trial", "kind-0")
         return {
             "entries": entry_count,
             "bytes to 12 nodes, weights named": sizes[0],
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -18,8 +18,8 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import Machine, World, pause
-from tests.test_change import route, whole
-from tests.test_members import all_agree, run_cores, seconds_until, told_once
+from tests.test_change import route, whole_description
+from tests.test_members import all_agree, clear_founders, run_cores, seconds_until
 
 CHANGE_COUNT = 300
 ONGOING_CHANGE_COUNT = 20
@@ -43,7 +43,7 @@
 
 def build_change(number: int) -> Command:
     """Builds a change: most are small, some have 1,400 routes, some several megabytes."""
-    document = whole(source=f"change {number}")
+    document = whole_description(source=f"change {number}")
     if number in LARGE_AT:
         document["source"] = str(number).ljust(LARGE_BYTES, "x")
     if number in ROUTES_AT:
@@ -96,7 +96,7 @@
         for name in names:
             self.fleet.start(name)
         await seconds_until(self.fleet, lambda: all_agree(self.fleet, names))
-        told_once(self.fleet)
+        clear_founders(self.fleet)
         self.fleet.world.loop.create_task(self._watch_leaders())
         await self.change(1)
         return next(n for n in names if n != self.fleet.leader())
@@ -160,7 +160,7 @@
         for core_name in majority:
             fleet = self.fleet.cores[core_name].fleet
             self.test.assertEqual(fleet.description_number, self.number, core_name)
-            self.test.assertEqual(len(fleet.taken), self.number, core_name)
+            self.test.assertEqual(len(fleet.retained_changes), self.number, core_name)
 
     def bound_seconds(self, bytes_a_second: float) -> float:
         """The time bound; the log, or the snapshot and the log after it, is never larger than all the changes sent."""
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -40,7 +40,7 @@
     return {"name": name, "host": "a.example", "prefix": prefix, "splits": splits, "deadline_micros": 5, **more}
 
 
-def whole(**more: Any) -> Json:
+def whole_description(**more: Any) -> Json:
     """A valid whole description, with some fields replaced or added."""
     return {
         "routes": [route("r1", "/a/", source="one"), route("r2", "/a/b/", source="two")],
@@ -123,31 +123,40 @@
             ("can't be read", b"{"),
             ("must be an object", b"[]"),
             ("can't be read", b"\xff"),
-            ("routes: must be a list", whole(routes={})),
-            ("each must be an object", whole(routes=[1])),
-            ("each must be an object", whole(routes=[{"host": "a"}])),
-            ("no service 'z'", whole(routes=[route("r", "/", "z")])),
-            ("is a store", whole(routes=[route("r", "/", "k")])),
-            ("is matched by 'r1' too", whole(routes=[route("r1", "/"), route("r2", "/", host="A.EXAMPLE:80")])),
-            ("add up to 0", whole(routes=[route("r", "/", splits=zero_splits)])),
-            ("add up to 0", whole(routes=[route("r", "/", splits=[])])),
-            ("below zero", whole(routes=[route("r", "/", splits=negative_splits)])),
-            ("deadline_micros: must be above zero", whole(routes=[{**route("r", "/"), "deadline_micros": 0}])),
-            ("deadline_micros: must be int", whole(routes=[{**route("r", "/"), "deadline_micros": "5"}])),
-            ("deadline_micros: missing", whole(routes=[{"name": "r", "host": "a", "prefix": "/", "splits": []}])),
-            ("begin and end", whole(routes=[route("r", "/a")])),
-            ("begin and end", whole(routes=[route("r", "a/")])),
-            ("'r' is named twice", whole(routes=[route("r", "/"), route("r", "/a/")])),
-            ("must not be empty", whole(routes=[route("", "/")])),
-            ("'s' is named twice", whole(services=[{"name": "s", "role": "model"}] * 2)),
-            ("role: must be", whole(services=[{"name": "s", "role": "other"}])),
-            ("'x' is named twice", whole(tenants=[{"name": "x", "keyHashes": []}] * 2)),
-            ("a key of x too", whole(tenants=[{"name": n, "keyHashes": [KEY + "1"]} for n in "xy"])),
-            ("SHA-256", whole(tenants=[{"name": "x", "keyHashes": ["1"]}])),
-            ("body_bytes: must be", whole(limits={"body_bytes": "7"})),
-            ("unknown field", whole(more=1)),
+            ("routes: must be a list", whole_description(routes={})),
+            ("each must be an object", whole_description(routes=[1])),
+            ("each must be an object", whole_description(routes=[{"host": "a"}])),
+            ("no service 'z'", whole_description(routes=[route("r", "/", "z")])),
+            ("is a store", whole_description(routes=[route("r", "/", "k")])),
+            (
+                "is matched by 'r1' too",
+                whole_description(routes=[route("r1", "/"), route("r2", "/", host="A.EXAMPLE:80")]),
+            ),
+            ("add up to 0", whole_description(routes=[route("r", "/", splits=zero_splits)])),
+            ("add up to 0", whole_description(routes=[route("r", "/", splits=[])])),
+            ("below zero", whole_description(routes=[route("r", "/", splits=negative_splits)])),
+            (
+                "deadline_micros: must be above zero",
+                whole_description(routes=[{**route("r", "/"), "deadline_micros": 0}]),
+            ),
+            ("deadline_micros: must be int", whole_description(routes=[{**route("r", "/"), "deadline_micros": "5"}])),
+            (
+                "deadline_micros: missing",
+                whole_description(routes=[{"name": "r", "host": "a", "prefix": "/", "splits": []}]),
+            ),
+            ("begin and end", whole_description(routes=[route("r", "/a")])),
+            ("begin and end", whole_description(routes=[route("r", "a/")])),
+            ("'r' is named twice", whole_description(routes=[route("r", "/"), route("r", "/a/")])),
+            ("must not be empty", whole_description(routes=[route("", "/")])),
+            ("'s' is named twice", whole_description(services=[{"name": "s", "role": "model"}] * 2)),
+            ("role: must be", whole_description(services=[{"name": "s", "role": "other"}])),
+            ("'x' is named twice", whole_description(tenants=[{"name": "x", "keyHashes": []}] * 2)),
+            ("a key of x too", whole_description(tenants=[{"name": n, "keyHashes": [KEY + "1"]} for n in "xy"])),
+            ("SHA-256", whole_description(tenants=[{"name": "x", "keyHashes": ["1"]}])),
+            ("body_bytes: must be", whole_description(limits={"body_bytes": "7"})),
+            ("unknown field", whole_description(more=1)),
         ]
-        await self.run_change(0, 1, whole())
+        await self.run_change(0, 1, whole_description())
         before = self.core.fleet.build_snapshot()
         for expected_fault, document in cases:
             status, body = await self.run_change(1, 2, document)
@@ -166,12 +175,12 @@
             self.assertEqual(status, "refused", (expected_fault, body))
             self.assertIn(expected_fault, " | ".join(body["faults"]))
         for number in (0, 1):
-            self.assertEqual((await self.run_change(1, number, whole(source="other")))[0], "refused")
+            self.assertEqual((await self.run_change(1, number, whole_description(source="other")))[0], "refused")
         self.assertEqual(self.core.fleet.build_snapshot(), before)
 
     async def test_what_the_pages_call_valid_is_taken(self) -> None:
         splits = [{"service": "s", "share": 90}, {"service": "s", "share": 10}, {"service": "t", "share": 0}]
-        document = whole(
+        document = whole_description(
             routes=[route("r/1 *", "/", splits=splits), route("r2", "/", host="b.example")],
             tenants=[{"name": "*", "keyHashes": []}, {"name": "y/z", "keyHashes": [KEY + "2"] * 2}],
         )
@@ -179,8 +188,8 @@
         self.assertEqual((await self.run_change(5, 900, {"routes": [], "services": []}))[0], "done")
 
     async def test_of_two_on_one_base_one_wins_also_when_both_were_checked(self) -> None:
-        await self.run_change(0, 3, whole())
-        commands = [change(3, number, whole(source=str(number))) for number in (5, 6)]
+        await self.run_change(0, 3, whole_description())
+        commands = [change(3, number, whole_description(source=str(number))) for number in (5, 6)]
         results = await asyncio.gather(*(self.core.execute(command) for command in commands))
         self.assertEqual(sorted(result.status for result in results), ["conflict", "done"])
         number = self.core.fleet.description_number
@@ -189,7 +198,7 @@
         self.assertEqual((await self.run_change(3, 9, b"{"))[1]["number"], number)
 
     async def test_a_description_applied_in_between_makes_it_a_conflict(self) -> None:
-        await self.run_change(0, 3, whole())
+        await self.run_change(0, 3, whole_description())
         command = change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True)
         self.assertIsNone(await self.core._precheck_change(command))
         base = self.core.fleet.description_revision
@@ -197,25 +206,27 @@
         self.assertEqual((await self.core.raft.propose(command.SerializeToString())).unwrap()[1]["status"], "conflict")
 
     async def test_an_exact_repeat_is_done_again_also_after_a_restart(self) -> None:
-        first = await self.run_change(0, 3, whole())
+        first = await self.run_change(0, 3, whole_description())
         second = await self.run_change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True)
         self.assertEqual((first[0], second[0]), ("done", "done"))
         restarted = build_core()
         restarted.fleet.load_snapshot(self.core.fleet.build_snapshot())
         self.core = restarted
-        self.assertEqual(await self.run_change(0, 3, whole()), first)
+        self.assertEqual(await self.run_change(0, 3, whole_description()), first)
         self.assertEqual(await self.run_change(3, 4, {"remove": {"routes": ["r1"]}}, by_name=True), second)
-        self.assertEqual((await self.run_change(0, 3, whole(source="E")))[0], "conflict")
-        self.assertEqual((await self.run_change(4, 4, whole()))[0], "refused")
+        self.assertEqual((await self.run_change(0, 3, whole_description(source="E")))[0], "conflict")
+        self.assertEqual((await self.run_change(4, 4, whole_description()))[0], "refused")
         self.assertEqual(len(self.core.fleet.routes), 1, "a repeat changed the state")
         for number in range(5, 5 + TAKEN_LIMIT):
             await self.run_change(number - 1, number, {}, by_name=True)
         self.assertEqual(
-            (await self.run_change(0, 3, whole()))[0], "unknown", "a repeat must not be refused, however old it is"
+            (await self.run_change(0, 3, whole_description()))[0],
+            "unknown",
+            "a repeat must not be refused, however old it is",
         )
 
     async def test_by_name_replaces_in_place_appends_and_removes(self) -> None:
-        await self.run_change(0, 1, whole())
+        await self.run_change(0, 1, whole_description())
         put = {
             "routes": [route("r3", "/c/"), route("r1", "/z/", source="anew")],
             "services": [{"name": "u", "role": "model", "lines": ["n"]}, {"name": "s", "role": "application"}],
@@ -233,7 +244,7 @@
         self.assertEqual(description["lines"], [{"name": "n", "weights": "1"}])
 
     async def test_lines_keep_their_weights_and_versions_never_fall(self) -> None:
-        await self.run_change(0, 1, whole())
+        await self.run_change(0, 1, whole_description())
 
         async def set_weights(weights: str, rising: bool = True) -> str:
             name_weights = NameWeights(line="m", weights=weights, rising=rising)
@@ -243,7 +254,7 @@
         self.assertEqual([await set_weights(weights) for weights in ("3", "2", "3", "10", "9")], ["done"] * 5)
         self.assertEqual(self.core.fleet.weights["m"]["weights"], "10")
         await self.run_change(1, 2, {"routes": [], "services": []})
-        await self.run_change(2, 3, whole())
+        await self.run_change(2, 3, whole_description())
         self.assertEqual(self.core.fleet.weights["m"]["weights"], "10")
         await set_weights("2", rising=False)
         self.assertEqual(self.core.fleet.weights["m"]["weights"], "2", "an operator can go back to older weights")
@@ -253,11 +264,11 @@
     async def test_a_core_that_does_not_lead_and_knows_no_leader_tells_so(self) -> None:
         raft: Any = self.core.raft
         raft.leads = False
-        self.assertEqual((await self.run_change(0, 1, whole()))[0], "unavailable")
+        self.assertEqual((await self.run_change(0, 1, whole_description()))[0], "unavailable")
         self.assertIsNone(await self.core.read_description())
 
     async def test_nodes_see_routes_in_buckets_and_no_sources(self) -> None:
-        await self.run_change(0, 1, whole())
+        await self.run_change(0, 1, whole_description())
         fleet = self.core.fleet
         delta = fleet.delta_since(0, "")
         assert delta is not None
@@ -265,7 +276,9 @@
         self.assertNotIn(b"source", shown)
         view = View().with_delta(delta)
         assert view is not None
-        self.assertEqual((view.number, view.services["s"].lines, view.tenant_by_hash[KEY + "1"].name), (1, ["m"], "x"))
+        self.assertEqual(
+            (view.description_number, view.services["s"].lines, view.tenant_by_hash[KEY + "1"].name), (1, ["m"], "x")
+        )
         for host, path, expected_name in (
             ("a.example", "/a/b/c", "r2"),
             ("A.Example:8080", "/a/b", "r1"),
@@ -277,7 +290,7 @@
             ("a.example", "/a/b/", "r2"),
             ("a.example", "/A/b/", ""),
         ):
-            matched = view.route_of(host, path)
+            matched = view.find_route(host, path)
             self.assertEqual(matched.name if matched else "", expected_name, (host, path))
         await self.run_change(1, 2, {"put": {"routes": [route("r1", "/z/")]}}, by_name=True)
         partial_delta = fleet.delta_since(view.index, view.hash)
@@ -285,11 +298,11 @@
         self.assertEqual(sum(section.name in ROUTE_SECTIONS for section in partial_delta.section), 1)
         changed = view.with_delta(partial_delta)
         assert changed is not None
-        is_unrouted = [changed.route_of("a.example", path) is None for path in ("/a/", "/z/", "/a/b/")]
+        is_unrouted = [changed.find_route("a.example", path) is None for path in ("/a/", "/z/", "/a/b/")]
         self.assertEqual(is_unrouted, [True, False, False])
         self.assertIs(
-            changed.route_of("a.example", "/a/b/"),
-            view.route_of("a.example", "/a/b/"),
+            changed.find_route("a.example", "/a/b/"),
+            view.find_route("a.example", "/a/b/"),
             "an unchanged route was parsed again",
         )
         restored = FleetState()
@@ -297,7 +310,7 @@
         self.assertEqual((restored.sections, restored.build_snapshot()), (fleet.sections, fleet.build_snapshot()))
 
     async def test_an_older_releases_digest_and_description_are_read(self) -> None:
-        data = {"routes": [route("r1", "/a/", source="one")], "services": whole()["services"]}
+        data = {"routes": [route("r1", "/a/", source="one")], "services": whole_description()["services"]}
         await self.core.execute(Command(apply=ApplyDescription(description=json.dumps(data).encode())))
         fleet = self.core.fleet
         self.assertEqual(fleet.full_description(), {"services": data["services"], "routes": data["routes"]})
@@ -308,7 +321,7 @@
         self.assertEqual((restored.description_revision, restored.description_number, restored.routes), (1, 0, {}))
 
     async def test_a_large_description_is_checked_in_pieces(self) -> None:
-        command = change(0, 1, {"services": whole()["services"]})
+        command = change(0, 1, {"services": whole_description()["services"]})
         for number in range(1_000):
             command.change.route.append(encode_route(route(f"r{number}", f"/{number}/")))
         yield_count = 0
@@ -333,7 +346,7 @@
         return response.code, json.loads(response.body)
 
     def test_a_change_is_made_and_read_back(self) -> None:
-        self.assertEqual(self.call({"number": 4, "base": 0, "description": whole()})[0], 200)
+        self.assertEqual(self.call({"number": 4, "base": 0, "description": whole_description()})[0], 200)
         self.assertEqual(self.call({"number": 5, "base": 4, "put": {"routes": [route("n", "/n/")]}})[0], 200)
         self.assertEqual(self.call({"number": 6, "base": 4, "remove": {"routes": ["n"]}})[0], 409)
         self.assertEqual(self.call({"number": 6, "base": 5, "remove": {"services": ["s"]}})[0], 422)
@@ -406,7 +419,7 @@
         member.roles.become_leader()
         filler = "f" * 100_000
         for number in range(1, 61):
-            command = change(number - 1, number, whole(source=filler + str(number)))
+            command = change(number - 1, number, whole_description(source=filler + str(number)))
             command.change.checked_revision = fleet.description_revision
             proposal = member.propose(command.SerializeToString())
             while not proposal.done():
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -46,7 +46,7 @@
     body = json.dumps({"revision": number, "number": number, "description": {}}).encode()
     view = View(number, {**View().sections, "description": (number, body)})
     weights_records = {line: WeightsRecord(str(version), version) for line, version in weights.items()}
-    view.__dict__.update(weights=weights_records, number=number)
+    view.__dict__.update(weights=weights_records, description_number=number)
     return view
 
 
@@ -93,7 +93,7 @@
         routes = [Route("r", "h", "/a/", [Split("s", 1)], SECOND), Route("p", "h", "/p/", [Split("s", 1)], SECOND)]
         routes[1] = dataclasses.replace(routes[1], public=True)
         view = View()
-        view.__dict__.update(description=Description(routes=routes, tenants=[tenant]), number=3)
+        view.__dict__.update(description=Description(routes=routes, tenants=[tenant]), description_number=3)
         gateway.view_replica.view, gateway.view_replica.has_view, gateway.view_replica.current_at = (
             view,
             True,
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -124,7 +124,7 @@
     def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
         return HTTPHeaders({"Tenant": metadata.tenant, "Last": metadata.last_event_id})
 
-    def read_head(
+    def read_response_head(
         self, request: OpaqueRequest, metadata: ForwardingMetadata, status: int, reason: str, headers: HTTPHeaders
     ) -> ResponseHead:
         verdict = {
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -24,7 +24,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
-from request_dialect import PlatformDialect  # noqa: E402
+from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
 SEAL = "X-Answer-Seal"
 SENT = {"X-Request-Id": "r1", "Authorization": "Token k", "X-Deadline": "800"}
@@ -32,25 +32,27 @@
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
-    return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
+    return PlatformProtocolAdapter().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
 class DialectTest(unittest.TestCase):
     def verdict(self, status: int, headers: dict[str, str]) -> ResponseVerdict:
-        return PlatformDialect().read_head(read(SENT), METADATA, status, "", HTTPHeaders(headers)).verdict
+        return (
+            PlatformProtocolAdapter().read_response_head(read(SENT), METADATA, status, "", HTTPHeaders(headers)).verdict
+        )
 
     def test_no_answer_of_our_own_bears_a_seal(self) -> None:
         """MIXED: a failure with a worker's seal has the status that this worker gave; our own have no seal."""
         for kind in ErrorKind:
             for request in (None, read({**SENT, SEAL: "3e1b.07.5a2.600.0.c9f2a4d1"})):
-                status, headers, body = PlatformDialect().refusal(request, Refusal(kind))
+                status, headers, body = PlatformProtocolAdapter().refusal(request, Refusal(kind))
                 self.assertEqual(status, ERROR_TABLE[kind].status)
                 self.assertNotIn(SEAL, headers, kind)
                 self.assertGreaterEqual(status, 400, kind)
 
     def test_who_is_asked_to_come_back_is_told_when_and_by_which_request(self) -> None:
         for kind in ErrorKind:
-            status, headers, _ = PlatformDialect().refusal(read(SENT), Refusal(kind, "", 250 * MILLI))
+            status, headers, _ = PlatformProtocolAdapter().refusal(read(SENT), Refusal(kind, "", 250 * MILLI))
             self.assertEqual(headers["X-Request-Id"], "r1")
             self.assertEqual(headers.get("Retry-After"), "0.250" if status in (408, 429, 503) else None, kind)
 
@@ -75,10 +77,10 @@
 
     def test_a_worker_gets_neither_key_nor_what_the_caller_says_of_its_tenant(self) -> None:
         request = read({**SENT, "X-Tenant": "other", "X-Urgency": "0", "X-Expect-Version": "9", "Own": "kept"})
-        outgoing = PlatformDialect().outgoing_headers(request, METADATA)
+        outgoing = PlatformProtocolAdapter().outgoing_headers(request, METADATA)
         self.assertEqual((outgoing["X-Tenant"], outgoing["X-Expect-Instance"], outgoing["Own"]), ("t", "i-1", "kept"))
         self.assertEqual({"Authorization", "X-Urgency", "X-Expect-Version"} & set(outgoing), set())
-        without_tenant = PlatformDialect().outgoing_headers(request, ForwardingMetadata(800 * MILLI, "i-1"))
+        without_tenant = PlatformProtocolAdapter().outgoing_headers(request, ForwardingMetadata(800 * MILLI, "i-1"))
         self.assertNotIn("X-Tenant", without_tenant)
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -21,7 +21,7 @@
 Scenario = Callable[[SimFleet], Awaitable[None]]
 
 
-def told_once(fleet: SimFleet) -> None:
+def clear_founders(fleet: SimFleet) -> None:
     """Removes the founders from the startup files: from here on no core is told of them any more."""
     for name in list(fleet.startups):
         fleet.startups[name] = dataclasses.replace(fleet.startups[name], founders=[])
@@ -77,7 +77,7 @@
             await pause(fleet.world, fleet.world.chance.randrange(1_000 * MILLI // len(names)))
         took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names))
         self.assertLess(took_seconds, 2.5, f"{voters_of(fleet)} vote")
-        told_once(fleet)
+        clear_founders(fleet)
         return names
 
     async def apply(self, fleet: SimFleet, mark: str, limit_seconds: float) -> None:
@@ -123,7 +123,7 @@
 
     def test_an_empty_disk_without_founders_never_founds(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
-            told_once(fleet)
+            clear_founders(fleet)
             for name in [n for n in fleet.startups if n.startswith("core-")]:
                 fleet.start(name)
             await pause(fleet.world, 10 * SECOND)
@@ -373,7 +373,7 @@
 class LateTellTest(unittest.TestCase):
     def test_a_command_before_founding_is_told_as_not_run(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
-            told_once(fleet)
+            clear_founders(fleet)
             fleet.start("core-1")
             await pause(fleet.world, SECOND)
             result = await fleet.cores["core-1"].execute(Command(transaction=b"a"))
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -37,7 +37,7 @@
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 UNFRAMED_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 # More than the kernel's buffers at both ends can hold.
 LONG_BODY = bytes(range(256)) * (48 * 1024)
 DEADLINE_MICROS = 400 * MILLI
@@ -321,7 +321,7 @@
                 await writer.drain()
                 await asyncio.sleep(pause)
             if is_reset:
-                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -357,7 +357,7 @@
 
     async def test_no_way_of_a_worker_to_fail_leaves_a_kept_connection_without_an_answer(self) -> None:
         async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.close()
 
         def answer(data: bytes) -> Serve:
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -29,18 +29,18 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from config_translation import _ItemReader, _read_tenant  # noqa: E402
-from request_dialect import PlatformDialect  # noqa: E402
+from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
 SENT = {"X-Request-Id": "r1", "X-Model": "m", "X-Token-Count": "30,5", "X-Prompt-Prefix": "a1:20,b2:10"}
 METADATA = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
-    return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
+    return PlatformProtocolAdapter().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
 def outgoing(headers: dict[str, str], metadata: ForwardingMetadata = METADATA) -> HTTPHeaders:
-    return PlatformDialect().outgoing_headers(read(headers), metadata)
+    return PlatformProtocolAdapter().outgoing_headers(read(headers), metadata)
 
 
 class DialectTest(unittest.TestCase):
@@ -59,7 +59,7 @@
     def test_the_version_of_an_answer_is_a_whole_number_of_the_requests_model(self) -> None:
         def versions(text: str, sent: dict[str, str]) -> dict[str, int]:
             headers = HTTPHeaders({"X-Request-Id": "r1", "X-Weight-Versions": text})
-            return dict(PlatformDialect().read_head(read(sent), METADATA, 200, "", headers).versions)
+            return dict(PlatformProtocolAdapter().read_response_head(read(sent), METADATA, 200, "", headers).versions)
 
         self.assertEqual(versions("7", SENT), {"m": 7})
         self.assertEqual(versions(" 12 ", SENT), {"m": 12})
@@ -70,11 +70,13 @@
     def test_another_worker_at_an_address_tells_no_version_of_the_one_that_was_meant(self) -> None:
         for instance, versions in (("i-1", {"m": 7}), ("i-2", {})):
             headers = HTTPHeaders({"X-Weight-Versions": "7", "X-Instance": instance})
-            self.assertEqual(PlatformDialect().read_head(read(SENT), METADATA, 421, "", headers).versions, versions)
+            self.assertEqual(
+                PlatformProtocolAdapter().read_response_head(read(SENT), METADATA, 421, "", headers).versions, versions
+            )
 
     def test_no_deadline_of_a_client_is_an_exception_or_counts_as_none(self) -> None:
         for text in ("inf", "-inf", "nan", "1e400", "soon"):
-            result = PlatformDialect().read("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
+            result = PlatformProtocolAdapter().read("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
             self.assertTrue(result.is_err(), text)
             self.assertIs(result.unwrap_err().kind, ErrorKind.MALFORMED, text)
         for text in ("0", "0.0001", "-5"):
--- a/tests/test_platform_workers.py
+++ b/tests/test_platform_workers.py
@@ -109,7 +109,7 @@
 
     async def send_order(self, allowed: bool = True) -> Any:
         order = LoadOrder("i-7f3a91c2", "daka510000", 2, "node-7", 41)
-        return await self.client.order_load(self.address, order, lambda: allowed, LIMIT_MICROS)
+        return await self.client.send_load_order(self.address, order, lambda: allowed, LIMIT_MICROS)
 
     async def test_the_list_is_read_over_all_its_pages(self) -> None:
         second = {**ENTRY, "Id": "i-2", "State": "draining", "Models": [], "ColdLeftMs": 0}
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -36,7 +36,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
-from request_dialect import PlatformDialect  # noqa: E402
+from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
 PATIENCE_SECONDS = 5
 LARGE_BODY = b"x" * (8 * 1024 * 1024)
@@ -231,7 +231,7 @@
             self.loads,
             self.pool,
             self.budget,
-            PlatformDialect(),
+            PlatformProtocolAdapter(),
             lambda: self.nodes,
             lambda worker, head: None,
         )
@@ -293,15 +293,16 @@
 
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
         """Statuses that promise that the request did not run, and a success, count only with the id of this request."""
-        request = PlatformDialect().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
+        request = PlatformProtocolAdapter().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
         metadata = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
             headers = HTTPHeaders({"X-Request-Id": "one", **more})
-            head = PlatformDialect().read_head(request, metadata, status, "", headers)
+            head = PlatformProtocolAdapter().read_response_head(request, metadata, status, "", headers)
             self.assertIs(head.verdict, ResponseVerdict.UNRECOGNIZED, status)
         own = HTTPHeaders({"X-Request-Id": "two", "X-Instance": "w2"})
         self.assertIs(
-            PlatformDialect().read_head(request, metadata, 421, "", own).verdict, ResponseVerdict.OTHER_WORKER
+            PlatformProtocolAdapter().read_response_head(request, metadata, 421, "", own).verdict,
+            ResponseVerdict.OTHER_WORKER,
         )
 
     async def test_what_follows_a_whole_answer_ends_its_connection_whenever_it_comes(self) -> None:
@@ -495,7 +496,9 @@
                 control = PlatformWorkerClient(fixture.workers[0].address)
                 self.addCleanup(control.close)
                 order = LoadOrder("w0", "line", 2, "n", 7)
-                order_result = await control.order_load(fixture.workers[0].address, order, lambda: True, 200 * MILLI)
+                order_result = await control.send_load_order(
+                    fixture.workers[0].address, order, lambda: True, 200 * MILLI
+                )
                 self.assertIsInstance(order_result, Err, step)
                 self.assertEqual(len(fixture.seen()), 1, step)
 
@@ -505,7 +508,7 @@
             control = PlatformWorkerClient(fixture.workers[0].address)
             self.addCleanup(control.close)
             order = LoadOrder("w0", "line", 2, "n", 7)
-            order_result = await control.order_load(fixture.workers[0].address, order, lambda: True, 100 * MILLI)
+            order_result = await control.send_load_order(fixture.workers[0].address, order, lambda: True, 100 * MILLI)
             self.assertIsInstance(order_result, Err)
             await fixture.until(lambda: fixture.workers[0].open_now == 0)
             self.assertEqual(fixture.workers[0].resets, 1)
@@ -516,7 +519,7 @@
             self.addCleanup(control.close)
             order = LoadOrder("w0", "line", 2, "n", 7)
             for _ in range(2):
-                order_result = await control.order_load(fixture.workers[0].address, order, lambda: True, SECOND)
+                order_result = await control.send_load_order(fixture.workers[0].address, order, lambda: True, SECOND)
                 self.assertEqual(order_result, Ok(OrderOutcome.TAKEN))
             self.assertEqual(fixture.workers[0].connections, 2)
 
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -31,7 +31,7 @@
 from tests.test_right_answer_once import FirstUntriedSelector, reset
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from request_dialect import PlatformDialect  # noqa: E402
+from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
 PATIENCE_SECONDS = 5.0
 ROUTE = Route("r", "h", "/a/", [Split("s", 1)], 5 * SECOND, tries=2, public=True, stream=True)
@@ -174,7 +174,7 @@
     async def __aenter__(self) -> StreamFixture:
         for worker in self.workers:
             await worker.start()
-        runtime, adapter = self.runtime, PlatformDialect()
+        runtime, adapter = self.runtime, PlatformProtocolAdapter()
         self.pool = UpstreamPool(runtime)
         budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
         self.proxy = RequestProxy(
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,7 @@
 from pearhead.runtime.clock import SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
@@ -39,7 +39,7 @@
                 writer.write(answer.removesuffix(b"<close>").removesuffix(b"<reset>"))
                 await writer.drain()
                 if answer.endswith(b"<reset>"):
-                    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+                    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 if answer.endswith((b"<close>", b"<reset>")):
                     break
         except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -214,7 +214,7 @@
             )
         )
 
-    async def order_load(
+    async def send_load_order(
         self, address: str, order: LoadOrder, may_begin: Callable[[], bool], limit_micros: int
     ) -> Result[OrderOutcome, str]:
         await sleep_for(self.machine, MILLI)
