--- a/src/pearhead/config/description.py
+++ b/src/pearhead/config/description.py
@@ -164,9 +164,9 @@
 
 
 async def read_description_in_chunks(
-    description_bytes: bytes, pause: Callable[[], Awaitable[None]]
+    description_bytes: bytes, yield_to_loop: Callable[[], Awaitable[None]]
 ) -> Result[Description, list[str]]:
-    """Like `read_description`, but in chunks with a `pause` after each, so that a core keeps serving meanwhile."""
+    """Like `read_description`, but awaits `yield_to_loop` after each chunk, so that a core keeps serving."""
     parsed = _parse(description_bytes)
     if isinstance(parsed, Err):
         return parsed
@@ -179,7 +179,7 @@
         chunk = parse_dataclass(_EntryChunk, {"entries": all_entries[start : start + CHUNK_SIZE]})
         if isinstance(chunk, Err):
             errors.extend(_shift_entry_index(error, start) for error in chunk.err_value)
-        await pause()
+        await yield_to_loop()
     remaining = parse_dataclass(Description, {**data, "entries": []})
     errors.extend(remaining.err_value if isinstance(remaining, Err) else [])
     return Err(errors) if errors else _with_consistency_errors(Ok(description_from_checked_data(data)))
--- a/src/pearhead/consensus/election_timer.py
+++ b/src/pearhead/consensus/election_timer.py
@@ -25,7 +25,7 @@
         self.clock = clock
         self.random_source = random_source
         self.deadline_micros = 0
-        self.heard_leader_micros = -ELECTION_TIMEOUT_MICROS
+        self.last_leader_contact_micros = -ELECTION_TIMEOUT_MICROS
 
     def reset(self) -> None:
         """Sets the deadline to a full randomized election timeout from now."""
@@ -46,7 +46,7 @@
 
     def record_leader_contact(self) -> None:
         """Records a message from the leader and resets the deadline."""
-        self.heard_leader_micros = self.clock.now()
+        self.last_leader_contact_micros = self.clock.now()
         self.reset()
 
     def is_expired(self) -> bool:
@@ -55,4 +55,4 @@
 
     def is_leader_present(self) -> bool:
         """Whether a leader was heard so recently that no other member should be elected."""
-        return self.clock.now() - self.heard_leader_micros < LEADER_PRESENT_MICROS
+        return self.clock.now() - self.last_leader_contact_micros < LEADER_PRESENT_MICROS
--- a/src/pearhead/consensus/follower.py
+++ b/src/pearhead/consensus/follower.py
@@ -17,10 +17,10 @@
     Times are in microseconds.
     """
 
-    def __init__(self, next_index: int, heard_micros: int) -> None:
+    def __init__(self, next_index: int, last_contact_micros: int) -> None:
         self.next_index = next_index
         self.match_index = 0
-        self.heard_micros = heard_micros
+        self.last_contact_micros = last_contact_micros
         self.has_answered = False
         self.acknowledged_round = 0
         self.sent_micros = -SECOND
@@ -53,7 +53,7 @@
 
     def record_contact(self, now_micros: int, round_number: int) -> None:
         """Records any response in the leader's term, to a message of this round."""
-        self.heard_micros = now_micros
+        self.last_contact_micros = now_micros
         self.has_answered = True
         self.acknowledged_round = max(self.acknowledged_round, round_number)
 
--- a/src/pearhead/consensus/raft.py
+++ b/src/pearhead/consensus/raft.py
@@ -81,7 +81,7 @@
         self.roles = RoleChanges(self.state, self.writer, self.timer)
         self.elections = Elections(self.state, self.writer, self.timer, self.roles, send)
         self.transfer = LeadershipTransfer(self.state, clock, send)
-        self.reads = ReadConfirmations(self.state)
+        self.read_confirmations = ReadConfirmations(self.state)
         self.proposals = PendingProposals()
         self.snapshots = SnapshotStore(self.state, machine, wal, self.writer, task_group, snapshot_limits)
         self.applier = Applier(self.state, machine, self.proposals, self.snapshots)
@@ -92,7 +92,7 @@
             self.writer,
             self.roles,
             self.applier,
-            self.reads,
+            self.read_confirmations,
             self.transfer,
             SnapshotSender(self.state, self.snapshots, clock, send),
             clock,
@@ -103,7 +103,11 @@
 
     def _connect_listeners(self) -> None:
         self.roles.leadership_listeners += [self.transfer.cancel, self.replication.begin_term]
-        self.roles.step_down_listeners += [self.transfer.cancel, self.reads.fail_all, self.proposals.fail_all]
+        self.roles.step_down_listeners += [
+            self.transfer.cancel,
+            self.read_confirmations.fail_all,
+            self.proposals.fail_all,
+        ]
         self.applier.membership_listeners.append(self.membership_changes.handle_committed_members)
         self.applier.commit_listeners.append(self.membership_changes.end_joint_change)
 
@@ -186,9 +190,9 @@
         return self.writer.disk_full
 
     @property
-    def heard_leader_micros(self) -> int:
+    def last_leader_contact_micros(self) -> int:
         """The time of the last message from a leader, in microseconds of the member's clock."""
-        return self.timer.heard_leader_micros
+        return self.timer.last_leader_contact_micros
 
     @property
     def is_installing_snapshot(self) -> bool:
@@ -259,9 +263,9 @@
         """
         if not self.is_settled():
             return False
-        confirmation = self.reads.begin()
+        confirmation = self.read_confirmations.begin()
         self.replication.broadcast()
-        self.reads.resolve()
+        self.read_confirmations.resolve()
         return await confirmation
 
     def transfer_leadership(self) -> bool:
--- a/src/pearhead/consensus/replication.py
+++ b/src/pearhead/consensus/replication.py
@@ -34,7 +34,7 @@
         writer: LogWriter,
         roles: RoleChanges,
         applier: Applier,
-        reads: ReadConfirmations,
+        read_confirmations: ReadConfirmations,
         transfer: LeadershipTransfer,
         snapshot_sender: SnapshotSender,
         clock: Clock,
@@ -44,7 +44,7 @@
         self.writer = writer
         self.roles = roles
         self.applier = applier
-        self.reads = reads
+        self.read_confirmations = read_confirmations
         self.transfer = transfer
         self.snapshot_sender = snapshot_sender
         self.clock = clock
@@ -182,7 +182,7 @@
         if follower is None:
             return
         self._record_append_result(follower, result)
-        self.reads.resolve()
+        self.read_confirmations.resolve()
         if result.waiting:
             return
         if follower.snapshot is not None:
@@ -216,7 +216,7 @@
         if follower is None:
             return
         is_next_due = self.snapshot_sender.handle_chunk_result(follower, result)
-        self.reads.resolve()
+        self.read_confirmations.resolve()
         if is_next_due:
             self.send_append(identity)
 
@@ -241,4 +241,4 @@
     def _is_reachable(self, identity: str) -> bool:
         if identity == self.state.identity:
             return True
-        return self.clock.now() - self.state.followers[identity].heard_micros < CONTACT_TIMEOUT_MICROS
+        return self.clock.now() - self.state.followers[identity].last_contact_micros < CONTACT_TIMEOUT_MICROS
--- a/src/pearhead/consensus/snapshot_sender.py
+++ b/src/pearhead/consensus/snapshot_sender.py
@@ -27,7 +27,7 @@
 
     def send_chunk(self, follower: Follower, address: str) -> None:
         """Sends the next chunk; with the first one, the snapshot is built that all later chunks are taken from."""
-        snapshot = follower.snapshot if follower.snapshot is not None else self._begin(follower)
+        snapshot = follower.snapshot if follower.snapshot is not None else self._begin_transfer(follower)
         offset = follower.snapshot_offset or 0
         self.state.round_number += 1
         chunk = snapshot.state[offset : offset + CHUNK_BYTES]
@@ -46,7 +46,7 @@
         )
         self.send(address, "digest_ask", ask)
 
-    def _begin(self, follower: Follower) -> DigestFile:
+    def _begin_transfer(self, follower: Follower) -> DigestFile:
         snapshot = self.store.build()
         follower.snapshot = snapshot
         follower.snapshot_checksum = zlib.crc32(snapshot.state)
--- a/src/pearhead/consensus/wal.py
+++ b/src/pearhead/consensus/wal.py
@@ -151,7 +151,7 @@
         Raises OSError if the disk fails. After that, the next write first truncates what was written of the batch.
         """
         async with self.write_lock:
-            await self._cut_dirty_tail()
+            await self._truncate_dirty_tail()
             if self.segment_number == 0 or self.segment_size > MAXIMUM_SEGMENT_BYTES:
                 await self._open_segment([])
             written_records = self.deferred_records + records
@@ -173,7 +173,7 @@
         """
         async with self.write_lock:
             # A torn tail is allowed in the last segment only, and a new segment is opened below.
-            await self._cut_dirty_tail()
+            await self._truncate_dirty_tail()
             await self._write_snapshot_file(snapshot)
             await self._open_segment([])
             for segment_number in sorted(self.first_indexes):
@@ -193,7 +193,7 @@
         """
         async with self.write_lock:
             # A torn tail is allowed in the last segment only, and a new segment is opened below.
-            await self._cut_dirty_tail()
+            await self._truncate_dirty_tail()
             await self._write_snapshot_file(snapshot)
             await self._open_segment([LogRecord(cut_from=1), *(LogRecord(entry=entry) for entry in kept_entries)])
             self.next_index = snapshot.index + 1 + len(kept_entries)
@@ -201,7 +201,7 @@
                 await self._remove_segment(segment_number)
             await self._remove_old_snapshots()
 
-    async def _cut_dirty_tail(self) -> None:
+    async def _truncate_dirty_tail(self) -> None:
         if self.has_dirty_tail:
             await self.disk.truncate(segment_name(self.segment_number), self.segment_size)
             self.has_dirty_tail = False
--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -99,7 +99,7 @@
         self.task_group = BackgroundTaskGroup("control_plane")
         self.fleet = FleetState()
         self.hold_last_seen: dict[str, tuple[int, int]] = {}
-        self.leader_since = 0
+        self.leader_since_micros = 0
         self.identity = ""
         self.founders = startup.founders
         self.publish_event: Callable[[str, int, dict[str, Any]], None] = lambda type_name, index, data: None
@@ -417,7 +417,7 @@
             if held["fence"] == command.hold.renew_fence:
                 self.hold_last_seen[worker] = (held["fence"], now_micros)
             return
-        unrenewed_micros = now_micros - max(seen_micros, self.leader_since)
+        unrenewed_micros = now_micros - max(seen_micros, self.leader_since_micros)
         if seen_fence == held["fence"] and unrenewed_micros > self.startup.holdMicros:
             command.hold.expired = True
             command.hold.renew_fence = held["fence"]
@@ -438,7 +438,7 @@
         self.publish_event("members.changed", index, {"voters": voters})
 
     def _on_leadership_change(self, leads: bool) -> None:
-        self.leader_since = self.clock.now()
+        self.leader_since_micros = self.clock.now()
         self.membership.on_leadership_change(leads)
         self.view_service.on_leadership_change(leads)
 
--- a/src/pearhead/control_plane/event_publisher.py
+++ b/src/pearhead/control_plane/event_publisher.py
@@ -49,17 +49,17 @@
 
     def __init__(self, post: Post) -> None:
         self.post = post
-        self.waiting: deque[CloudEvent] = deque(maxlen=QUEUE_LIMIT)
+        self.queued_events: deque[CloudEvent] = deque(maxlen=QUEUE_LIMIT)
         self.wake = asyncio.Event()
         self.delivered_count = 0
         self.lost_count = 0
 
     def publish(self, type_name: str, index: int, data: dict[str, Any]) -> None:
         """Queues an event; `index` is the log index of the change and makes the event's id unique."""
-        if len(self.waiting) == QUEUE_LIMIT:
+        if len(self.queued_events) == QUEUE_LIMIT:
             self.lost_count += 1
         attributes = {"id": f"{type_name}-{index}", "type": f"pearhead.{type_name}", "source": SOURCE}
-        self.waiting.append(CloudEvent({**attributes, "datacontenttype": "application/json"}, data))
+        self.queued_events.append(CloudEvent({**attributes, "datacontenttype": "application/json"}, data))
         self.wake.set()
 
     async def run(self) -> None:
@@ -67,8 +67,8 @@
         while True:
             await self.wake.wait()
             self.wake.clear()
-            while self.waiting:
-                message = to_structured_event(self.waiting.popleft())
+            while self.queued_events:
+                message = to_structured_event(self.queued_events.popleft())
                 is_delivered = await self.post(dict(message.headers), message.body)
                 self.delivered_count += is_delivered
                 self.lost_count += not is_delivered
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -78,10 +78,10 @@
         self.directory = directory
         self.clock = clock
         self.fail = fail
-        self.leader_since = 0
+        self.leader_since_micros = 0
         self.caught_up_index = NEVER_CAUGHT_UP_INDEX
         self.is_leaving = False
-        self.leaving_until: dict[str, int] = {}
+        self.excluded_until_micros: dict[str, int] = {}
 
     # ---- bootstrap and joining ---------------------------------------------------------------------
 
@@ -106,8 +106,8 @@
         """
         if self.raft.is_leader():
             return True
-        was_leader_heard = self.clock.now() - self.raft.heard_leader_micros <= MAX_LEADER_SILENCE_MICROS
-        return was_leader_heard and self.identity in self.raft.membership().addresses
+        has_recent_contact = self.clock.now() - self.raft.last_leader_contact_micros <= MAX_LEADER_SILENCE_MICROS
+        return has_recent_contact and self.identity in self.raft.membership().addresses
 
     async def _bootstrap_cluster(self) -> None:
         try:
@@ -184,7 +184,7 @@
         """Whether other empty cores may still be joining: acknowledged commands must reach them as well."""
         if len(self.founders) == 1:
             return False
-        leading_micros = self.clock.now() - self.leader_since
+        leading_micros = self.clock.now() - self.leader_since_micros
         voters = self.raft.voters()
         has_known_nonvoter = any(record.identity not in voters for record in self.directory.members("control_plane"))
         is_awaiting_members = has_known_nonvoter and len(voters) < self.target_voter_count()
@@ -194,7 +194,7 @@
 
     def on_leadership_change(self, leads: bool) -> None:
         """Discards what this core knew about the progress of other members under an earlier leadership."""
-        self.leader_since = self.clock.now()
+        self.leader_since_micros = self.clock.now()
         self.caught_up_index = NEVER_CAUGHT_UP_INDEX
 
     # ---- leaving ---------------------------------------------------------------------------------------
@@ -222,7 +222,7 @@
 
     async def _release_vote(self, identity: str) -> bool:
         end_micros = self.clock.now() + LEAVE_TIMEOUT_MICROS
-        self.leaving_until[identity] = self.clock.now() + VOTER_EXCLUSION_MICROS
+        self.excluded_until_micros[identity] = self.clock.now() + VOTER_EXCLUSION_MICROS
         while self.raft.is_leader() and self.clock.now() < end_micros:
             if identity not in self.raft.voters():
                 return True
@@ -255,7 +255,7 @@
             return False
         voters = [m for m in members.member if m.voter]
         target_count = self.target_voter_count()
-        silent_voters = [m.identity for m in voters if self._micros_since_heard(m.identity) > EXCHANGE_MICROS]
+        silent_voters = [m.identity for m in voters if self._micros_since_contact(m.identity) > EXCHANGE_MICROS]
         if len(voters) > target_count:
             excess_voter = silent_voters[0] if silent_voters else self._most_dispensable_voter(voters)
             return await self._set_votes({excess_voter: False})
@@ -275,7 +275,7 @@
         limit_micros = MEMBER_REMOVAL_FACTOR * self.startup.lostAfterMicros
         for member in self.raft.members().member:
             is_removable = not member.voter or len(voters) > MIN_VOTERS
-            if is_removable and self._micros_since_heard(member.identity) > limit_micros:
+            if is_removable and self._micros_since_contact(member.identity) > limit_micros:
                 LOGGER.info("control_plane: Removes an unresponsive core. core=%s", member.identity[:8])
                 return await self._submit_membership([m for m in self.raft.members().member if m != member])
         return False
@@ -310,7 +310,7 @@
 
     def _may_vote(self, member: Member) -> bool:
         """Whether a member may get a vote: not soon after it asked to leave, as it is about to stop."""
-        return self.leaving_until.get(member.identity, 0) <= self.clock.now()
+        return self.excluded_until_micros.get(member.identity, 0) <= self.clock.now()
 
     def _overrepresented_voter(self, voters: list[Member], replacement_voter: str) -> str:
         """A voter whose zone has at least two more voters than that of the replacement; empty if there is none."""
@@ -324,10 +324,10 @@
         voters_by_zone = Counter(m.zone for m in voters)
         return max(voters, key=lambda m: (m.identity != self.identity, voters_by_zone[m.zone], m.address)).identity
 
-    def _micros_since_heard(self, identity: str) -> int:
+    def _micros_since_contact(self, identity: str) -> int:
         """Microseconds since a member was last heard, or since this core became the leader if that is less."""
         follower = self.raft.followers.get(identity)
-        return self.clock.now() - follower.heard_micros if follower is not None else 0
+        return self.clock.now() - follower.last_contact_micros if follower is not None else 0
 
     def _is_caught_up(self, identity: str) -> bool:
         """Whether a member answers and has all entries that were committed when the last reconciliation began."""
@@ -339,4 +339,4 @@
         follower = self.raft.followers.get(identity)
         if follower is None or not follower.has_answered:
             return False
-        return self.clock.now() - follower.heard_micros < RESPONSIVE_WITHIN_MICROS
+        return self.clock.now() - follower.last_contact_micros < RESPONSIVE_WITHIN_MICROS
--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -45,7 +45,7 @@
     when this node sends its own table to other listeners, 0 if it is not going to.
     """
 
-    used_micros: int
+    last_used_micros: int
     epoch: int = 0
     index: int = 0
     serial: int = 0
@@ -172,7 +172,7 @@
     def _refresh(self) -> None:
         now_micros = self.clock.now()
         for (owner, line), state in list(self.volumes.items()):
-            if now_micros - state.used_micros > VOLUME_IDLE_MICROS:
+            if now_micros - state.last_used_micros > VOLUME_IDLE_MICROS:
                 del self.volumes[owner, line]
                 continue
             for part, (_, since_micros) in list(state.changing.items()):
@@ -197,7 +197,7 @@
         if state is None:
             state = self.volumes[owner, line] = VolumeState(self.clock.now())
             self._join_channel(volume_channel(owner, line))
-        state.used_micros = self.clock.now()
+        state.last_used_micros = self.clock.now()
         return state
 
     def _join_channel(self, channel_number: int) -> None:
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -252,7 +252,7 @@
             table_count += 1
         for name in names:
             # Marks the volumes as used: the listener drops a volume that is idle for two minutes.
-            listener.volumes[name, "line"].used_micros = node_net.now_micros
+            listener.volumes[name, "line"].last_used_micros = node_net.now_micros
         for note in core_net.notes:
             start = time.process_time()
             listener._handle_purge_note("core", "10.0.0.2:7000", note)
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -161,7 +161,7 @@
     def send_append(self: LeaderReplication, follower_identity: str, is_heartbeat: bool = False) -> None:
         follower = self.state.followers[follower_identity]
         now_micros = self.clock.now()
-        is_silent = now_micros - follower.heard_micros > SECOND
+        is_silent = now_micros - follower.last_contact_micros > SECOND
         if not is_silent or now_micros - follower.sent_micros > RARE_SEND_INTERVAL_MICROS:
             real_send_append(self, follower_identity, is_heartbeat)
 
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -440,7 +440,7 @@
                 follower = core.raft.followers.get(member.identity)
                 is_address_taken = member.voter and member.address == ask.address and member.identity != identity
                 if is_address_taken and follower is not None:
-                    if core.clock.now() - follower.heard_micros < core.startup.lostAfterMicros:
+                    if core.clock.now() - follower.last_contact_micros < core.startup.lostAfterMicros:
                         return JoinResult()
             return await real_make_join_result(identity, address, ask)
 
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -148,7 +148,7 @@
 
     async def test_who_led_lately_or_is_followed_is_not_disturbed_by_one_that_was_let_go(self) -> None:
         voter = SingleMember("a", "abc", epoch=5, log_epochs=[5])
-        voter.raft.timer.heard_leader_micros = voter.raft.clock.now()
+        voter.raft.timer.last_leader_contact_micros = voter.raft.clock.now()
         for is_trial in (True, False):
             voter.raft.take_vote_ask("x", "x:1", VoteAsk(epoch=60, last_index=9, last_epoch=5, trial=is_trial))
             self.assertEqual((voter.sent_messages[-1][2].granted, voter.raft.term), (False, 5))
--- a/tests/test_control_plane_events.py
+++ b/tests/test_control_plane_events.py
@@ -21,7 +21,7 @@
             for index in range(QUEUE_LIMIT + 5):
                 publisher.publish("weights.named", index, {"line": "l"})
             run_task = asyncio.ensure_future(publisher.run())
-            while publisher.waiting:
+            while publisher.queued_events:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
             run_task.cancel()
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -301,7 +301,7 @@
                     node.core_client.is_cut_off = action == "cut"
                 elif action == "lead":
                     # A new leader knows the fences from its log, but not when they were granted (§7.2).
-                    fleet.core.leader_since = fleet.world.now()
+                    fleet.core.leader_since_micros = fleet.world.now()
                     fleet.core.hold_last_seen = {
                         w: (h["fence"], fleet.world.now()) for w, h in fleet.core.fleet.holds.items()
                     }
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -245,7 +245,7 @@
         self.fleet = FleetState()
         self.index = 0
         self.hold_last_seen: dict[str, tuple[int, int]] = {}
-        self.leader_since = 0
+        self.leader_since_micros = 0
         self.startup = SimpleNamespace(holdMicros=HOLD_MICROS)
         self.clock = world
         self.commands: list[tuple[int, str]] = []
