--- a/src/pearhead/consensus/raft.py
+++ b/src/pearhead/consensus/raft.py
@@ -74,14 +74,14 @@
         self.clock = clock
         self.task_group = task_group
         # The time of the last tick. If it is long ago, the process was suspended.
-        self.ticked_micros = clock.now()
+        self.last_tick_micros = clock.now()
         self.state = RaftState(identity)
         self.writer = LogWriter(self.state, wal, clock, fail)
         self.timer = ElectionTimer(clock, random_source)
         self.roles = RoleChanges(self.state, self.writer, self.timer)
         self.elections = Elections(self.state, self.writer, self.timer, self.roles, send)
         self.transfer = LeadershipTransfer(self.state, clock, send)
-        self.reads = ReadConfirmations(self.state)
+        self.read_confirmations = ReadConfirmations(self.state)
         self.proposals = PendingProposals()
         self.snapshots = SnapshotStore(self.state, machine, wal, self.writer, task_group, snapshot_limits)
         self.applier = Applier(self.state, machine, self.proposals, self.snapshots)
@@ -92,7 +92,7 @@
             self.writer,
             self.roles,
             self.applier,
-            self.reads,
+            self.read_confirmations,
             self.transfer,
             SnapshotSender(self.state, self.snapshots, clock, send),
             clock,
@@ -103,7 +103,11 @@
 
     def _connect_listeners(self) -> None:
         self.roles.leadership_listeners += [self.transfer.cancel, self.replication.begin_term]
-        self.roles.step_down_listeners += [self.transfer.cancel, self.reads.fail_all, self.proposals.fail_all]
+        self.roles.step_down_listeners += [
+            self.transfer.cancel,
+            self.read_confirmations.fail_all,
+            self.proposals.fail_all,
+        ]
         self.applier.membership_listeners.append(self.membership_changes.handle_committed_members)
         self.applier.commit_listeners.append(self.membership_changes.end_joint_change)
 
@@ -113,8 +117,8 @@
         """Restores term, vote, snapshot and log from disk; raises WalCorruptError if the data is damaged."""
         recovered = await self.wal.recover()
         self.state.term, self.state.voted_for = recovered.mark.epoch, recovered.mark.voted_for
-        if recovered.digest is not None:
-            self.snapshots.load(recovered.digest)
+        if recovered.snapshot is not None:
+            self.snapshots.load(recovered.snapshot)
         self.log.replace_entries(recovered.entries)
 
     async def bootstrap(self, own_address: str, wanted: int = 1, zone: str = "") -> None:
@@ -186,9 +190,9 @@
         return self.writer.disk_full
 
     @property
-    def heard_leader_micros(self) -> int:
+    def last_leader_contact_micros(self) -> int:
         """The time of the last message from a leader, in microseconds of the member's clock."""
-        return self.timer.heard_leader_micros
+        return self.timer.last_leader_contact_micros
 
     @property
     def is_installing_snapshot(self) -> bool:
@@ -227,7 +231,7 @@
         """The address of the leader; empty if none is known."""
         return self.membership().addresses.get(self.state.leader_identity, "")
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether this member leads and has committed an entry of its own term.
 
         Only then may it confirm reads and change the membership.
@@ -252,16 +256,16 @@
         """Changes the members to these; returns once the whole change is applied, see MembershipChanges.change."""
         return await self.membership_changes.change(changed)
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Confirms that this member still leads: True once a majority answered messages sent after this call (§4.1).
 
         False if this member does not lead, has not committed an entry of its own term yet, or loses leadership.
         """
-        if not self.settled():
+        if not self.is_settled():
             return False
-        confirmation = self.reads.begin()
+        confirmation = self.read_confirmations.begin()
         self.replication.broadcast()
-        self.reads.resolve()
+        self.read_confirmations.resolve()
         return await confirmation
 
     def transfer_leadership(self) -> bool:
@@ -304,7 +308,7 @@
         while True:
             await sleep_for(self.clock, TICK_MICROS)
             self.tick()
-            self.ticked_micros = self.clock.now()
+            self.last_tick_micros = self.clock.now()
 
     def tick(self) -> None:
         """Runs what is due by time: the duties of a leader, or an election after a timeout."""
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -83,20 +83,20 @@
 
     A member that started from a snapshot recognizes no repeat of what was applied before it.
     """
-    real_load_digest = FleetState.load_digest
+    real_load_snapshot = FleetState.load_snapshot
 
-    def load_digest(self: FleetState, digest_bytes: bytes) -> None:
-        real_load_digest(self, digest_bytes)
-        self.taken = OrderedDict()
+    def load_snapshot(self: FleetState, snapshot_bytes: bytes) -> None:
+        real_load_snapshot(self, snapshot_bytes)
+        self.retained_changes = OrderedDict()
 
-    FleetState.load_digest = load_digest  # type: ignore[method-assign]
+    FleetState.load_snapshot = load_snapshot  # type: ignore[method-assign]
 
 
 @mutation("leader-cut-off", "orders")
 def description_read_unconfirmed(fleet: SimFleet) -> None:
     """A leader that lost its followers still answers reads of the description, from its own stale state."""
 
-    async def confirm() -> bool:
+    async def confirm_leadership() -> bool:
         return True
 
     def change(core: CoreProcess) -> None:
@@ -104,7 +104,7 @@
 
         async def start() -> None:
             await real_start()
-            core.raft.confirm = confirm  # type: ignore[method-assign]
+            core.raft.confirm_leadership = confirm_leadership  # type: ignore[method-assign]
 
         core.start = start  # type: ignore[method-assign]
 
@@ -161,7 +161,7 @@
     def send_append(self: LeaderReplication, follower_identity: str, is_heartbeat: bool = False) -> None:
         follower = self.state.followers[follower_identity]
         now_micros = self.clock.now()
-        is_silent = now_micros - follower.heard_micros > SECOND
+        is_silent = now_micros - follower.last_contact_micros > SECOND
         if not is_silent or now_micros - follower.sent_micros > RARE_SEND_INTERVAL_MICROS:
             real_send_append(self, follower_identity, is_heartbeat)
 
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -108,7 +108,7 @@
 @mutation("calm", "owners")
 def tenants_shared(fleet: SimFleet) -> None:
     """All tenants share one cache, whatever group they are in."""
-    vars(job_scheduler)["owner_of"] = lambda tenant: "group:all"
+    vars(job_scheduler)["cache_owner"] = lambda tenant: "group:all"
 
 
 @mutation("node-cut-off-from-cores", "force")
@@ -234,14 +234,14 @@
     """A leader answers reads without having a majority confirm that it still leads."""
 
     def change(core: CoreProcess) -> None:
-        async def confirm() -> bool:
+        async def confirm_leadership() -> bool:
             return True
 
         real_start = core.start
 
         async def start() -> None:
             await real_start()
-            core.raft.confirm = confirm  # type: ignore[method-assign]
+            core.raft.confirm_leadership = confirm_leadership  # type: ignore[method-assign]
 
         core.start = start  # type: ignore[method-assign]
 
@@ -440,7 +440,7 @@
                 follower = core.raft.followers.get(member.identity)
                 is_address_taken = member.voter and member.address == ask.address and member.identity != identity
                 if is_address_taken and follower is not None:
-                    if core.clock.now() - follower.heard_micros < core.startup.lostAfterMicros:
+                    if core.clock.now() - follower.last_contact_micros < core.startup.lostAfterMicros:
                         return JoinResult()
             return await real_make_join_result(identity, address, ask)
 
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -214,7 +214,7 @@
             )
         )
 
-    async def order_load(
+    async def send_load_order(
         self, address: str, order: LoadOrder, may_begin: Callable[[], bool], limit_micros: int
     ) -> Result[OrderOutcome, str]:
         await sleep_for(self.machine, MILLI)
@@ -245,7 +245,7 @@
         self.fleet = FleetState()
         self.index = 0
         self.hold_last_seen: dict[str, tuple[int, int]] = {}
-        self.leader_since = 0
+        self.leader_since_micros = 0
         self.startup = SimpleNamespace(holdMicros=HOLD_MICROS)
         self.clock = world
         self.commands: list[tuple[int, str]] = []
@@ -437,7 +437,7 @@
             node.start(*parts)
 
     def faults(self) -> list[BaseException]:
-        return [fault for node in self.nodes for fault in node.machine.task_group.faults]
+        return [fault for node in self.nodes for fault in node.machine.task_group.exceptions]
 
 
 def asker_of(fleet: WorkerFleet) -> FleetNode:
