--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -87,14 +87,14 @@
         clock: Clock,
         net: Net,
         disk: Disk,
-        chance: random.Random,
+        rng: random.Random,
         fail: Callable[[str], None],
     ) -> None:
         self.startup = startup
         self.clock = clock
         self.net = net
         self.disk = disk
-        self.chance = chance
+        self.rng = rng
         self.fail = fail
         self.task_group = BackgroundTaskGroup("control_plane")
         self.fleet = FleetState()
@@ -125,14 +125,14 @@
             area=self.startup.area,
             httpAddress=self.startup.httpAddress,
         )
-        self.directory = Directory(self_record, self.startup.seeds, self.rpc_endpoint, self.clock, self.chance)
+        self.directory = Directory(self_record, self.startup.seeds, self.rpc_endpoint, self.clock, self.rng)
         self.raft = RaftMember(
             self.identity,
             Wal(self.disk),
             self,
             self._send_to_member,
             self.clock,
-            self.chance,
+            self.rng,
             self.task_group,
             self.fail,
             SnapshotLimits(self.startup.digestEvery, self.startup.keptEntries, self.startup.digest_bytes),
@@ -196,7 +196,7 @@
             return self.disk.read(IDENTITY_FILE).decode()
         if any(n.startswith(("log-", "digest-")) for n in file_names):
             self.fail("the data folder holds a log but no identity")
-        identity = self.chance.randbytes(12).hex()
+        identity = self.rng.randbytes(12).hex()
         # Founders are configured for the first start only, so they are stored: a founder that was killed before the
         # bootstrap must still know them after its restart (§4.9).
         if self.startup.founders or FOUNDERS_FILE not in file_names:
--- a/src/pearhead/discovery/directory.py
+++ b/src/pearhead/discovery/directory.py
@@ -32,13 +32,13 @@
         seed_addresses: list[str],
         rpc_endpoint: RpcEndpoint,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.self_record = self_record
         self.seed_addresses = [a for a in seed_addresses if a != self_record.address]
         self.rpc_endpoint = rpc_endpoint
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.records: dict[str, tuple[Record, int]] = {}
         # `members` is called many times a second, while the set of members changes seldom and a record lives for
         # whole seconds.
@@ -106,7 +106,7 @@
     def _choose_targets(self) -> list[str]:
         core_addresses = [r.address for r in self.members("control_plane")]
         other_addresses = [r.address for r in self.members() if r.role != "control_plane"]
-        peer_addresses = self.chance.sample(other_addresses, min(GOSSIP_FANOUT, len(other_addresses)))
+        peer_addresses = self.rng.sample(other_addresses, min(GOSSIP_FANOUT, len(other_addresses)))
         # Seeds are contacted only while no core is known (§3.2).
         return (core_addresses or self.seed_addresses) + peer_addresses
 
--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -76,14 +76,14 @@
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         task_group: BackgroundTaskGroup,
         lifetime_micros: int,
     ) -> None:
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.task_group = task_group
         self.lifetime_micros = lifetime_micros
         self.channels = JoinedChannels()
@@ -129,7 +129,7 @@
         """
         state = self._touch_volume(owner, line)
         self._join_channel(object_channel(owner, line, part))
-        transaction = self.chance.randbytes(16)
+        transaction = self.rng.randbytes(16)
         known_revision = state.newer_revisions.get(part, (state.table_revisions.get(part, 1), 0))[0]
         expected_revision = known_revision + 1
         request = PurgeNote(owner=owner, line=line, part=part)
@@ -187,7 +187,7 @@
             if is_expiring and now_micros - state.asked_micros >= TABLE_REQUEST_INTERVAL_MICROS:
                 # Randomized, as in Scalable Reliable Multicast (SRM), so that the listeners' requests are spread and
                 # one request and its table serve all of them.
-                state.asked_micros = now_micros + self.chance.randrange(100) * MILLI
+                state.asked_micros = now_micros + self.rng.randrange(100) * MILLI
                 request = PurgeNote(owner=owner, line=line)
                 request.table_request.SetInParent()
                 self._send_to_channel(volume_channel(owner, line), request, include_cores=True)
@@ -232,7 +232,7 @@
         elif body_name == "table_request":
             if state.expiry_micros - self.clock.now() > self.lifetime_micros // 2 and not state.relay_due_micros:
                 state.relay_due_micros = (
-                    self.clock.now() + TABLE_RELAY_DELAY_MICROS + self.chance.randrange(TABLE_RELAY_DELAY_MICROS)
+                    self.clock.now() + TABLE_RELAY_DELAY_MICROS + self.rng.randrange(TABLE_RELAY_DELAY_MICROS)
                 )
         elif body_name == "table":
             self._apply_table_page(state, note.table)
--- a/src/pearhead/router/core_command_client.py
+++ b/src/pearhead/router/core_command_client.py
@@ -41,10 +41,10 @@
 class CoreCommandClient:
     """Submits commands to one core; after a failure the next command goes to another core."""
 
-    def __init__(self, view_source: ViewSource, rpc_endpoint: RpcEndpoint, chance: random.Random) -> None:
+    def __init__(self, view_source: ViewSource, rpc_endpoint: RpcEndpoint, rng: random.Random) -> None:
         self.view_source = view_source
         self.rpc_endpoint = rpc_endpoint
-        self.chance = chance
+        self.rng = rng
         self.preferred_core = ""
         self.session = CommandSession(rpc_endpoint.identity)
 
@@ -55,7 +55,7 @@
         if not addresses:
             return Err("no core is known")
         if self.preferred_core not in addresses:
-            self.preferred_core = self.chance.choice(addresses)
+            self.preferred_core = self.rng.choice(addresses)
         target_core = self.preferred_core
         request = CommandAsk(command=command.SerializeToString())
         response = await self.rpc_endpoint.call(target_core, "command_ask", request, COMMAND_TIMEOUT_MICROS)
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -86,16 +86,16 @@
         net: Net,
         control: WorkerControl,
         dialect: ProtocolAdapter,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.startup = startup
         self.settings = settings
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.task_group = BackgroundTaskGroup("router")
         self.invariants = InvariantCounters(clock)
         self.loop_lag = LoopLag(clock)
-        self.identity = chance.randbytes(12).hex()
+        self.identity = rng.randbytes(12).hex()
         self.rpc_endpoint = RpcEndpoint(self.identity, startup.address, net, clock)
         record = Record(
             identity=self.identity,
@@ -104,12 +104,12 @@
             area=startup.area,
             httpAddress=startup.httpAddress,
         )
-        self.directory = Directory(record, startup.seeds, self.rpc_endpoint, clock, chance)
+        self.directory = Directory(record, startup.seeds, self.rpc_endpoint, clock, rng)
         self.view_replica = ViewReplica(
-            self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros
+            self.rpc_endpoint, self.directory, clock, rng, self.task_group, startup.termMicros
         )
         self.listener = RevisionListener(
-            self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
+            self.rpc_endpoint, self.directory, clock, rng, self.task_group, startup.tableLifetimeMicros
         )
         self.node_count_tracker = NodeCountTracker(clock, settings.max_view_age_micros)
         self.loads = WorkerLoadTracker(clock)
@@ -121,7 +121,7 @@
             self.rpc_endpoint,
             self.directory,
             clock,
-            chance,
+            rng,
             self.task_group,
             control,
             settings.list_interval_micros,
@@ -150,7 +150,7 @@
             self.loads,
             self.cache_poller.apply_note,
         )
-        command_client = CoreCommandClient(self.view_replica, self.rpc_endpoint, chance)
+        command_client = CoreCommandClient(self.view_replica, self.rpc_endpoint, rng)
         self.publisher = RosterPublisher(self.rosters, self.view_replica, command_client, clock)
         self.roll_out = WeightsRollout(
             self.identity,
@@ -289,7 +289,7 @@
         """
         if not self.relay.is_active() or len(backends) <= SAMPLE_SIZE:
             return backends
-        return self.chance.sample(backends, SAMPLE_SIZE)
+        return self.rng.sample(backends, SAMPLE_SIZE)
 
     def _relay_cache_note(self, note: KeptNote) -> bool:
         return self.relay.relay_cache_note(note)
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -59,14 +59,14 @@
         net: Net,
         carrier: JobTransport,
         link: WorkerLink,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.startup = startup
         self.clock = clock
         self.carrier = carrier
-        self.chance = chance
+        self.rng = rng
         self.task_group = BackgroundTaskGroup("router")
-        self.identity = chance.randbytes(12).hex()
+        self.identity = rng.randbytes(12).hex()
         self.rpc_endpoint = RpcEndpoint(self.identity, startup.address, net, clock)
         self_record = Record(
             identity=self.identity,
@@ -75,12 +75,12 @@
             area=startup.area,
             httpAddress=startup.httpAddress,
         )
-        self.directory = Directory(self_record, startup.seeds, self.rpc_endpoint, clock, chance)
+        self.directory = Directory(self_record, startup.seeds, self.rpc_endpoint, clock, rng)
         self.view_replica = ViewReplica(
-            self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros
+            self.rpc_endpoint, self.directory, clock, rng, self.task_group, startup.termMicros
         )
         self.listener = RevisionListener(
-            self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
+            self.rpc_endpoint, self.directory, clock, rng, self.task_group, startup.tableLifetimeMicros
         )
         self.index = CopyIndex()
         self.nominator = JobScheduler(self.view_replica, self.listener, self.index, clock, startup.oldWeightsMicros)
@@ -95,7 +95,7 @@
             self.rpc_endpoint,
             self.directory,
             clock,
-            chance,
+            rng,
             self.task_group,
             startup.holdMicros,
         )
@@ -161,7 +161,7 @@
         On an Err the caller answers with the refusal's status if no line was written yet, and aborts the client's
         stream otherwise.
         """
-        job = Job(request, request.jobId or self.chance.randbytes(12).hex(), self.clock.now(), self.view_replica.view)
+        job = Job(request, request.jobId or self.rng.randbytes(12).hex(), self.clock.now(), self.view_replica.view)
         self.open_jobs += 1
         try:
             outcome = await self._run_stages(key_text, job, writer)
@@ -328,7 +328,7 @@
         assert job.entry is not None and job.tenant is not None
         worker = placement.worker
         upstream_job = UpstreamJob(
-            upstream_id=f"{job.job_id}.{self.chance.randbytes(6).hex()}",
+            upstream_id=f"{job.job_id}.{self.rng.randbytes(6).hex()}",
             model=f"{job.entry.line}@{placement.weights_name}" if placement.weights_name else job.entry.line,
             body=job.request.body,
             salt=placement.salt,
--- a/src/pearhead/router/paced_broadcaster.py
+++ b/src/pearhead/router/paced_broadcaster.py
@@ -18,13 +18,13 @@
     A full link drops the end of a burst; a fixed order would make the same nodes lose their copy each time.
     """
 
-    def __init__(self, clock: Clock, chance: random.Random) -> None:
+    def __init__(self, clock: Clock, rng: random.Random) -> None:
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
 
     async def send(self, addresses: list[str], message_bytes: int, send_batch: Callable[[list[str]], None]) -> None:
         """Calls `send_batch` with one batch of addresses after another; `message_bytes` is the size of one copy."""
-        shuffled = self.chance.sample(addresses, len(addresses))
+        shuffled = self.rng.sample(addresses, len(addresses))
         batch_size = max(1, BATCH_BYTES // max(message_bytes, 1))
         for start in range(0, len(shuffled), batch_size):
             if start:
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -79,7 +79,7 @@
         self.remote_cache_notes: list[KeptNote] = []
         self.own_announced_use = UseNote()
         self.is_relaying = False
-        self.chance = random.Random(identity)
+        self.rng = random.Random(identity)
         rpc_endpoint.on_message("relay_note", self._handle_relay_note)
 
     def is_active(self) -> bool:
@@ -165,7 +165,7 @@
         costs its whole group the update for all workers, so nodes heard from just now become heads. Groups are drawn
         anew each time, so that a head that is dead nevertheless does not cost the same nodes every time.
         """
-        shuffled = self.chance.sample(records, len(records))
+        shuffled = self.rng.sample(records, len(records))
         if len(shuffled) <= DIRECT_FAN_OUT:
             return self._broadcast([record.address for record in shuffled], note)
         group_count = math.isqrt(len(shuffled) - 1)
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -79,7 +79,7 @@
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         task_group: BackgroundTaskGroup,
         control: WorkerControl,
         list_period_micros: int,
@@ -89,7 +89,7 @@
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.task_group = task_group
         self.control = control
         self.list_period_micros = list_period_micros
@@ -137,7 +137,7 @@
         """Polls the list whenever it is this node's turn, and pulls from peers while the roster is old."""
         # A newly started node knows few peers and would rank itself first, so it waits 0.5 to 1 s to learn of others.
         started_micros = self.clock.now()
-        self.first_micros = started_micros + FRESH_MICROS + self.chance.randrange(FRESH_MICROS)
+        self.first_micros = started_micros + FRESH_MICROS + self.rng.randrange(FRESH_MICROS)
         self.heard_micros = self.first_micros - self.list_period_micros - self.list_period_micros // 5
         self.task_group.start(self._bootstrap_from_peers())
         self.task_group.start(self._pull_while_old())
@@ -231,7 +231,7 @@
             addresses = [r.address for r in self.directory.members("router")]
             if self._roster_age() <= PULL_AGE_MICROS or not self.roster.backends or not addresses:
                 pause_micros = PULL_MICROS
-            elif await self._pull_from(self.chance.choice(addresses)):
+            elif await self._pull_from(self.rng.choice(addresses)):
                 pause_micros = PULL_MICROS
             else:
                 pause_micros = min(pause_micros * 3 // 2, MAX_PULL_MICROS)
@@ -409,7 +409,7 @@
             if self.roster.backends:
                 return
             if addresses:
-                await self._merge_from_peer(self.chance.choice(addresses))
+                await self._merge_from_peer(self.rng.choice(addresses))
             await sleep_for(self.clock, TICK_MICROS)
 
 
--- a/src/pearhead/router/view_replica.py
+++ b/src/pearhead/router/view_replica.py
@@ -43,14 +43,14 @@
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         task_group: BackgroundTaskGroup,
         term_micros: int,
     ) -> None:
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.task_group = task_group
         self.term_micros = term_micros
         self.view = View()
@@ -160,7 +160,7 @@
 
     async def _ask_peer_views(self) -> None:
         peer_node_addresses = [r.address for r in self.directory.members("router")]
-        for address in self.chance.sample(peer_node_addresses, min(PEER_FALLBACK_COUNT, len(peer_node_addresses))):
+        for address in self.rng.sample(peer_node_addresses, min(PEER_FALLBACK_COUNT, len(peer_node_addresses))):
             self.task_group.start(self._ask_peer_view(address))
 
     async def _ask_peer_view(self, address: str) -> None:
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -101,7 +101,7 @@
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         task_group: BackgroundTaskGroup,
         worker_lease_micros: int,
     ) -> None:
@@ -113,7 +113,7 @@
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.task_group = task_group
         self.worker_lease_micros = worker_lease_micros
         self.session = CommandSession(identity)
@@ -203,7 +203,7 @@
         if not addresses:
             return None
         if self.preferred_core not in addresses:
-            self.preferred_core = self.chance.choice(addresses)
+            self.preferred_core = self.rng.choice(addresses)
         target_core = self.preferred_core
         request = CommandAsk(command=command.SerializeToString())
         response = await self.rpc_endpoint.call(target_core, "command_ask", request, COMMAND_TIMEOUT_MICROS)
@@ -371,7 +371,7 @@
     async def _bump_on_behalf(self, owner: str, line: str, part: int) -> None:
         """Bumps a part unless another node does: each waits a random time first and stops if the part was bumped."""
         revision = self.listener.revision_of(owner, line, part)
-        await sleep_for(self.clock, self.chance.randrange(BUMP_JITTER_MICROS))
+        await sleep_for(self.clock, self.rng.randrange(BUMP_JITTER_MICROS))
         if self.listener.is_changing(owner, line, part):
             # Another node has requested a bump, but may fail before it is done.
             await sleep_for(self.clock, PENDING_BUMP_WAIT_MICROS)
--- a/src/pearhead/testbed/caller.py
+++ b/src/pearhead/testbed/caller.py
@@ -69,12 +69,12 @@
 
 
 class Caller:
-    """Sends jobs drawn from `chance`, each to a random node, and collects a report."""
+    """Sends jobs drawn from `rng`, each to a random node, and collects a report."""
 
-    def __init__(self, deployment: Deployment, node_addresses: list[str], chance: random.Random) -> None:
+    def __init__(self, deployment: Deployment, node_addresses: list[str], rng: random.Random) -> None:
         self.deployment = deployment
         self.node_addresses = node_addresses
-        self.chance = chance
+        self.rng = rng
         self.report = CallerReport()
         AsyncHTTPClient.configure(None, max_clients=1_000)
 
@@ -93,9 +93,9 @@
         return self.report
 
     async def _call(self, number: int) -> None:
-        tenant_name, job = generate_job(self.deployment, self.chance, number)
+        tenant_name, job = generate_job(self.deployment, self.rng, number)
         chunks: list[bytes] = []
-        node_address = self.chance.choice(self.node_addresses)
+        node_address = self.rng.choice(self.node_addresses)
         answer = CallerAnswer(job, tenant_name, node_address, CUT)
         self.report.answers.append(answer)
         request = HTTPRequest(
--- a/src/pearhead/testbed/capacity/change_costs.py
+++ b/src/pearhead/testbed/capacity/change_costs.py
@@ -144,8 +144,8 @@
             raise RuntimeError(reason)
 
         wal = Wal(self.disks[number])
-        fleet, chance = self.fleet_states[number], random.Random(number)
-        return RaftMember(str(number), wal, fleet, send, self.clock, chance, self.task_group, fail)
+        fleet, rng = self.fleet_states[number], random.Random(number)
+        return RaftMember(str(number), wal, fleet, send, self.clock, rng, self.task_group, fail)
 
     @property
     def leader(self) -> RaftMember:
--- a/src/pearhead/testbed/capacity/hollow_nodes.py
+++ b/src/pearhead/testbed/capacity/hollow_nodes.py
@@ -38,9 +38,9 @@
     It is sorted and hashed five times a second, not at each read, so that many nodes fit into one process.
     """
 
-    def __init__(self, own_records: list[Record], seeds: list[str], clock: Clock, chance: random.Random) -> None:
+    def __init__(self, own_records: list[Record], seeds: list[str], clock: Clock, rng: random.Random) -> None:
         fake_runtime = FakeRuntime()
-        super().__init__(own_records[0], seeds, RpcEndpoint("", "", fake_runtime, fake_runtime), clock, chance)
+        super().__init__(own_records[0], seeds, RpcEndpoint("", "", fake_runtime, fake_runtime), clock, rng)
         self.own_records = own_records
         self.fresh_until = -1
         self.by_role: dict[str | None, list[Record]] = {}
@@ -92,10 +92,10 @@
 class HollowNode:
     """The hellos and term requests of one node, over a socket of its own."""
 
-    def __init__(self, record: Record, clock: Clock, chance: random.Random, task_group: BackgroundTaskGroup) -> None:
+    def __init__(self, record: Record, clock: Clock, rng: random.Random, task_group: BackgroundTaskGroup) -> None:
         self.record = record
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.net = SocketNet(record.address)
         self.rpc_endpoint = CountingRpcEndpoint(record.identity, record.address, self.net, clock)
         self.task_group = task_group
@@ -112,12 +112,12 @@
         """
         self.directory = directory
         self.view_replica = ViewReplica(
-            self.rpc_endpoint, directory, self.clock, self.chance, self.task_group, term_micros
+            self.rpc_endpoint, directory, self.clock, self.rng, self.task_group, term_micros
         )
         self.rpc_endpoint.on_message("hello", self._handle_hello)
         self.rpc_endpoint.on_message("hello_result", directory._handle_hello_result)
         await self.net.open()
-        await sleep_for(self.clock, self.chance.randrange(HELLO_INTERVAL_MICROS))
+        await sleep_for(self.clock, self.rng.randrange(HELLO_INTERVAL_MICROS))
         self.task_group.start(self.view_replica.run())
         round_number = 0
         while True:
@@ -136,7 +136,7 @@
     def _send_hellos(self, round_number: int) -> None:
         cores = [r.address for r in self.directory.members("control_plane")]
         others = [r.address for r in self.directory.members("router") if r.address != self.record.address]
-        peers = self.chance.sample(others, min(GOSSIP_FANOUT, len(others)))
+        peers = self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))
         targets = (cores or self.directory.seed_addresses) + peers
         for position, address in enumerate(targets):
             asks_for_known = position == round_number % len(targets)
@@ -173,10 +173,10 @@
         self.clock = clock
         self.config = config
         self.task_group = BackgroundTaskGroup("testbed")
-        chance = random.Random(config.seed)
+        rng = random.Random(config.seed)
         records = [
             Record(
-                identity=chance.randbytes(12).hex(),
+                identity=rng.randbytes(12).hex(),
                 address=address,
                 role="router",
                 area=config.areas[number % len(config.areas)],
@@ -184,8 +184,8 @@
             )
             for number, address in enumerate(config.addresses)
         ]
-        self.directory = SharedDirectory(records, config.seeds, clock, chance)
-        self.nodes = [HollowNode(r, clock, random.Random(chance.random()), self.task_group) for r in records]
+        self.directory = SharedDirectory(records, config.seeds, clock, rng)
+        self.nodes = [HollowNode(r, clock, random.Random(rng.random()), self.task_group) for r in records]
 
     async def run(self) -> None:
         """Runs all nodes and observes them every `OBSERVE_INTERVAL_MICROS`, until cancelled."""
--- a/src/pearhead/testbed/capacity/hollow_workers.py
+++ b/src/pearhead/testbed/capacity/hollow_workers.py
@@ -41,11 +41,11 @@
 class HollowWorker:
     """Reports a steady stream of new cached blocks: each poll returns those since the one before."""
 
-    def __init__(self, clock: Clock, chance: random.Random, config: HollowWorkersConfig) -> None:
+    def __init__(self, clock: Clock, rng: random.Random, config: HollowWorkersConfig) -> None:
         self.clock = clock
         self.config = config
-        self.life = chance.randbytes(8).hex()
-        self.prefix = chance.randbytes(12).hex()
+        self.life = rng.randbytes(8).hex()
+        self.prefix = rng.randbytes(12).hex()
         self.fence = 0
         self.loaded_at = 0
 
@@ -146,10 +146,10 @@
 
 async def serve(config: HollowWorkersConfig) -> int:
     """Serves until SIGTERM or the limit of the settings; returns the exit code."""
-    chance, clock = random.Random(config.seed), BootClock()
+    rng, clock = random.Random(config.seed), BootClock()
     for address in config.addresses:
         host, port = split_address(address)
-        HTTPServer(build_application(HollowWorker(clock, chance, config))).listen(port, host)
+        HTTPServer(build_application(HollowWorker(clock, rng, config))).listen(port, host)
     limit_reached = asyncio.Event()
     asyncio.get_running_loop().call_later(config.limit_seconds, limit_reached.set)
 
--- a/src/pearhead/testbed/capacity/part_costs.py
+++ b/src/pearhead/testbed/capacity/part_costs.py
@@ -78,9 +78,9 @@
         fake_runtime,
         random.Random(1),
     )
-    chance = random.Random(2)
+    rng = random.Random(2)
     for number in range(records):
-        identity = chance.randbytes(12).hex()
+        identity = rng.randbytes(12).hex()
         address = f"10.0.{number // 250}.{number % 250}"
         directory.records[identity] = (
             Record(
@@ -140,7 +140,7 @@
 
     The time of an event is that of the median worker.
     """
-    chance = random.Random(1)
+    rng = random.Random(1)
     index = CopyIndex()
     before, micros_per_block, block_count = _resident_bytes(), [], 0
     worker_count = -(-blocks // KEYS_PER_WORKER)
@@ -148,7 +148,7 @@
         name, load = f"worker-{number}", LoadRecord("line", "life", 1, 1, 0, "w1")
         worker_blocks, sequence, spent_seconds = min(KEYS_PER_WORKER, blocks - block_count), 0, 0.0
         while sequence < worker_blocks:
-            keys = [chance.randbytes(16).hex() for _ in range(min(KEYS_PER_NOTE, worker_blocks - sequence))]
+            keys = [rng.randbytes(16).hex() for _ in range(min(KEYS_PER_NOTE, worker_blocks - sequence))]
             start = time.process_time()
             index.apply_cache_report(name, "life", sequence, sequence + len(keys), keys, [], False)
             index.record_verified_keys(load, "life", sequence, keys)
@@ -162,7 +162,7 @@
         life="0" * 16,
         sequence=10**6,
         from_sequence=10**6 - KEYS_PER_NOTE,
-        kept=[chance.randbytes(16).hex() for _ in range(KEYS_PER_NOTE)],
+        kept=[rng.randbytes(16).hex() for _ in range(KEYS_PER_NOTE)],
     )
     envelope = Envelope(identity="0" * 24, address="10.0.0.1:7000", purge_note=PurgeNote(copy_note=note))
     frame = envelope.SerializeToString()
@@ -222,10 +222,10 @@
 
 
 async def _measure_volumes(volumes: int) -> Row:
-    node_net, core_net, chance = _RecordingNet(), _RecordingNet(), random.Random(1)
+    node_net, core_net, rng = _RecordingNet(), _RecordingNet(), random.Random(1)
     rpc_endpoint = RpcEndpoint("me", "10.0.0.1:7000", node_net, node_net)
     directory = _build_directory(3)
-    listener = RevisionListener(rpc_endpoint, directory, node_net, chance, BackgroundTaskGroup("testbed"), 30 * SECOND)
+    listener = RevisionListener(rpc_endpoint, directory, node_net, rng, BackgroundTaskGroup("testbed"), 30 * SECOND)
     core_endpoint = RpcEndpoint("core", "10.0.0.2:7000", core_net, core_net)
     sequencer = RevisionSequencer(
         _FixedRevisionStore(), core_endpoint, _build_directory(0), core_net, BackgroundTaskGroup("testbed"), 30 * SECOND
--- a/src/pearhead/testbed/deployment.py
+++ b/src/pearhead/testbed/deployment.py
@@ -113,15 +113,15 @@
     }
 
 
-def generate_job(deployment: Deployment, chance: random.Random, number: int) -> tuple[str, dict[str, Any]]:
+def generate_job(deployment: Deployment, rng: random.Random, number: int) -> tuple[str, dict[str, Any]]:
     """Draws a tenant and a job with the id `job-<number>`.
 
     Three tenants send most of the jobs. 5% of the jobs are notices, 75% short ones, and 20% long ones, which share the
     prefixes of three documents.
     """
     tenant_weights = [8, 6, 4] + [1] * (len(deployment.tenant_names) - 3)
-    tenant_name = chance.choices(deployment.tenant_names, tenant_weights)[0]
-    draw = chance.random()
+    tenant_name = rng.choices(deployment.tenant_names, tenant_weights)[0]
+    draw = rng.random()
     job_id = f"job-{number}"
     if draw < 0.05:
         return tenant_name, {"model": deployment.line, "kind": "notice", "body": f"notice {number}", "jobId": job_id}
@@ -133,8 +133,8 @@
             "jobId": job_id,
             "prefix": [{"part": 1, "tokens": 200}],
         }
-    document_number = chance.randrange(3)
-    part_count = chance.randrange(4, 9)
+    document_number = rng.randrange(3)
+    part_count = rng.randrange(4, 9)
     return tenant_name, {
         "model": deployment.line,
         "kind": deployment.long_kind,
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -77,22 +77,22 @@
     A few tenants send most of the requests, and prompts on the same subject share their first part.
     """
 
-    def __init__(self, plan: SitePlan, config: dict[str, Any], chance: random.Random) -> None:
+    def __init__(self, plan: SitePlan, config: dict[str, Any], rng: random.Random) -> None:
         self.routes = {r["Name"]: r for r in config["RouteTable"]}
         self.kinds = [k for k in plan.kinds if k.route in self.routes]
         self.tenants = config["Tenants"]
         self.model = plan.model
-        self.chance = chance
+        self.rng = rng
 
     def draw(self) -> SiteRequest:
         """Returns the next request."""
-        kind = self.chance.choices(self.kinds, [k.share for k in self.kinds])[0]
+        kind = self.rng.choices(self.kinds, [k.share for k in self.kinds])[0]
         route = self.routes[kind.route]
         weights = [8, 6, 4, *([1] * len(self.tenants))][: len(self.tenants)]
-        tenant = self.chance.choices(self.tenants, weights)[0]
-        subject = self.chance.randrange(kind.subjects)
-        own_part = self.chance.randbytes(4).hex()
-        size = self.chance.uniform(0.5, 1.5)
+        tenant = self.rng.choices(self.tenants, weights)[0]
+        subject = self.rng.randrange(kind.subjects)
+        own_part = self.rng.randbytes(4).hex()
+        size = self.rng.uniform(0.5, 1.5)
         own_tokens, output_tokens = max(1, int(kind.own_tokens * size)), max(1, int(kind.output_tokens * size))
         prompt_tokens = kind.shared_tokens + own_tokens
         headers = {
@@ -100,7 +100,7 @@
             "X-Token-Count": f"{prompt_tokens},{output_tokens}",
             "X-Prompt-Prefix": f"{self._shared_part(kind, subject)}:{kind.shared_tokens},{own_part}:{own_tokens}",
         }
-        body = json.dumps({"subject": subject, "text": self.chance.randbytes(40).hex()}).encode()
+        body = json.dumps({"subject": subject, "text": self.rng.randbytes(40).hex()}).encode()
         return SiteRequest(
             route["Name"],
             route["Type"],
@@ -109,7 +109,7 @@
             "POST",
             f"{route['Prefix']}{subject:x}",
             body,
-            self.chance.choice(tenant["Keys"]),
+            self.rng.choice(tenant["Keys"]),
             headers,
             route["DeadlineMs"] * MILLI,
             route["SetpointMs"] * MILLI,
@@ -226,9 +226,9 @@
     """One client with a persistent connection to its node; it sends one request at a time."""
 
     def __init__(
-        self, name: str, entry: Entry, clock: Clock, chance: random.Random, sink: RecordSink, max_retries: int = 1
+        self, name: str, entry: Entry, clock: Clock, rng: random.Random, sink: RecordSink, max_retries: int = 1
     ) -> None:
-        self.name, self.entry, self.clock, self.chance, self.sink = name, entry, clock, chance, sink
+        self.name, self.entry, self.clock, self.rng, self.sink = name, entry, clock, rng, sink
         self.max_retries = max_retries
         self.kept_connection: tuple[str, RawConnection] | None = None
 
@@ -277,7 +277,7 @@
         previous = self.kept_connection
         node, connection = await self._connect(attempt, tried)
         is_kept = previous is not None and previous[1] is connection
-        request_id = self.chance.randbytes(8).hex()
+        request_id = self.rng.randbytes(8).hex()
         sent_at = self.clock.now()
         outcome = Outcome(is_unread=True)
         if connection is not None:
@@ -418,21 +418,21 @@
 class SiteLoadGenerator:
     """Many concurrent clients that send requests on the routes of a given configuration."""
 
-    def __init__(self, plan: SitePlan, clock: Clock, chance: random.Random, sink: RecordSink) -> None:
-        self.plan, self.clock, self.chance, self.sink = plan, clock, chance, sink
+    def __init__(self, plan: SitePlan, clock: Clock, rng: random.Random, sink: RecordSink) -> None:
+        self.plan, self.clock, self.rng, self.sink = plan, clock, rng, sink
         self.entry = Entry(plan.of("router"))
 
     async def run(self, request_count: int, at_once: int, config: dict[str, Any] | None = None) -> CallReport:
         """Sends `request_count` requests, `at_once` of them at a time, and reports what the clients saw."""
         report = CallReport()
-        draw = RequestGenerator(self.plan, config or self.plan.config, self.chance)
+        draw = RequestGenerator(self.plan, config or self.plan.config, self.rng)
         await self.entry.poll()
         await self.entry.poll()
         poll_task = asyncio.ensure_future(self.entry.run(self.clock))
         remaining = iter(range(request_count))
 
         async def run_client(number: int) -> None:
-            client = SiteClient(f"client-{number}", self.entry, self.clock, self.chance, self.sink)
+            client = SiteClient(f"client-{number}", self.entry, self.clock, self.rng, self.sink)
             for _ in remaining:
                 await client.call(draw.draw(), report)
             client.close()
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -238,16 +238,16 @@
         service: str,
         model: str,
         version: int,
-        chance: random.Random,
+        rng: random.Random,
         sink: RecordSink,
     ) -> None:
         self.settings = settings
         self.worker, self.instance, self.service, self.model = worker, instance, service, model
         self.version = version
         self.named_versions = {version}
-        self.chance = chance
+        self.rng = rng
         self.sink = sink
-        self.events = PartEventLog(chance.randrange(1, 1 << 31), chance)
+        self.events = PartEventLog(rng.randrange(1, 1 << 31), rng)
         self.cache = PartCache(settings.cache_tokens, self.events)
         self.queue: list[_RequestState] = []
         self.running: list[_RequestState] = []
--- a/src/pearhead/testbed/emulator/engine_faults.py
+++ b/src/pearhead/testbed/emulator/engine_faults.py
@@ -44,9 +44,9 @@
             if known_field.name in changes:
                 setattr(self, known_field.name, type(getattr(self, known_field.name))(changes[known_field.name]))
 
-    def draw(self, chance: random.Random) -> str:
+    def draw(self, rng: random.Random) -> str:
         """Draws the fault of one response; an empty string for none."""
-        remaining = chance.random()
+        remaining = rng.random()
         for name in ("cut", "garble", "extra", "late", "lost", "fails", "split"):
             remaining -= getattr(self, name)
             if remaining < 0:
--- a/src/pearhead/testbed/emulator/engine_server.py
+++ b/src/pearhead/testbed/emulator/engine_server.py
@@ -78,12 +78,12 @@
         self,
         driver: EngineDriver,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         sink: RecordSink,
         reader_limit: int,
         connection_limit: int,
     ) -> None:
-        self.driver, self.clock, self.chance, self.sink = driver, clock, chance, sink
+        self.driver, self.clock, self.rng, self.sink = driver, clock, rng, sink
         self.reader_limit = reader_limit
         self.connection_limit = connection_limit
         self.active_readers = 0
@@ -227,7 +227,7 @@
     async def _send_response(self, engine_request: EngineRequest, outputs: asyncio.Queue[EngineOutput]) -> None:
         """Sends the response event by event, with the fault drawn for it, if any."""
         digest = request_digest(str(self.request.method), str(self.request.uri), self.request.body)
-        fault = self.context.faults.draw(self.context.chance)
+        fault = self.context.faults.draw(self.context.rng)
         run, is_begun, pieces_out = "", False, 0
         while True:
             output = await outputs.get()
@@ -269,12 +269,12 @@
     def _draw_split(self, number: int, engine_request: EngineRequest) -> bool:
         """Whether a `split` fault hits this event. It hits the first event as often as a later one."""
         is_first = number == engine_request.resumed_from + 1
-        return not is_first or self.context.chance.random() < FIRST_SPLIT_SHARE
+        return not is_first or self.context.rng.random() < FIRST_SPLIT_SHARE
 
     async def _abort_inside_event(self, piece: Piece) -> None:
         """Resets the connection after some bytes of an event have been sent."""
         event_bytes = piece.encode()
-        self.write(event_bytes[: self.context.chance.randrange(1, len(event_bytes))])
+        self.write(event_bytes[: self.context.rng.randrange(1, len(event_bytes))])
         await self.flush()
         await sleep_for(self.context.clock, LATE_BYTES_DELAY_MICROS)
         self.abort_response(is_reset=True)
@@ -284,7 +284,7 @@
         self.set_header("X-Request-Id", engine_request.request_id)
         self.set_header("X-Answer-Seal", ResponseSeal(digest, started.run, started.pieces).text())
         self.set_header("X-Weight-Versions", str(started.version))
-        self.closes_connection = self.context.is_draining or self.context.chance.random() < CLOSE_AFTER_RESPONSE_SHARE
+        self.closes_connection = self.context.is_draining or self.context.rng.random() < CLOSE_AFTER_RESPONSE_SHARE
         if self.closes_connection:
             self.set_header("Connection", "close")
         elif not self.context.faults.forgets_idle:
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -272,9 +272,9 @@
     def operator(self, lost_answers: int = 0) -> Iterator[SiteOperator]:
         """An operator that records to the ledger. `lost_answers`: how many answers to its changes are lost."""
         sink = LedgerFile(self.ledger_path / "operator.jsonl")
-        chance = random.Random(f"{self.plan['seed']} {sink.file.tell()}")
+        rng = random.Random(f"{self.plan['seed']} {sink.file.tell()}")
         try:
-            yield SiteOperator(self.listed_control_addresses, self.clock, sink, chance, lost_answers)
+            yield SiteOperator(self.listed_control_addresses, self.clock, sink, rng, lost_answers)
         finally:
             sink.close()
 
@@ -389,8 +389,8 @@
         reuse request ids.
         """
         sink = LedgerFile(self.ledger_path / "clients.jsonl")
-        chance = random.Random(f"{seed} {sink.file.tell()}")
-        caller = SiteLoadGenerator(self.site, self.clock, chance, sink)
+        rng = random.Random(f"{seed} {sink.file.tell()}")
+        caller = SiteLoadGenerator(self.site, self.clock, rng, sink)
         try:
             return asyncio.run(caller.run(request_count, at_once, self.plan["config"]))
         finally:
--- a/src/pearhead/testbed/emulator/main.py
+++ b/src/pearhead/testbed/emulator/main.py
@@ -43,7 +43,7 @@
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
         self.clock = BootClock()
-        self.chance = random.Random()
+        self.rng = random.Random()
         self.version_path = Path(settings["version_file"])
 
     async def serve(self) -> None:
@@ -76,15 +76,15 @@
         model = EngineModel(
             EngineSettings(**settings["engine"]),
             settings["name"],
-            f"i-{self.chance.randbytes(4).hex()}",
+            f"i-{self.rng.randbytes(4).hex()}",
             settings["service"],
             settings["model"],
             version,
-            self.chance,
+            self.rng,
             sink,
         )
         driver = EngineDriver(model, self.clock, HttpPartTransfer(), settings["zone"])
-        return EngineContext(driver, self.clock, self.chance, sink, settings["readers"], settings["connections"])
+        return EngineContext(driver, self.clock, self.rng, sink, settings["readers"], settings["connections"])
 
     def _save_version(self, version: int) -> None:
         """Replaces the version file atomically, as the worker may be killed at any moment."""
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -69,12 +69,12 @@
         controls: Callable[[], list[str]],
         clock: Clock,
         sink: RecordSink,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         lost_answers: int = 0,
         answer_timeout_seconds: float = ANSWER_TIMEOUT_SECONDS,
     ) -> None:
         self.controls, self.clock, self.sink = controls, clock, sink
-        self.chance = chance or random.Random(0)
+        self.rng = rng or random.Random(0)
         self.lost_answers, self.answer_timeout_seconds = lost_answers, answer_timeout_seconds
         self.last_body: dict[str, Any] = {}
 
@@ -172,7 +172,7 @@
         """A random node among those tried least often; it is added to `tried`."""
         controls = self.controls()
         fewest = min(tried.count(c) for c in controls)
-        control = self.chance.choice([c for c in controls if tried.count(c) == fewest])
+        control = self.rng.choice([c for c in controls if tried.count(c) == fewest])
         tried.append(control)
         return control
 
--- a/src/pearhead/testbed/emulator/part_cache.py
+++ b/src/pearhead/testbed/emulator/part_cache.py
@@ -85,9 +85,9 @@
     Events become visible after a lag, a share of them is lost, and only the newest EVENT_LIMIT are kept.
     """
 
-    def __init__(self, incarnation: int, chance: random.Random) -> None:
+    def __init__(self, incarnation: int, rng: random.Random) -> None:
         self.incarnation = incarnation
-        self.chance = chance
+        self.rng = rng
         self.lag_micros = EVENT_LAG_MICROS
         self.lost_share = 0.0
         self.number = 0
@@ -96,7 +96,7 @@
     def append(self, now: int, sign: str, part: KeptPart) -> None:
         """Adds an event, with a copy of the part as it is now."""
         self.number += 1
-        is_lost = self.chance.random() < self.lost_share
+        is_lost = self.rng.random() < self.lost_share
         self.events.append(PartEvent(self.number, sign, replace(part), now + self.lag_micros, is_lost))
 
     def next_visible_at(self, since: int) -> int | None:
--- a/src/pearhead/testbed/emulator/plan.py
+++ b/src/pearhead/testbed/emulator/plan.py
@@ -131,7 +131,7 @@
 
     def __init__(self, deployment: Deployment, size: SiteSize, seed: int, block: int) -> None:
         self.deployment, self.size, self.block = deployment, size, block
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
 
     def make(self) -> SitePlan:
         """Draws the plan; to be called once, as each call draws on from the same random source."""
@@ -215,8 +215,8 @@
         return machines
 
     def _random_name(self) -> str:
-        letters = "".join(self.chance.choice(string.ascii_lowercase) for _ in range(5))
-        return f"{letters}{self.chance.randrange(10, 99)}"
+        letters = "".join(self.rng.choice(string.ascii_lowercase) for _ in range(5))
+        return f"{letters}{self.rng.randrange(10, 99)}"
 
     def _route(
         self,
@@ -259,7 +259,7 @@
         return tenants
 
     def _key(self) -> str:
-        return "".join(self.chance.choice(string.ascii_lowercase + string.digits) for _ in range(20))
+        return "".join(self.rng.choice(string.ascii_lowercase + string.digits) for _ in range(20))
 
 
 def node_settings(
--- a/src/pearhead/testbed/emulator/sitefaults.py
+++ b/src/pearhead/testbed/emulator/sitefaults.py
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, launcher: SiteLauncher, seed: int, frozen_seconds: float = 3.0) -> None:
-        self.launcher, self.chance, self.frozen_seconds = launcher, random.Random(seed), frozen_seconds
+        self.launcher, self.rng, self.frozen_seconds = launcher, random.Random(seed), frozen_seconds
         self.version = 1
         self.cores = CoreFaultInjector(launcher)
         self.actions: dict[str, Callable[[], str]] = {
@@ -66,7 +66,7 @@
             "wipe a core while all are down": lambda: self._act_on_core(self.cores.wipe_while_all_are_down),
             "close by a kill": lambda: self._act_on_core(lambda name: self.cores.change_then_kill_all()),
             "close soon after sending": lambda: self._act_on_core(
-                lambda name: self.cores.kill_all_during_change(self.chance.uniform(0.0, 0.1))
+                lambda name: self.cores.kill_all_during_change(self.rng.uniform(0.0, 0.1))
             ),
             "close by a wipe": lambda: self._act_on_core(
                 lambda name: self.cores.change_then_wipe(name, is_all_down=False)
@@ -93,8 +93,8 @@
         reports: list[CallReport] = []
         caller = threading.Thread(target=lambda: reports.append(self.launcher.call(request_count, at_once, number)))
         caller.start()
-        time.sleep(self.chance.uniform(0.3, 1.2))
-        action_name = self.chance.choice(list(self.actions))
+        time.sleep(self.rng.uniform(0.3, 1.2))
+        action_name = self.rng.choice(list(self.actions))
         detail = self.actions[action_name]()
         caller.join()
         for machine in self.launcher.site.of("engine"):
@@ -104,10 +104,10 @@
 
     def _names(self, program: str, count: int) -> list[str]:
         names = [m.name for m in self.launcher.site.of(program)]
-        return self.chance.sample(names, min(count, len(names)))
+        return self.rng.sample(names, min(count, len(names)))
 
     def _random_delay(self) -> float:
-        return self.chance.uniform(0.0, 3.0)
+        return self.rng.uniform(0.0, 3.0)
 
     def _act_on_core(self, strike: Callable[[str], object]) -> str:
         """Waits until the core has settled, and runs an action on a random core machine. Returns its name."""
@@ -122,7 +122,7 @@
             self.launcher.send_signal(name, signal.SIGKILL)
         for name in names:
             self.launcher.wait_until(lambda name=name: not self.launcher.is_alive(name), f"{name} is gone")  # type: ignore[misc]
-        time.sleep(self.chance.uniform(0.1, 1.0))
+        time.sleep(self.rng.uniform(0.1, 1.0))
         for name in names:
             self.launcher.start(name)
         return ", ".join(names)
@@ -152,6 +152,6 @@
 
     def _change_by_name(self) -> str:
         config = self.launcher.plan["config"]
-        number = config["Revision"] + self.chance.randrange(1, 6)
+        number = config["Revision"] + self.rng.randrange(1, 6)
         added = {**config["RouteTable"][0], "Name": f"r-added-{number}", "Prefix": f"/added{number}/"}
         return f"{number}: {self.launcher.patch({'Revision': number, 'Upsert': {'RouteTable': [added]}})}"
--- a/src/pearhead/testbed/emulator/store.py
+++ b/src/pearhead/testbed/emulator/store.py
@@ -20,8 +20,8 @@
 class StoreModel:
     """Contents of a store; callers pass the current time."""
 
-    def __init__(self, total_tokens: int, chance: random.Random) -> None:
-        self.events = PartEventLog(chance.randrange(1, 1 << 31), chance)
+    def __init__(self, total_tokens: int, rng: random.Random) -> None:
+        self.events = PartEventLog(rng.randrange(1, 1 << 31), rng)
         self.cache = PartCache(total_tokens, self.events)
 
     def insert(self, now: int, parts: list[KeptPart]) -> None:
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -154,7 +154,7 @@
         cut_names = [victim, *sorted(self.fleet.nodes)]
         self.world.note(f"cuts {victim} off: comes in {is_inbound_open}, goes out {is_outbound_open}")
         before = self.world.loop.create_task(self.operators.submit_next_change())
-        await pause(self.world, self.world.chance.randrange(8 * MILLI))
+        await pause(self.world, self.world.rng.randrange(8 * MILLI))
         pairs: list[tuple[str, str]] = []
         if not is_outbound_open:
             pairs += self.fleet.cut(cut_names, others, both_ways=False)
@@ -248,7 +248,7 @@
         for name in names:
             self.fleet.kill(name, loses_power=True)
             self.world.machine(name).disk.empty()
-        await pause(self.world, self.world.chance.randrange(200 * MILLI, LONG_PAUSE_MICROS))
+        await pause(self.world, self.world.rng.randrange(200 * MILLI, LONG_PAUSE_MICROS))
         for name in names:
             self.fleet.start(name)
 
@@ -258,7 +258,7 @@
         for name in names:
             self.fleet.kill(name, loses_power=True)
         await pause(self.world, 500 * MILLI)
-        self.world.chance.shuffle(names)
+        self.world.rng.shuffle(names)
         for name in names:
             self.fleet.start(name)
         await self.expect_leader("all cores lost power")
@@ -271,7 +271,7 @@
 async def follower_cut_off(scenario_run: ControlScenarioRun) -> None:
     """A follower is cut off in both directions."""
     await scenario_run.isolate_machines(
-        scenario_run.world.chance.choice(scenario_run.followers()), is_inbound_open=False, is_outbound_open=False
+        scenario_run.world.rng.choice(scenario_run.followers()), is_inbound_open=False, is_outbound_open=False
     )
 
 
@@ -284,14 +284,14 @@
 @control_scenario()
 async def core_hears_nobody(scenario_run: ControlScenarioRun) -> None:
     """What a core sends arrives, but it receives nothing; it is the leader in half of the runs."""
-    victim = scenario_run.world.chance.choice([scenario_run.fleet.leader(), scenario_run.followers()[0]])
+    victim = scenario_run.world.rng.choice([scenario_run.fleet.leader(), scenario_run.followers()[0]])
     await scenario_run.isolate_machines(victim, is_inbound_open=False, is_outbound_open=True)
 
 
 @control_scenario()
 async def core_heard_by_nobody(scenario_run: ControlScenarioRun) -> None:
     """A core receives, but nothing that it sends arrives; it is the leader in half of the runs."""
-    victim = scenario_run.world.chance.choice([scenario_run.fleet.leader(), scenario_run.followers()[0]])
+    victim = scenario_run.world.rng.choice([scenario_run.fleet.leader(), scenario_run.followers()[0]])
     await scenario_run.isolate_machines(victim, is_inbound_open=True, is_outbound_open=False)
 
 
@@ -303,11 +303,11 @@
 
     In the end each acknowledged change is sent again to every core.
     """
-    operators, chance = scenario_run.operators, scenario_run.world.chance
+    operators, rng = scenario_run.operators, scenario_run.world.rng
     first_change = await operators.submit_next_change()
     for number in range(round_count):
         round_task = scenario_run.world.loop.create_task(operators.submit_conflicting_changes())
-        await pause(scenario_run.world, chance.randrange(12 * MILLI))
+        await pause(scenario_run.world, rng.randrange(12 * MILLI))
         if number == 2 and scenario_run.fleet.leader():
             killed_leader = scenario_run.fleet.leader()
             scenario_run.fleet.kill(killed_leader, loses_power=True)
@@ -365,13 +365,13 @@
     The losses come about 15 s after the last planned replacement started. In the end all cores lose power.
     """
     for _ in range(planned_count):
-        await scenario_run.replace_as_planned(scenario_run.world.chance.choice(sorted(scenario_run.fleet.cores)))
+        await scenario_run.replace_as_planned(scenario_run.world.rng.choice(sorted(scenario_run.fleet.cores)))
     await pause(scenario_run.world, DELAY_AFTER_PLANNED_MICROS - STABILIZATION_MICROS)
     await scenario_run.destroy_and_replace(
-        scenario_run.world.chance.sample(sorted(scenario_run.fleet.cores), loss_count), SECOND
+        scenario_run.world.rng.sample(sorted(scenario_run.fleet.cores), loss_count), SECOND
     )
     await pause(scenario_run.world, STABILIZATION_MICROS)
-    await scenario_run.erase_disks(scenario_run.world.chance.sample(sorted(scenario_run.fleet.cores), loss_count))
+    await scenario_run.erase_disks(scenario_run.world.rng.sample(sorted(scenario_run.fleet.cores), loss_count))
     await scenario_run.expect_leader("a wiped disk after a loss after a planned replacement")
     await pause(scenario_run.world, STABILIZATION_MICROS)
     await scenario_run.expect_leader("a wiped disk")
@@ -393,8 +393,8 @@
 async def destroy_repeatedly(scenario_run: ControlScenarioRun, loss_count: int) -> None:
     """Destroys cores again at the moment when the replacements of the last ones count as settled."""
     for _ in range(LOSS_ROUNDS):
-        names = scenario_run.world.chance.sample(sorted(scenario_run.fleet.cores), loss_count)
-        pause_micros = scenario_run.world.chance.choice([0, SECOND, 2 * SECOND, LONG_PAUSE_MICROS])
+        names = scenario_run.world.rng.sample(sorted(scenario_run.fleet.cores), loss_count)
+        pause_micros = scenario_run.world.rng.choice([0, SECOND, 2 * SECOND, LONG_PAUSE_MICROS])
         await scenario_run.destroy_and_replace(names, pause_micros)
         loss_description = f"{names} were lost, and replaced {pause_micros / SECOND:.0f} s later"
         start_micros = scenario_run.world.now()
@@ -426,13 +426,13 @@
             return
         if number % 2 == 0:
             scenario_run.fleet.freeze(leader)
-            await pause(scenario_run.world, scenario_run.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS]))
+            await pause(scenario_run.world, scenario_run.world.rng.choice([0, SECOND, LONG_PAUSE_MICROS]))
             scenario_run.add_replacement_core()
             await pause(scenario_run.world, STABILIZATION_MICROS)
             scenario_run.destroy_machine(leader)
         else:
             await scenario_run.destroy_and_replace(
-                [leader], scenario_run.world.chance.choice([0, SECOND, LONG_PAUSE_MICROS])
+                [leader], scenario_run.world.rng.choice([0, SECOND, LONG_PAUSE_MICROS])
             )
             await pause(scenario_run.world, STABILIZATION_MICROS)
         await scenario_run.expect_leader(f"the leader {leader} was replaced")
@@ -450,7 +450,7 @@
         if not leader:
             scenario_run.breach("not led in time", "no core leads at the start of a round")
             return
-        lagging = scenario_run.world.chance.choice(scenario_run.followers())
+        lagging = scenario_run.world.rng.choice(scenario_run.followers())
         pairs = scenario_run.fleet.cut([lagging], [leader])
         await scenario_run.operators.submit_next_change(ELECTION_LIMIT_MICROS, is_marked=False)
         scenario_run.fleet.kill(leader, loses_power=True)
--- a/src/pearhead/testbed/simulator/fault_schedule.py
+++ b/src/pearhead/testbed/simulator/fault_schedule.py
@@ -105,34 +105,34 @@
 
     def generate(self, seed: int) -> list[SimFault]:
         """Returns the faults of a seed, ordered by time and number; the same seed gives the same schedule."""
-        chance = random.Random(f"strikes/{seed}")
+        rng = random.Random(f"strikes/{seed}")
         sim_faults: list[SimFault] = []
         next_core_fault_micros = 0
         for number in range(SIM_FAULT_COUNT):
-            is_core = chance.random() < 0.35
-            kind = chance.choice(CORE_FAULT_KINDS if is_core else OTHER_FAULT_KINDS)
-            at_micros = chance.randrange(FAULT_WINDOW_MICROS)
-            fault_duration_micros = chance.randrange(500 * MILLI, 7 * SECOND)
+            is_core = rng.random() < 0.35
+            kind = rng.choice(CORE_FAULT_KINDS if is_core else OTHER_FAULT_KINDS)
+            at_micros = rng.randrange(FAULT_WINDOW_MICROS)
+            fault_duration_micros = rng.randrange(500 * MILLI, 7 * SECOND)
             if is_core:
-                at_micros = next_core_fault_micros + chance.randrange(2 * SECOND)
+                at_micros = next_core_fault_micros + rng.randrange(2 * SECOND)
                 if at_micros > FAULT_WINDOW_MICROS:
                     continue
                 # A new core becomes a voter only some time after it starts, and a frozen one first catches up its log.
                 next_core_fault_micros = at_micros + (
                     12 * SECOND if kind == "core-replaced" else fault_duration_micros + 2 * SECOND
                 )
-            sim_faults.append(SimFault(number, kind, at_micros, fault_duration_micros, chance.randrange(1_000)))
-        permanent_at_micros = max(f.at_micros + f.fault_duration_micros for f in sim_faults) + chance.randrange(
+            sim_faults.append(SimFault(number, kind, at_micros, fault_duration_micros, rng.randrange(1_000)))
+        permanent_at_micros = max(f.at_micros + f.fault_duration_micros for f in sim_faults) + rng.randrange(
             SECOND, 16 * SECOND
         )
         permanent_at_micros = max(permanent_at_micros, next_core_fault_micros)
         sim_faults.append(
             SimFault(
                 SIM_FAULT_COUNT,
-                chance.choice(FINAL_FAULT_KINDS),
+                rng.choice(FINAL_FAULT_KINDS),
                 permanent_at_micros,
                 0,
-                chance.randrange(1_000),
+                rng.randrange(1_000),
                 is_permanent=True,
             )
         )
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -148,7 +148,7 @@
             self.world.note(f"{name} must stop: {reason}")
             self.kill(name)
 
-        core = CoreProcess(startup, machine, SimNetwork(machine, startup.address), machine.disk, machine.chance, fail)
+        core = CoreProcess(startup, machine, SimNetwork(machine, startup.address), machine.disk, machine.rng, fail)
         core.task_group = machine.task_group
         self._record_bumps(core)
         self._record_grants(core)
@@ -177,7 +177,7 @@
                 machine, self.back_ends, lambda upstream_id, worker: self._record_send(name, upstream_id, worker)
             ),
             SimWorkerClient(machine, self.back_ends, self._record_worker_command),
-            machine.chance,
+            machine.rng,
         )
         # A crash cancels the tasks in the machine's task group, so all parts must use that one.
         for part in (node, node.view_replica, node.listener, node.lease_controller):
@@ -200,12 +200,12 @@
 
         model: WorkerModel | ApplicationModel | StoreModel
         if name == "store":
-            model = StoreModel(machine.chance)
+            model = StoreModel(machine.rng)
         elif name == "desk":
             model = ApplicationModel(machine, build_recording)
         else:
             model = WorkerModel(
-                machine, machine.chance, SimCacheFetcher(machine, self.back_ends, "store:2"), build_recording
+                machine, machine.rng, SimCacheFetcher(machine, self.back_ends, "store:2"), build_recording
             )
             model.speed = self.worker_speeds.setdefault(name, self._random_worker_speed())
         self.back_ends[address] = BackEnd(machine, model)
@@ -218,13 +218,13 @@
 
     def _random_worker_speed(self) -> WorkerSpeed:
         """Draws the speed of a worker; long results take between one and three seconds to stream."""
-        chance = self.world.chance
+        rng = self.world.rng
         return WorkerSpeed(
-            chance.randrange(40, 120),
-            chance.randrange(10, 25) * MILLI,
-            chance.randrange(120, 260) * MILLI,
-            chance.randrange(1_000, 2_500) * MILLI,
-            chance.random() < 0.5,
+            rng.randrange(40, 120),
+            rng.randrange(10, 25) * MILLI,
+            rng.randrange(120, 260) * MILLI,
+            rng.randrange(1_000, 2_500) * MILLI,
+            rng.random() < 0.5,
         )
 
     def worker(self, name: str) -> WorkerModel:
@@ -457,7 +457,7 @@
 
     async def command(self, command: Command, core_name: str = "") -> CommandResult | None:
         """Sends an operator's command once, to the named core or a random one; None if no answer came."""
-        core_name = core_name or self.world.chance.choice(sorted(self.cores))
+        core_name = core_name or self.world.rng.choice(sorted(self.cores))
         machine = self.world.machine(core_name)
 
         async def work() -> CommandResult:
@@ -480,7 +480,7 @@
 
         async def burst() -> None:
             while True:
-                await pause(self.world, round(self.world.chance.expovariate(jobs_per_second) * SECOND))
+                await pause(self.world, round(self.world.rng.expovariate(jobs_per_second) * SECOND))
                 self.job_number += 1
                 job: dict[str, Any] = {
                     "model": self.deployment.line,
@@ -490,7 +490,7 @@
                 }
                 if kind == self.deployment.long_kind:
                     job.update(body=f"long {self.job_number}", prefix=[{"part": 900, "tokens": 2_000}])
-                node_name = self.world.chance.choice(sorted(self.nodes))
+                node_name = self.world.rng.choice(sorted(self.nodes))
                 call_task = self.world.loop.create_task(discard_call_result(self.call(node_name, tenant, job)))
                 self.open_jobs.add(call_task)
                 call_task.add_done_callback(self.open_jobs.discard)
@@ -508,7 +508,7 @@
 
     def new_transaction_id(self) -> bytes:
         """Returns a random transaction id, by which the cores recognize a repeated command."""
-        return self.world.chance.randbytes(8)
+        return self.world.rng.randbytes(8)
 
     async def set_workers(self, removed: tuple[str, ...] = ()) -> None:
         """Sends the platform's complete list of workers, without `removed`. Operators' marks are not part of it."""
@@ -571,8 +571,8 @@
 
     async def _read_periodically(self) -> None:
         while True:
-            await pause(self.world, self.world.chance.randrange(50 * MILLI, 400 * MILLI))
-            core = self.cores[self.world.chance.choice(sorted(self.cores))]
+            await pause(self.world, self.world.rng.randrange(50 * MILLI, 400 * MILLI))
+            core = self.cores[self.world.rng.choice(sorted(self.cores))]
             if not hasattr(core, "raft"):
                 continue
             start_micros = self.world.now()
@@ -638,14 +638,14 @@
 
     async def _generate_load(self, jobs_per_second: float) -> None:
         while True:
-            await pause(self.world, round(self.world.chance.expovariate(jobs_per_second) * SECOND))
+            await pause(self.world, round(self.world.rng.expovariate(jobs_per_second) * SECOND))
             call_task = self.world.loop.create_task(self._send_random_job())
             self.open_jobs.add(call_task)
             call_task.add_done_callback(self.open_jobs.discard)
 
     async def _send_random_job(self) -> None:
         self.job_number += 1
-        tenant, job = generate_job(self.deployment, self.world.chance, self.job_number)
+        tenant, job = generate_job(self.deployment, self.world.rng, self.job_number)
         open_nodes = [n for n in sorted(self.nodes) if n not in self.detected_dead and self._accepts_connections(n)]
         if not open_nodes:
             # No node accepts connections, so the job counts as refused.
@@ -653,7 +653,7 @@
                 job, tenant, "", self.world.now(), outcome="unreached", is_refused=True, end_micros=self.world.now()
             )
             return
-        await self.call(self.world.chance.choice(open_nodes), tenant, job)
+        await self.call(self.world.rng.choice(open_nodes), tenant, job)
 
     def _accepts_connections(self, node_name: str) -> bool:
         """Whether the platform gives connections to a node: one that is starting gets them only once it is open.
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -121,7 +121,7 @@
         while any(n.view_replica.view.description_revision < revision for n in fleet.nodes.values()):
             await pause(fleet.world, 5 * MILLI)
         times.append((fleet.world.now() - start_micros) / MILLI)
-        await pause(fleet.world, fleet.world.chance.randrange(SECOND))
+        await pause(fleet.world, fleet.world.rng.randrange(SECOND))
     return {
         "acknowledged to in force on all nodes, ms (mean)": statistics.mean(times),
         "acknowledged to in force on all nodes, ms (worst)": max(times),
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -59,7 +59,7 @@
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
         ) -> AsyncGenerator[dict[str, Any], None]:
             async for event in real_send_job(worker_address, upstream_job, may_begin):
-                if "usage" in event or node.chance.random() > 0.05:
+                if "usage" in event or node.rng.random() > 0.05:
                     yield event
 
         node.carrier.send_job = send_job  # type: ignore[method-assign]
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -101,7 +101,7 @@
         end_micros = self.world.now() + limit_micros
         request_timeout_micros = first_timeout_micros or REQUEST_TIMEOUT_MICROS
         while self.world.now() < end_micros:
-            core_name = self.world.chance.choice(sorted(self.fleet.cores))
+            core_name = self.world.rng.choice(sorted(self.fleet.cores))
             attempt = await self.ask(change, core_name, request_timeout_micros)
             if attempt.status in (DONE, *DEFINITE_REFUSALS):
                 return attempt.status
@@ -167,8 +167,8 @@
 
     async def _read_periodically(self) -> None:
         while True:
-            await pause(self.world, self.world.chance.randrange(*READ_PAUSE_MICROS))
-            await self.read(self.world.chance.choice(sorted(self.fleet.cores)))
+            await pause(self.world, self.world.rng.randrange(*READ_PAUSE_MICROS))
+            await self.read(self.world.rng.choice(sorted(self.fleet.cores)))
 
     async def submit_conflicting_changes(self, count: int = 8) -> None:
         """Sends `count` conflicting changes concurrently, all on one base.
@@ -180,8 +180,8 @@
         contents = [self.next_content() for _ in range(count - 2)]
         changes = [Change(base, base + 1, content) for content in contents]
         changes += [Change(base, base + 2, contents[0]), Change(base, base + 1, contents[1])]
-        chance = self.world.chance
-        first_timeouts = [chance.randrange(1 * MILLI, 15 * MILLI) if chance.random() < 0.5 else 0 for _ in changes]
+        rng = self.world.rng
+        first_timeouts = [rng.randrange(1 * MILLI, 15 * MILLI) if rng.random() < 0.5 else 0 for _ in changes]
         changes_and_timeouts = zip(changes, first_timeouts, strict=True)
         await asyncio.gather(
             *(
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -44,15 +44,15 @@
     for record in sender.members():
         if record.address in listeners:
             by_area.setdefault(record.area, []).append(record.address)
-    chance = random.Random(1)
+    rng = random.Random(1)
     direct_reached_count = relay_reached_count = relay_sent_count = 0
     for _ in range(BROADCAST_TRIALS):
-        direct_reached_count += sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in listeners)
+        direct_reached_count += sum(rng.random() >= DATAGRAM_LOSS_SHARE for _ in listeners)
         for addresses in by_area.values():
             relay_sent_count += 1
-            if chance.random() >= DATAGRAM_LOSS_SHARE:
+            if rng.random() >= DATAGRAM_LOSS_SHARE:
                 relay_sent_count += len(addresses) - 1
-                relay_reached_count += 1 + sum(chance.random() >= DATAGRAM_LOSS_SHARE for _ in addresses[1:])
+                relay_reached_count += 1 + sum(rng.random() >= DATAGRAM_LOSS_SHARE for _ in addresses[1:])
     return {
         "sender's burst, direct": len(listeners),
         "sender's burst, relays": len(by_area),
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -99,7 +99,7 @@
     for name in names:
         fleet.kill(name, loses_power=True)
     await pause(fleet.world, 2 * SECOND)
-    fleet.world.chance.shuffle(names)
+    fleet.world.rng.shuffle(names)
     for name in names:
         fleet.start(name)
         await pause(fleet.world, SECOND // len(names))
@@ -210,7 +210,7 @@
     frozen_connections = freeze_nodes_on_connect(fleet, COMMAND_CONNECTION, names[: len(names) - 2])
     await fleet.name_weights("w2")
     await fleet.wait_until(lambda: bool(frozen_connections), "a lease holder freezes as it connects to a worker")
-    await pause(fleet.world, fleet.world.chance.randrange(5 * SECOND, 10 * SECOND))
+    await pause(fleet.world, fleet.world.rng.randrange(5 * SECOND, 10 * SECOND))
     fleet.world.connect_hooks.clear()
     for name, _ in frozen_connections:
         fleet.wake(name)
@@ -251,7 +251,7 @@
 
     Meanwhile a tenant is withdrawn, workers are marked as leaving, and the weights change.
     """
-    name = fleet.world.chance.choice(sorted(fleet.nodes))
+    name = fleet.world.rng.choice(sorted(fleet.nodes))
     fleet.world.note(f"cuts {name} off from cores and nodes")
     fleet.cut([name], [*sorted(fleet.cores), *sorted(fleet.nodes)])
     await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
@@ -279,8 +279,8 @@
 @scenario
 async def worker_freezes(fleet: SimFleet) -> None:
     """A worker freezes: only its process, so that its kernel still accepts connections, or its whole machine."""
-    name = f"worker-{fleet.world.chance.randrange(fleet.worker_count) + 1}"
-    fleet.world.machine(name).kernel_accepts_connections = fleet.world.chance.random() < 0.7
+    name = f"worker-{fleet.world.rng.randrange(fleet.worker_count) + 1}"
+    fleet.world.machine(name).kernel_accepts_connections = fleet.world.rng.random() < 0.7
     fleet.freeze(name)
     await wait_for_recovery(fleet)
     fleet.wake(name)
@@ -295,8 +295,8 @@
 
     async def body(fleet: SimFleet) -> None:
         await fleet.name_weights("w2")
-        await pause(fleet.world, fleet.world.chance.randrange(15 * SECOND))
-        target_index = fleet.world.chance.randrange(100)
+        await pause(fleet.world, fleet.world.rng.randrange(15 * SECOND))
+        target_index = fleet.world.rng.randrange(100)
         names = {
             "leader": [fleet.leader() or "core-1"],
             "node": sorted(fleet.nodes),
@@ -405,7 +405,7 @@
         name = fleet.leader() if number % 2 else f"core-{number // 2 + 1}"
         fleet.kill(name, loses_power=True)
         fleet.world.machine(name).disk.empty()
-        await pause(fleet.world, fleet.world.chance.randrange(300 * MILLI, 4 * SECOND))
+        await pause(fleet.world, fleet.world.rng.randrange(300 * MILLI, 4 * SECOND))
         fleet.start(name)
         await fleet.wait_until(
             lambda: all(
@@ -464,13 +464,13 @@
 
     Two nodes are cut off from cores and other nodes during the first two changes.
     """
-    chance = fleet.world.chance
+    rng = fleet.world.rng
     names = sorted(fleet.nodes)[:2]
     fleet.world.note(f"cuts {names} off from cores and nodes")
     pairs = fleet.cut(names, [*sorted(fleet.cores), *sorted(fleet.nodes)])
     for number in range(4):
         await fleet.name_weights(f"w{number + 2}")
-        await pause(fleet.world, chance.randrange(4 * SECOND, 8 * SECOND))
+        await pause(fleet.world, rng.randrange(4 * SECOND, 8 * SECOND))
         if number == 1:
             fleet.restore_links(pairs)
     await wait_for_recovery(fleet)
@@ -563,12 +563,12 @@
     That affects view terms, worker leases, roll-out waves and revision tables, which all run during other faults.
     """
     for name in sorted(fleet.world.machines):
-        fleet.world.machine(name).set_rate(fleet.world.chance.uniform(0.98, 1.02))
+        fleet.world.machine(name).set_rate(fleet.world.rng.uniform(0.98, 1.02))
     pairs = fleet.cut(["node-1"], [*sorted(fleet.cores), *sorted(fleet.nodes)])
     await fleet.mark_leaving("worker-1")
     await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.name_weights("w2")
-    holder = fleet.world.chance.choice(sorted(fleet.nodes)[1:])
+    holder = fleet.world.rng.choice(sorted(fleet.nodes)[1:])
     fleet.freeze(holder)
     await pause(fleet.world, 6 * SECOND)
     fleet.restore_links(pairs)
@@ -620,7 +620,7 @@
             )
             for part in range(60)
         ]
-        await pause(fleet.world, fleet.world.chance.randrange(2 * SECOND, 5 * SECOND))
+        await pause(fleet.world, fleet.world.rng.randrange(2 * SECOND, 5 * SECOND))
         if apply_task.done():
             fleet.ledger.breaches.append("an apply was acknowledged by one disk of three")
         for name in names[:2]:
@@ -660,7 +660,7 @@
 async def half_the_workers_down(fleet: SimFleet) -> None:
     """Half of the workers are down; the rest has capacity for all jobs, and must serve them meanwhile."""
     names = fleet.current_workers()
-    fleet.world.chance.shuffle(names)
+    fleet.world.rng.shuffle(names)
     for name in names[: len(names) // 2]:
         fleet.kill(name)
     await wait_for_recovery(fleet)
@@ -685,8 +685,8 @@
     owner = f"tenant:{fleet.deployment.tenant_names[0]}"
     tasks = []
     for number in range(30):
-        node = fleet.nodes[fleet.world.chance.choice(sorted(fleet.nodes))]
-        part = fleet.world.chance.randrange(1, 4)
+        node = fleet.nodes[fleet.world.rng.choice(sorted(fleet.nodes))]
+        part = fleet.world.rng.randrange(1, 4)
         tasks.append(fleet.world.loop.create_task(node.listener.bump(owner, fleet.deployment.line, part)))
         await pause(fleet.world, 150 * MILLI)
         if number in (8, 20):
@@ -866,19 +866,19 @@
     Each is reported once or twice by one holder, and later by the store and by another holder. From `limit_micros`
     after the first report on, no job may run on the old copies; the ledger checks that.
     """
-    chance = fleet.world.chance
+    rng = fleet.world.rng
     hot_keys = [k for _, r in fleet.ledger.runs[-200:] for k in r.reused_keys]
     keys = sorted(set(hot_keys), key=lambda k: (-hot_keys.count(k), k))[:3]
     reporting_workers = [fleet.worker(name) for name in fleet.current_workers()]
     for key in keys:
         holding_workers = [t for t in reporting_workers if key in t.cache] or reporting_workers
         first, late = holding_workers[0], holding_workers[-1]
-        for _ in range(chance.choice([1, 2])):
+        for _ in range(rng.choice([1, 2])):
             first.log.append_event("changed", key)
         store = fleet.back_ends["store:2"].model
         assert isinstance(store, StoreModel)
-        fleet.world.loop.call_later(chance.uniform(0.1, 1.5), store.log.append_event, "changed", key)
-        fleet.world.loop.call_later(chance.uniform(2.0, 4.0), late.log.append_event, "changed", key)
+        fleet.world.loop.call_later(rng.uniform(0.1, 1.5), store.log.append_event, "changed", key)
+        fleet.world.loop.call_later(rng.uniform(2.0, 4.0), late.log.append_event, "changed", key)
         fleet.ledger.changes.append((key, fleet.world.now(), limit_micros))
     if not keys:
         fleet.ledger.breaches.append("no cached part was in use that could be reported as changed")
@@ -967,23 +967,23 @@
 @scenario
 async def mixed_faults(fleet: SimFleet) -> None:
     """Random faults of all kinds in turn; each ends before the next one begins."""
-    chance = fleet.world.chance
+    rng = fleet.world.rng
     weights_number = 2
     for number in range(6):
-        fault_kind = chance.choice(["kill", "freeze", "cut", "apply", "weights", "power", "loss"])
-        name = chance.choice([n for n in sorted(fleet.world.machines) if n not in ("store", "desk")])
+        fault_kind = rng.choice(["kill", "freeze", "cut", "apply", "weights", "power", "loss"])
+        name = rng.choice([n for n in sorted(fleet.world.machines) if n not in ("store", "desk")])
         fleet.world.note(f"draws {fault_kind} {name}")
         if fault_kind in ("kill", "power"):
             fleet.kill(name, loses_power=fault_kind == "power")
-            await pause(fleet.world, chance.randrange(500 * MILLI, 4 * SECOND))
+            await pause(fleet.world, rng.randrange(500 * MILLI, 4 * SECOND))
             fleet.start(name)
         elif fault_kind == "freeze":
             fleet.freeze(name)
-            await pause(fleet.world, chance.randrange(500 * MILLI, 6 * SECOND))
+            await pause(fleet.world, rng.randrange(500 * MILLI, 6 * SECOND))
             fleet.wake(name)
         elif fault_kind == "cut":
-            fleet.cut([name], sorted(fleet.world.machines), both_ways=chance.random() < 0.6)
-            await pause(fleet.world, chance.randrange(500 * MILLI, 5 * SECOND))
+            fleet.cut([name], sorted(fleet.world.machines), both_ways=rng.random() < 0.6)
+            await pause(fleet.world, rng.randrange(500 * MILLI, 5 * SECOND))
             fleet.heal()
         elif fault_kind == "apply":
             await fleet.apply(fleet.marked_description(str(number)))
@@ -991,8 +991,8 @@
             await fleet.name_weights(f"w{weights_number}")
             weights_number += 1
         else:
-            fleet.set_datagram_loss(chance.choice([0.0, 0.1, 0.3]))
-        await pause(fleet.world, chance.randrange(200 * MILLI, 3 * SECOND))
+            fleet.set_datagram_loss(rng.choice([0.0, 0.1, 0.3]))
+        await pause(fleet.world, rng.randrange(200 * MILLI, 3 * SECOND))
     fleet.set_datagram_loss(0.0)
     await wait_for_recovery(fleet)
 
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -29,7 +29,7 @@
     is frozen, and dropped once the process that they were meant for has ended.
 
     Attributes:
-        chance: Random generator of this machine.
+        rng: Random generator of this machine.
         clock_rate: How fast its clock runs, compared with the world's.
         kernel_accepts_connections: Whether connections are accepted while it is frozen.
         boot_count: Number of starts; tells the runs of the process apart.
@@ -40,9 +40,9 @@
     def __init__(self, world: World, name: str) -> None:
         self.world = world
         self.name = name
-        self.chance = random.Random(world.chance.getrandbits(64))
+        self.rng = random.Random(world.rng.getrandbits(64))
         # Clocks of different machines have unrelated offsets, and set_rate() makes them drift.
-        self.clock_base = self.chance.randrange(10**6, 10**12)
+        self.clock_base = self.rng.randrange(10**6, 10**12)
         self.clock_rate_set_at = 0
         self.clock_rate = 1.0
         self.is_alive = False
@@ -166,7 +166,7 @@
     async def append(self, file_name: str, content_bytes: bytes) -> None:
         """Appends to a file, made if needed, and syncs it. Raises OSError if the disk is full."""
         if self.is_full:
-            kept_size = self.machine.chance.randrange(len(content_bytes) + 1)
+            kept_size = self.machine.rng.randrange(len(content_bytes) + 1)
             self.files[file_name] = self.files.get(file_name, b"") + content_bytes[:kept_size]
             raise OSError(errno.ENOSPC, "no space left")
         self.unsynced[file_name] = content_bytes
@@ -193,7 +193,7 @@
 
     async def _sync(self) -> None:
         self.sync_count += 1
-        await sleep_for(self.machine, self.machine.chance.randrange(*DISK_SYNC_MICROS) * self.slowness)
+        await sleep_for(self.machine, self.machine.rng.randrange(*DISK_SYNC_MICROS) * self.slowness)
         while self.is_stalled:
             await sleep_for(self.machine, 50 * MILLI)
 
@@ -201,7 +201,7 @@
         """Settles which bytes of the appends in progress survive."""
         for file_name, content_bytes in self.unsynced.items():
             # A power loss keeps any prefix of the append; after a kill the operating system still writes all of it.
-            kept_size = self.machine.chance.randrange(len(content_bytes) + 1) if loses_power else len(content_bytes)
+            kept_size = self.machine.rng.randrange(len(content_bytes) + 1) if loses_power else len(content_bytes)
             self.files[file_name] = self.files.get(file_name, b"") + content_bytes[:kept_size]
         self.unsynced = {}
 
@@ -214,7 +214,7 @@
     """All machines of a run, the links between them and the faults of these links.
 
     Attributes:
-        chance: Random generator that decides everything outside the machines.
+        rng: Random generator that decides everything outside the machines.
         cuts: Blocked directions, as pairs of the sender's and the receiver's name.
         connect_hooks: By node and connection purpose, called once with the worker's machine when a handshake is done,
             before the node learns of it.
@@ -230,7 +230,7 @@
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
         self.seed = seed
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.machines: dict[str, Machine] = {}
         self.networks_by_address: dict[str, SimNetwork] = {}
         self.cuts: set[tuple[str, str]] = set()
@@ -280,7 +280,7 @@
 
     def link_micros(self) -> int:
         """Draws the latency of one message."""
-        return self.chance.randrange(*LINK_LATENCY_MICROS)
+        return self.rng.randrange(*LINK_LATENCY_MICROS)
 
     def transmit(self, source: Machine, target_address: str, frame_bytes: bytes, is_stream: bool) -> None:
         """Sends a frame or datagram to an address, subject to the faults of the link."""
@@ -294,14 +294,14 @@
         target = target_net.machine
         copy_count = 1
         if not is_stream:
-            if self.chance.random() < self.datagram_loss:
+            if self.rng.random() < self.datagram_loss:
                 return
-            copy_count += self.chance.random() < self.datagram_duplication
+            copy_count += self.rng.random() < self.datagram_duplication
         departure_micros = self._departure(source, frame_bytes, is_stream)
         if departure_micros is None:
             return
         for _ in range(copy_count):
-            arrival_micros = departure_micros + self.link_micros() * (1 if is_stream else self.chance.randrange(1, 4))
+            arrival_micros = departure_micros + self.link_micros() * (1 if is_stream else self.rng.randrange(1, 4))
             if is_stream:
                 pair = (source.name, target.name)
                 arrival_micros = max(arrival_micros, self.last_arrivals.get(pair, 0) + 1)
--- a/src/pearhead/testbed/soak/fault_proxy.py
+++ b/src/pearhead/testbed/soak/fault_proxy.py
@@ -111,21 +111,21 @@
             writer.write_eof()
 
     def _apply_response_faults(self) -> None:
-        fault, chance = self.proxy.fault, self.proxy.chance
-        if chance.random() < fault.reset_probability:
+        fault, rng = self.proxy.fault, self.proxy.rng
+        if rng.random() < fault.reset_probability:
             raise ConnectionResetError
-        if chance.random() < fault.loss_probability:
+        if rng.random() < fault.loss_probability:
             self.is_discarding = True
 
 
 class FaultProxy:
     """Listens at one address and forwards to another, as far as the current fault allows.
 
-    `chance` draws which chunks are reset or lost.
+    `rng` draws which chunks are reset or lost.
     """
 
-    def __init__(self, address: str, target_address: str, chance: random.Random) -> None:
-        self.address, self.target_address, self.chance = address, target_address, chance
+    def __init__(self, address: str, target_address: str, rng: random.Random) -> None:
+        self.address, self.target_address, self.rng = address, target_address, rng
         self.fault = NO_LINK_FAULT
         self.connections: set[ProxiedConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
--- a/src/pearhead/testbed/soak/fault_runner.py
+++ b/src/pearhead/testbed/soak/fault_runner.py
@@ -52,7 +52,7 @@
     ) -> None:
         self.fleet, self.clock, self.seed = fleet, fleet.clock, seed
         self.operator_sink, self.on_config_accepted = operator_sink, on_config_accepted
-        self.chance = random.Random(f"faults {seed}")
+        self.rng = random.Random(f"faults {seed}")
         self.operator_lock = asyncio.Lock()
         self.process_locks: defaultdict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
         self.operation_count = 0
@@ -212,8 +212,8 @@
 
     def _key_revocation_patch(self, base_config: dict[str, Any]) -> dict[str, Any]:
         """A patch that replaces the first key of a random tenant by a new one."""
-        tenant = copy.deepcopy(self.chance.choice(base_config["Tenants"]))
-        tenant["Keys"] = [*tenant["Keys"][1:], self.chance.randbytes(10).hex()]
+        tenant = copy.deepcopy(self.rng.choice(base_config["Tenants"]))
+        tenant["Keys"] = [*tenant["Keys"][1:], self.rng.randbytes(10).hex()]
         return {"Revision": base_config["Revision"] + 1, "Upsert": {"Tenants": [tenant]}}
 
     async def _name_weights(self) -> None:
--- a/src/pearhead/testbed/soak/fleet.py
+++ b/src/pearhead/testbed/soak/fleet.py
@@ -105,11 +105,11 @@
 
     # ---- proxies -----------------------------------------------------------------------------------
 
-    async def open_proxies(self, chance: random.Random) -> None:
+    async def open_proxies(self, rng: random.Random) -> None:
         """Opens a proxy for each core node, front node and worker, and for the cloud API. Raises OSError."""
         for machine in self.site.of(*PROXIED_PORTS):
             port = PROXIED_PORTS[machine.program]
-            proxy = FaultProxy(f"{proxy_ip(machine.ip)}:{port}", f"{machine.ip}:{port}", chance)
+            proxy = FaultProxy(f"{proxy_ip(machine.ip)}:{port}", f"{machine.ip}:{port}", rng)
             await proxy.open()
             self.proxies[machine.name] = proxy
 
--- a/src/pearhead/testbed/soak/schedule.py
+++ b/src/pearhead/testbed/soak/schedule.py
@@ -161,7 +161,7 @@
 
     def __init__(self, profile: SoakProfile, seed: int) -> None:
         self.profile = profile
-        self.chance = random.Random(f"soak {seed}")
+        self.rng = random.Random(f"soak {seed}")
         self.names = {
             "core": tuple(f"core-{n + 1}" for n in range(profile.cores)),
             "front": tuple(f"front-{n + 1}" for n in range(profile.fronts)),
@@ -186,7 +186,7 @@
         self, draft: _ScheduleDraft, kinds: tuple[FaultKind, ...], lane: int, begin_micros: int, end_micros: int
     ) -> None:
         """Draws faults one after another; faults of different lanes overlap."""
-        at = begin_micros + self.chance.randrange(LANE_GAP_MICROS * (lane + 1))
+        at = begin_micros + self.rng.randrange(LANE_GAP_MICROS * (lane + 1))
         while kinds and at < end_micros:
             is_first = lane == 0 and at < begin_micros + SECOND and FaultKind.ROLLING_RESTART in kinds
             fault = self._draw(draft, kinds, at, end_micros, is_first)
@@ -194,55 +194,55 @@
                 at += LANE_GAP_MICROS
                 continue
             draft.add(fault)
-            at += max(fault.duration_micros, LANE_GAP_MICROS) + self.chance.randrange(LANE_GAP_MICROS)
+            at += max(fault.duration_micros, LANE_GAP_MICROS) + self.rng.randrange(LANE_GAP_MICROS)
 
     def _draw(
         self, draft: _ScheduleDraft, kinds: tuple[FaultKind, ...], at: int, end_micros: int, is_first: bool
     ) -> ScheduledFault | None:
         """A fault whose processes are free at that time; None after MAX_DRAWS. `is_first`: draws a rolling restart."""
         for _ in range(MAX_DRAWS):
-            kind = FaultKind.ROLLING_RESTART if is_first else self.chance.choice(kinds)
+            kind = FaultKind.ROLLING_RESTART if is_first else self.rng.choice(kinds)
             targets = self._draw_targets(kind)
             duration_micros = min(self._draw_duration(kind, len(targets)), end_micros - at)
             if draft.are_free(targets, at) and duration_micros > 0:
-                return ScheduledFault(at, duration_micros, kind, targets, self.chance.randrange(3))
+                return ScheduledFault(at, duration_micros, kind, targets, self.rng.randrange(3))
         return None
 
     def _draw_targets(self, kind: FaultKind) -> tuple[str, ...]:
-        chance, names = self.chance, self.names
+        rng, names = self.rng, self.names
         match kind:
             case FaultKind.ROLLING_RESTART:
                 max_count = max(1, self.profile.fronts - 1)
-                return tuple(chance.sample(names["front"], chance.randint(min(2, max_count), max_count)))
+                return tuple(rng.sample(names["front"], rng.randint(min(2, max_count), max_count)))
             case FaultKind.RELOAD:
                 reloadable = (*names["core"], *names["front"])
-                return tuple(chance.sample(reloadable, chance.randint(1, 4)))
+                return tuple(rng.sample(reloadable, rng.randint(1, 4)))
             case FaultKind.CONFIG_CHANGE | FaultKind.KEY_REVOCATION | FaultKind.NAME_WEIGHTS:
                 return ()
             case FaultKind.KILL_ALL_CORES:
                 return names["core"]
             case FaultKind.KILL_CORE | FaultKind.FREEZE_CORE:
-                return (chance.choice(names["core"]),)
+                return (rng.choice(names["core"]),)
             case FaultKind.KILL_FRONT | FaultKind.FREEZE_FRONT:
-                return tuple(chance.sample(names["front"], chance.randint(1, 2)))
+                return tuple(rng.sample(names["front"], rng.randint(1, 2)))
             case FaultKind.LIST_SLOW | FaultKind.LIST_REFUSES | FaultKind.LIST_RATE_LIMITS:
                 return (CLOUD_PROCESS,)
             case FaultKind.CUT_LINK | FaultKind.DELAY_LINK | FaultKind.LOSE_ANSWERS | FaultKind.RESET_ANSWERS:
-                group = chance.choice(("core", "front", "worker"))
-                return (chance.choice(names[group]),)
+                group = rng.choice(("core", "front", "worker"))
+                return (rng.choice(names[group]),)
             case _:
-                return (chance.choice(names["worker"]),)
+                return (rng.choice(names["worker"]),)
 
     def _draw_duration(self, kind: FaultKind, target_count: int) -> int:
         """How long a fault lasts; for planned work, the time until the next fault of its lane may begin."""
         match kind:
             case FaultKind.ROLLING_RESTART:
-                return target_count * self.chance.randrange(300 * MILLI, 1_500 * MILLI)
+                return target_count * self.rng.randrange(300 * MILLI, 1_500 * MILLI)
             case FaultKind.CONFIG_CHANGE | FaultKind.KEY_REVOCATION | FaultKind.RELOAD:
-                return self.chance.randrange(1 * SECOND, 3 * SECOND)
+                return self.rng.randrange(1 * SECOND, 3 * SECOND)
             case FaultKind.NAME_WEIGHTS:
-                return self.chance.randrange(3 * SECOND, 6 * SECOND)
+                return self.rng.randrange(3 * SECOND, 6 * SECOND)
             case FaultKind.WORKER_LEAVES:
-                return self.chance.randrange(2 * SECOND, 4 * SECOND)
+                return self.rng.randrange(2 * SECOND, 4 * SECOND)
             case _:
-                return self.chance.randrange(200 * MILLI, 4 * SECOND)
+                return self.rng.randrange(200 * MILLI, 4 * SECOND)
--- a/src/pearhead/testbed/soak/traffic.py
+++ b/src/pearhead/testbed/soak/traffic.py
@@ -24,8 +24,8 @@
 class RequestSource:
     """Draws requests for the newest configuration, and some for an older one, whose keys may be revoked."""
 
-    def __init__(self, plan: SitePlan, config: dict[str, Any], chance: random.Random) -> None:
-        self.plan, self.chance = plan, chance
+    def __init__(self, plan: SitePlan, config: dict[str, Any], rng: random.Random) -> None:
+        self.plan, self.rng = plan, rng
         self.generators: list[RequestGenerator] = []
         self.use_config(config)
 
@@ -35,12 +35,12 @@
         added_routes = [r["Name"] for r in config["RouteTable"] if r["Name"] not in known_routes]
         template = self.plan.kinds[0]
         kinds = [*self.plan.kinds, *(replace(template, route=name, share=0.1) for name in added_routes)]
-        self.generators.append(RequestGenerator(replace(self.plan, kinds=kinds), config, self.chance))
+        self.generators.append(RequestGenerator(replace(self.plan, kinds=kinds), config, self.rng))
 
     def pick_generator(self) -> RequestGenerator:
         """Returns the generator to draw the next request from."""
-        is_old = len(self.generators) > 1 and self.chance.random() < OLD_CONFIG_PROBABILITY
-        return self.chance.choice(self.generators[:-1]) if is_old else self.generators[-1]
+        is_old = len(self.generators) > 1 and self.rng.random() < OLD_CONFIG_PROBABILITY
+        return self.rng.choice(self.generators[:-1]) if is_old else self.generators[-1]
 
 
 class SoakClient(SiteClient):
@@ -101,20 +101,20 @@
         self.stop_requested.set()
 
     async def _run_client(self, number: int) -> None:
-        chance = random.Random(f"client {self.seed} {number} {self.clock.now()}")
-        client = SoakClient(f"client-{number}", self.entry, self.clock, chance, self.sink)
+        rng = random.Random(f"client {self.seed} {number} {self.clock.now()}")
+        client = SoakClient(f"client-{number}", self.entry, self.clock, rng, self.sink)
         client.proxies = self.proxies
         while True:
-            await self._pause(chance)
+            await self._pause(rng)
             if self.stop_requested.is_set():
                 break
             await client.call(self.source.pick_generator().draw(), self.report)
         client.close()
 
-    async def _pause(self, chance: random.Random) -> None:
-        is_long = chance.random() < LONG_PAUSE_PROBABILITY
+    async def _pause(self, rng: random.Random) -> None:
+        is_long = rng.random() < LONG_PAUSE_PROBABILITY
         max_pause_micros = self.longest_pause_micros if is_long else SECOND
-        pause_task = asyncio.ensure_future(sleep_for(self.clock, chance.randrange(MIN_PAUSE_MICROS, max_pause_micros)))
+        pause_task = asyncio.ensure_future(sleep_for(self.clock, rng.randrange(MIN_PAUSE_MICROS, max_pause_micros)))
         stop_task = asyncio.ensure_future(self.stop_requested.wait())
         await asyncio.wait([pause_task, stop_task], return_when=asyncio.FIRST_COMPLETED)
         pause_task.cancel()
--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -217,9 +217,9 @@
 
     A worker writes its parts to the store at `store_address`, unless that is empty.
     """
-    clock, chance = BootClock(), random.Random()
+    clock, rng = BootClock(), random.Random()
     if role == "store":
-        store = StoreModel(chance)
+        store = StoreModel(rng)
         return Application(
             [("/v1/kv_events", EventsHandler, {"model": store}), ("/v1/kv/(.+)", CachedPartHandler, {"model": store})],
             log_function=lambda handler: None,
@@ -234,7 +234,7 @@
             log_function=lambda handler: None,
         )
     link = HttpCacheFetcher(store_address)
-    worker = WorkerModel(clock, chance, link)
+    worker = WorkerModel(clock, rng, link)
     return Application(
         [
             ("/v1/completions", CompletionsHandler, {"model": worker}),
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -147,14 +147,14 @@
     def __init__(
         self,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         link: CacheFetcher,
         on_run: Callable[[RunRecord], None] = lambda record: None,
     ) -> None:
         self.clock = clock
         self.link = link
         self.on_run = on_run
-        self.log = CacheEventLog(chance.randbytes(8).hex())
+        self.log = CacheEventLog(rng.randbytes(8).hex())
         self.loaded_model = ""
         self.loading_model = ""
         self.load_count = 0
@@ -348,8 +348,8 @@
 class StoreModel:
     """The shared store of cached parts. It does not check for whom parts are written or read."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.log = CacheEventLog(chance.randbytes(8).hex())
+    def __init__(self, rng: random.Random) -> None:
+        self.log = CacheEventLog(rng.randbytes(8).hex())
         self.kept: OrderedDict[str, CachedPart] = OrderedDict()
 
     def put(self, key: str, kept: CachedPart) -> None:
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -85,11 +85,11 @@
         net = SimNetwork(machine, f"{name}:1")
         rpc_endpoint = RpcEndpoint(name, f"{name}:1", net, machine)
         record = Record(identity=name, address=f"{name}:1", role="router")
-        directory = Directory(record, [CORE], rpc_endpoint, machine, machine.chance)
+        directory = Directory(record, [CORE], rpc_endpoint, machine, machine.rng)
         self.listener = RevisionListener(
-            rpc_endpoint, directory, machine, machine.chance, machine.task_group, LIFETIME_MICROS
+            rpc_endpoint, directory, machine, machine.rng, machine.task_group, LIFETIME_MICROS
         )
-        view_replica = ViewReplica(rpc_endpoint, directory, machine, machine.chance, machine.task_group, SECOND)
+        view_replica = ViewReplica(rpc_endpoint, directory, machine, machine.rng, machine.task_group, SECOND)
         self.index = CopyIndex()
         self.lease_controller = WorkerLeaseController(
             name,
@@ -100,7 +100,7 @@
             rpc_endpoint,
             directory,
             machine,
-            machine.chance,
+            machine.rng,
             machine.task_group,
             3 * SECOND,
         )
@@ -132,7 +132,7 @@
         machine.boot()
         rpc_endpoint = RpcEndpoint("core", CORE, SimNetwork(machine, CORE), machine)
         record = Record(identity="core", address=CORE, role="control_plane")
-        directory = Directory(record, [], rpc_endpoint, machine, machine.chance)
+        directory = Directory(record, [], rpc_endpoint, machine, machine.rng)
         sequencer = RevisionSequencer(self.core, rpc_endpoint, directory, machine, machine.task_group, LIFETIME_MICROS)
         sequencer.join_volumes([(OWNER, LINE)])
         machine.task_group.start(directory.run())
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -116,7 +116,7 @@
             for name in [leader, *others]:
                 fleet.kill(name, loses_power=True)
             for name in [leader, *others]:
-                await pause(fleet.world, fleet.world.chance.randrange(SECOND // (len(others) + 1)))
+                await pause(fleet.world, fleet.world.rng.randrange(SECOND // (len(others) + 1)))
                 fleet.start(name)
             self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 1.3)
 
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -44,7 +44,7 @@
         Returns how many descriptions were acknowledged, and how many each core and the node have after the restart.
         `calm_micros` is the time between the core's return and the second change; None waits until it has a vote.
         """
-        chance = fleet.world.chance
+        rng = fleet.world.rng
         names = [name for name in fleet.startups if name.startswith("core-")]
         for name in (*names, "node-1"):
             fleet.start(name)
@@ -52,7 +52,7 @@
         for name in names:
             fleet.startups[name] = dataclasses.replace(fleet.startups[name], founders=[])
         self.assertEqual(await fleet.apply(fleet.marked_description("a")), "done")
-        wiped = chance.choice(names)
+        wiped = rng.choice(names)
         fleet.kill(wiped, loses_power=True)
         fleet.world.machine(wiped).disk.empty()
         await pause(fleet.world, back_micros)
@@ -83,7 +83,7 @@
 
                 async def play(world: World, calm_micros: int | None = calm_micros) -> tuple[int, list[int]]:
                     fleet = SimFleet(world, KLIPPVIK, 1)
-                    return await self.run_incident(fleet, world.chance.randrange(200 * MILLI, 4 * SECOND), calm_micros)
+                    return await self.run_incident(fleet, world.rng.randrange(200 * MILLI, 4 * SECOND), calm_micros)
 
                 with self.subTest(seed=seed, calm_micros=calm_micros):
                     acknowledged, held = run_in_virtual_time(seed, play)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -71,10 +71,10 @@
         """Starts the cores within a second, in any order, and waits until all vote; returns their names."""
         names = [n for n in fleet.startups if n.startswith("core-")]
         start_order = list(names)
-        fleet.world.chance.shuffle(start_order)
+        fleet.world.rng.shuffle(start_order)
         for name in start_order:
             fleet.start(name)
-            await pause(fleet.world, fleet.world.chance.randrange(1_000 * MILLI // len(names)))
+            await pause(fleet.world, fleet.world.rng.randrange(1_000 * MILLI // len(names)))
         took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names))
         self.assertLess(took_seconds, 2.5, f"{voters_of(fleet)} vote")
         told_once(fleet)
@@ -168,7 +168,7 @@
                         name = (fleet.leader() or names[0]) if number % 2 else names[number % len(names)]
                         fleet.kill(name, loses_power=True)
                         fleet.world.machine(name).disk.empty()
-                        await pause(fleet.world, fleet.world.chance.randrange(200 * MILLI, 4 * SECOND))
+                        await pause(fleet.world, fleet.world.rng.randrange(200 * MILLI, 4 * SECOND))
                         fleet.start(name)
                         took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names))
                         self.assertLess(took_seconds, 2.0, f"{name}: {voters_of(fleet)} vote")
@@ -185,7 +185,7 @@
                 await self.apply(fleet, "a", 2.0)
                 for name in names:
                     fleet.kill(name, loses_power=True)
-                for name in fleet.world.chance.sample(names, 2):
+                for name in fleet.world.rng.sample(names, 2):
                     fleet.world.machine(name).disk.empty()
                 for name in names:
                     fleet.start(name)
@@ -213,9 +213,9 @@
                     await self.apply(fleet, "b", 2.0)
                     for name in names + nodes:
                         fleet.kill(name, loses_power=True)
-                    for name in fleet.world.chance.sample(names, lost_count):
+                    for name in fleet.world.rng.sample(names, lost_count):
                         fleet.world.machine(name).disk.empty()
-                    start_order = fleet.world.chance.sample(names + nodes, len(names + nodes))
+                    start_order = fleet.world.rng.sample(names + nodes, len(names + nodes))
                     for name in start_order:
                         fleet.start(name)
                         await pause(fleet.world, SECOND // len(start_order))
@@ -247,12 +247,12 @@
                         lostAfterMicros=3 * SECOND,
                     )
                     old_name = names.pop(0)
-                    for is_kill in fleet.world.chance.sample([True, False], 2):
+                    for is_kill in fleet.world.rng.sample([True, False], 2):
                         if is_kill:
                             fleet.kill(old_name, loses_power=True)
                         else:
                             fleet.start(new_name)
-                        await pause(fleet.world, fleet.world.chance.randrange(SECOND))
+                        await pause(fleet.world, fleet.world.rng.randrange(SECOND))
                     names.append(new_name)
                     fleet.forget_core(old_name)
                     took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names), 30.0)
@@ -299,7 +299,7 @@
     async def replace_as_planned(self, fleet: SimFleet, old_name: str, new_name: str) -> None:
         """Starts the new core first, then stops the old one for good, which drains within its grace period."""
         await self.add_core(fleet, new_name, old_name)
-        await pause(fleet.world, fleet.world.chance.randrange(3 * SECOND))
+        await pause(fleet.world, fleet.world.rng.randrange(3 * SECOND))
         await fleet.cores[old_name].drain()
         fleet.kill(old_name)
         fleet.forget_core(old_name)
@@ -315,20 +315,20 @@
                 async def scenario(fleet: SimFleet, core_count: int = core_count) -> None:
                     names = await self.bootstrap(fleet)
                     await self.apply(fleet, "a", 2.0)
-                    replaced_name = fleet.leader() if fleet.world.chance.random() < 0.5 else names[0]
+                    replaced_name = fleet.leader() if fleet.world.rng.random() < 0.5 else names[0]
                     await self.replace_as_planned(fleet, replaced_name, "core-6")
                     names.remove(replaced_name)
                     await pause(fleet.world, 15 * SECOND)
-                    lost_name = fleet.world.chance.choice(names)
+                    lost_name = fleet.world.rng.choice(names)
                     names.remove(lost_name)
                     fleet.kill(lost_name, loses_power=True)
                     fleet.forget_core(lost_name)
-                    await pause(fleet.world, fleet.world.chance.randrange(3 * SECOND))
+                    await pause(fleet.world, fleet.world.rng.randrange(3 * SECOND))
                     await self.add_core(fleet, "core-7", lost_name)
                     # Another machine may be lost once the successor has run for this long: that is guaranteed.
                     await pause(fleet.world, fleet.startups["core-7"].lostAfterMicros - SECOND)
                     self.assertEqual(len(voters_of(fleet)), core_count)
-                    wiped_name = fleet.world.chance.choice([*names, "core-6"])
+                    wiped_name = fleet.world.rng.choice([*names, "core-6"])
                     fleet.kill(wiped_name, loses_power=True)
                     fleet.world.machine(wiped_name).disk.empty()
                     self.assertLess(await seconds_until(fleet, lambda: bool(fleet.leader())), 2.0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -61,7 +61,7 @@
         self.kept: dict[str, list[int]] = {r.identity: [] for r in self.records}
         self.loads = {r.identity: WorkerLoadTracker(self.runtime) for r in self.records}
         self.dead: set[str] = set()
-        self.chance = random.Random(7)
+        self.rng = random.Random(7)
         self.loss_share = 0.0
         self.messages = 0
         self.bytes = 0
@@ -101,7 +101,7 @@
                 self.messages += 1
                 self.bytes += note.ByteSize()
                 self.bytes_by_sender[own] = self.bytes_by_sender.get(own, 0) + note.ByteSize()
-                if address not in self.dead and self.chance.random() >= self.loss_share:
+                if address not in self.dead and self.rng.random() >= self.loss_share:
                     self.relays[address]._handle_relay_note(own, own, note)
 
     def seen_running(self, name: str) -> int:
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -288,11 +288,11 @@
 
     def test_freezes_cuts_and_new_leaders_never_break_the_rules_on_orders(self) -> None:
         async def scenario(fleet: WorkerFleet) -> None:
-            chance = random.Random(fleet.world.seed)
+            rng = random.Random(fleet.world.seed)
             version = 1
             for _ in range(30):
-                action = chance.choice(("freeze", "wake", "cut", "join", "lead", "name", "name"))
-                node = chance.choice(fleet.nodes)
+                action = rng.choice(("freeze", "wake", "cut", "join", "lead", "name", "name"))
+                node = rng.choice(fleet.nodes)
                 if action == "freeze" and sum(n.machine.is_frozen for n in fleet.nodes) < 3:
                     node.machine.freeze()
                 elif action == "wake":
@@ -308,7 +308,7 @@
                 elif action == "name":
                     version += 1
                     fleet.core.name_weights(version)
-                await pause(fleet.world, chance.randrange(20, 2_500) * MILLI)
+                await pause(fleet.world, rng.randrange(20, 2_500) * MILLI)
             for node in fleet.nodes:
                 node.machine.wake()
                 node.core_client.is_cut_off = False
--- a/tests/test_site_engine.py
+++ b/tests/test_site_engine.py
@@ -205,31 +205,31 @@
 
     def test_no_block_is_lost_or_given_twice(self) -> None:
         for seed in range(20):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             engine = self.make_engine(capacity=4, queue_limit=8, cache_tokens=16 * 60)
             now, version, tickets = 0, 1, [0]
             for number in range(150):
-                now += chance.randrange(20 * MILLI)
+                now += rng.randrange(20 * MILLI)
                 for output in engine.advance(now):
                     if isinstance(output, FetchRequested):
                         found = [KeptPart("s", "m", key[2], 100, 1, "one") for key in output.keys[:1]]
-                        engine.complete_fetch(now, output.ticket, chance.choice([None, [], found]))
-                pick = chance.random()
+                        engine.complete_fetch(now, output.ticket, rng.choice([None, [], found]))
+                pick = rng.random()
                 if pick < 0.1:
-                    engine.cancel(now, chance.choice(tickets))
+                    engine.cancel(now, rng.choice(tickets))
                 elif pick < 0.15:
                     version += 1
                     engine.name_version(version)
-                    engine.order(now, order(version, mode=chance.choice(["wait", "preempt", "retain"])))
+                    engine.order(now, order(version, mode=rng.choice(["wait", "preempt", "retain"])))
                 else:
-                    parts = [(f"p{chance.randrange(3)}", 100), (f"q{chance.randrange(6)}", 90), (f"own{number}", 33)]
+                    parts = [(f"p{rng.randrange(3)}", 100), (f"q{rng.randrange(6)}", 90), (f"own{number}", 33)]
                     submitted = request(
                         f"r{number}",
                         *parts,
-                        out=chance.randrange(1, 80),
-                        urgency=chance.randrange(3),
-                        source=chance.choice(["", "peer"]),
-                        deadline_at=now + chance.randrange(1, 900) * MILLI,
+                        out=rng.randrange(1, 80),
+                        urgency=rng.randrange(3),
+                        source=rng.choice(["", "peer"]),
+                        deadline_at=now + rng.randrange(1, 900) * MILLI,
                     )
                     try:
                         tickets.append(engine.submit(now, submitted))
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -353,11 +353,11 @@
         self.machine = fleet.world.machine(name)
         self.machine.boot()
         machine, address = self.machine, f"{name}:1"
-        chance = random.Random(f"{fleet.world.seed} {name} {machine.boot_count}")
-        self.identity = chance.randbytes(12).hex()
+        rng = random.Random(f"{fleet.world.seed} {name} {machine.boot_count}")
+        self.identity = rng.randbytes(12).hex()
         self.rpc_endpoint = RpcEndpoint(self.identity, address, SimNetwork(machine, address), machine)
         record = Record(identity=self.identity, address=address, role="router")
-        self.directory = Directory(record, [CORE], self.rpc_endpoint, machine, chance)
+        self.directory = Directory(record, [CORE], self.rpc_endpoint, machine, rng)
         self.core_client = NodeCoreClient(fleet.core, machine)
         self.control = FakeWorkerControl(fleet.platform, machine)
         self.version_table = WorkerVersionTable(machine)
@@ -366,7 +366,7 @@
             self.rpc_endpoint,
             self.directory,
             machine,
-            chance,
+            rng,
             machine.task_group,
             self.control,
             SECOND,
