--- a/src/pearhead/testbed/caller.py
+++ b/src/pearhead/testbed/caller.py
@@ -12,9 +12,9 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
 from pearhead.testbed.deployment import Deployment, generate_job, tenant_key
-from pearhead.testbed.workermodel import expected_lines, expected_text
+from pearhead.testbed.workermodel import expected_line_count, expected_text
 
-CUT = "not reached or cut"
+CUT_OUTCOME = "not reached or cut"
 
 
 def find_stream_faults(job: dict[str, Any], lines: list[dict[str, Any]]) -> list[str]:
@@ -26,7 +26,7 @@
         f"a line of {line.get('job')} came to {job['jobId']}" for line in lines if line.get("job") != job["jobId"]
     ]
     texts = [line["text"] for line in lines if "text" in line]
-    expected_texts = [expected_text(job["body"], n) for n in range(expected_lines(job["body"]))]
+    expected_texts = [expected_text(job["body"], n) for n in range(expected_line_count(job["body"]))]
     if texts != expected_texts:
         faults.append(f"{job['jobId']}: lines are wrong, missing or out of order: {texts}")
     if not lines or not lines[-1].get("end") or lines[-1].get("lines") != len(expected_texts):
@@ -38,7 +38,7 @@
 class CallerAnswer:
     """The result of one job, as its caller saw it.
 
-    `outcome` is "done", "unreached" when the connection was refused, the error kind of an answer, or `CUT`.
+    `outcome` is "done", "unreached" when the connection was refused, the error kind of an answer, or `CUT_OUTCOME`.
     `is_refused` is set when the job certainly did not run.
     """
 
@@ -78,8 +78,8 @@
         self.report = CallerReport()
         AsyncHTTPClient.configure(None, max_clients=1_000)
 
-    async def run(self, job_count: int, at_once: int, first_number: int = 0) -> CallerReport:
-        """Sends `job_count` jobs, at most `at_once` at the same time, and returns the report once all have ended.
+    async def run(self, job_count: int, concurrency: int, first_number: int = 0) -> CallerReport:
+        """Sends `job_count` jobs, at most `concurrency` at the same time, and returns the report once all have ended.
 
         Job ids are numbered from `first_number`.
         """
@@ -89,14 +89,14 @@
             for number in numbers:
                 await self._call(number)
 
-        await asyncio.gather(*(send_jobs() for _ in range(at_once)))
+        await asyncio.gather(*(send_jobs() for _ in range(concurrency)))
         return self.report
 
     async def _call(self, number: int) -> None:
         tenant_name, job = generate_job(self.deployment, self.rng, number)
         chunks: list[bytes] = []
         node_address = self.rng.choice(self.node_addresses)
-        answer = CallerAnswer(job, tenant_name, node_address, CUT)
+        answer = CallerAnswer(job, tenant_name, node_address, CUT_OUTCOME)
         self.report.answers.append(answer)
         request = HTTPRequest(
             f"http://{node_address}/v1/jobs",
@@ -131,7 +131,7 @@
         self.report.reused_tokens += usage.get("prompt_tokens_details", {}).get("cached_tokens", 0)
 
     def _record_cut_stream(self, job: dict[str, Any]) -> None:
-        self.report.outcomes[CUT] += 1
+        self.report.outcomes[CUT_OUTCOME] += 1
         self.report.cut_jobs.add(job["jobId"])
 
     def _record_failed_job(self, answer: CallerAnswer, status: int, body_bytes: bytes) -> None:
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -422,8 +422,8 @@
         self.plan, self.clock, self.rng, self.sink = plan, clock, rng, sink
         self.entry = Entry(plan.of("router"))
 
-    async def run(self, request_count: int, at_once: int, config: dict[str, Any] | None = None) -> CallReport:
-        """Sends `request_count` requests, `at_once` of them at a time, and reports what the clients saw."""
+    async def run(self, request_count: int, concurrency: int, config: dict[str, Any] | None = None) -> CallReport:
+        """Sends `request_count` requests, `concurrency` of them at a time, and reports what the clients saw."""
         report = CallReport()
         draw = RequestGenerator(self.plan, config or self.plan.config, self.rng)
         await self.entry.poll()
@@ -438,7 +438,7 @@
             client.close()
 
         try:
-            await asyncio.gather(*(run_client(n) for n in range(at_once)))
+            await asyncio.gather(*(run_client(n) for n in range(concurrency)))
         finally:
             poll_task.cancel()
         return report
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -382,8 +382,8 @@
         self._note(name, "commanded")
         asyncio.run(ask(address, "POST", "/site/command", faults))
 
-    def call(self, request_count: int, at_once: int, seed: int) -> CallReport:
-        """Sends requests, `at_once` of them concurrently, and checks and records their answers.
+    def call(self, request_count: int, concurrency: int, seed: int) -> CallReport:
+        """Sends requests, `concurrency` of them at a time, and checks and records their answers.
 
         The random source also depends on the length of the ledger file, so that repeated calls with one seed don't
         reuse request ids.
@@ -392,7 +392,7 @@
         rng = random.Random(f"{seed} {sink.file.tell()}")
         caller = SiteLoadGenerator(self.site, self.clock, rng, sink)
         try:
-            return asyncio.run(caller.run(request_count, at_once, self.plan["config"]))
+            return asyncio.run(caller.run(request_count, concurrency, self.plan["config"]))
         finally:
             sink.close()
 
@@ -441,9 +441,9 @@
     ]
 
 
-def call_site(folder: str, request_count: int, at_once: int, seed: int) -> tuple[list[str], int]:
+def call_site(folder: str, request_count: int, concurrency: int, seed: int) -> tuple[list[str], int]:
     """Sends requests to a site. Returns lines to show, and how many faults the clients found in answers."""
-    report = SiteLauncher(folder).call(request_count, at_once, seed)
+    report = SiteLauncher(folder).call(request_count, concurrency, seed)
     lines = [f"{outcome}: {count}" for outcome, count in sorted(report.outcomes.items())]
     if report.first_micros:
         in_order = sorted(report.first_micros)
--- a/src/pearhead/testbed/emulator/sitefaults.py
+++ b/src/pearhead/testbed/emulator/sitefaults.py
@@ -85,13 +85,13 @@
             },
         }
 
-    def strike(self, number: int, request_count: int, at_once: int) -> tuple[str, CallReport]:
+    def strike(self, number: int, request_count: int, concurrency: int) -> tuple[str, CallReport]:
         """Runs one randomly drawn action while clients send requests; worker faults are reset at the end.
 
         `number` seeds the requests. Returns a description of the action, and what the clients saw.
         """
         reports: list[CallReport] = []
-        caller = threading.Thread(target=lambda: reports.append(self.launcher.call(request_count, at_once, number)))
+        caller = threading.Thread(target=lambda: reports.append(self.launcher.call(request_count, concurrency, number)))
         caller.start()
         time.sleep(self.rng.uniform(0.3, 1.2))
         action_name = self.rng.choice(list(self.actions))
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -196,12 +196,12 @@
         ]
         results = run_specs(specs) if len(specs) > 1 else [run_spec(specs[0])]
         for result in results:
-            print(result.line())
+            print(result.summary_line())
         if len(results) == 1 and not results[0].breaches:
             print("\n".join(results[0].trace))
         for result in results:
             if result.breaches:
-                print(result.failure())
+                print(result.failure_report())
         if any(result.breaches for result in results):
             raise SystemExit(1)
 
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -31,25 +31,25 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """A broken build: `prepare` applies it, and `scenario` must end with a breach of the check `wanted`."""
+    """A broken build: `apply_patch` applies it, and `scenario` must end with a breach of the check `expected_check`."""
 
-    prepare: MutationPatch
+    apply_patch: MutationPatch
     scenario: str
-    wanted: str
+    expected_check: str
 
 
 CONTROL_MUTATIONS: dict[str, Mutation] = {}
 
 
-def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
+def mutation(scenario: str, expected_check: str) -> Callable[[MutationPatch], MutationPatch]:
     """Registers a control plane mutation under the function's name.
 
-    `scenario` is the run that must expose it, `wanted` the check that must report a breach there.
+    `scenario` is the run that must expose it, `expected_check` the check that must report a breach there.
     """
 
-    def register(prepare: MutationPatch) -> MutationPatch:
-        CONTROL_MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
-        return prepare
+    def register(apply_patch: MutationPatch) -> MutationPatch:
+        CONTROL_MUTATIONS[apply_patch.__name__] = Mutation(apply_patch, scenario, expected_check)
+        return apply_patch
 
     return register
 
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -112,7 +112,7 @@
     def breach(self, check: str, fault: str) -> None:
         """Records a breach of the check of this name in the ledger and the trace."""
         self.fleet.ledger.breaches.append(f"{check}: {fault}")
-        self.world.note(f"breach of {check}: {fault}")
+        self.world.trace_event(f"breach of {check}: {fault}")
 
     def followers(self) -> list[str]:
         """Names of the cores that run and do not lead, sorted."""
@@ -152,7 +152,7 @@
         """
         others = [name for name in sorted(self.fleet.cores) if name != victim]
         cut_names = [victim, *sorted(self.fleet.nodes)]
-        self.world.note(f"cuts {victim} off: comes in {is_inbound_open}, goes out {is_outbound_open}")
+        self.world.trace_event(f"cuts {victim} off: comes in {is_inbound_open}, goes out {is_outbound_open}")
         before = self.world.loop.create_task(self.operators.submit_next_change())
         await pause(self.world, self.world.rng.randrange(8 * MILLI))
         pairs: list[tuple[str, str]] = []
@@ -177,7 +177,7 @@
         """Requests a change at this core, which must answer soon, whether it applies the change or not."""
         content = self.operators.next_content()
         change = Change(self.operators.number, self.operators.number + 1, content, is_marked=False)
-        attempt = await self.operators.ask(change, victim, LONG_REQUEST_TIMEOUT_MICROS)
+        attempt = await self.operators.send_change(change, victim, LONG_REQUEST_TIMEOUT_MICROS)
         took_micros = attempt.end_micros - attempt.start_micros
         if attempt.status == NO_ANSWER or took_micros > ANSWER_LIMIT_MICROS:
             self.breach("late answer", f"{victim} answered {attempt.status} after {took_micros / SECOND:.2f} s")
@@ -199,7 +199,7 @@
         if await self.operators.read(victim) is None:
             self.breach("not in step", f"{victim} answers no read of the description")
         change = await self.operators.submit_next_change(CATCH_UP_LIMIT_MICROS)
-        if change is None or (await self.operators.ask(change, victim)).status != DONE:
+        if change is None or (await self.operators.send_change(change, victim)).status != DONE:
             self.breach("not in step", f"{victim} acknowledges no repeat of a change")
         await pause(self.world, STABLE_LEADER_MICROS)
         new_leader = self.fleet.leader()
@@ -232,7 +232,7 @@
         self.add_replacement_core()
         await pause(self.world, STABILIZATION_MICROS)
         await self.fleet.stop_planned(name)
-        self.fleet.forget_core(name)
+        self.fleet.remove_core(name)
         await self.expect_leader(f"{name} left as planned")
 
     async def destroy_and_replace(self, names: list[str], pause_micros: int) -> None:
@@ -316,7 +316,7 @@
         if number == 4:
             await scenario_run.lose_power_everywhere()
         await round_task
-    acknowledged = operators.taken()
+    acknowledged = operators.acknowledged_changes()
     if first_change is None or len(acknowledged) < round_count:
         scenario_run.breach(
             "not led in time", f"only {len(acknowledged)} of {round_count} rounds had an acknowledged change"
--- a/src/pearhead/testbed/simulator/fault_injector.py
+++ b/src/pearhead/testbed/simulator/fault_injector.py
@@ -9,7 +9,7 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.fault_schedule import SimFault, SimFaultSchedule
 from pearhead.testbed.simulator.fleet import SimFleet
-from pearhead.testbed.simulator.simulated_clients import COMMAND_CONNECTION, JOB_CONNECTION, SimCacheFetcher
+from pearhead.testbed.simulator.simulated_clients import COMMAND_CONNECTION, JOB_CONNECTION, SimCacheTransfer
 from pearhead.testbed.simulator.world import pause
 
 
@@ -44,7 +44,7 @@
             if sim_fault.is_permanent:
                 await asyncio.gather(*tasks)
             await pause(self.world, max(0, start_micros + sim_fault.at_micros - self.world.now()))
-            self.world.note(sim_fault.text())
+            self.world.trace_event(sim_fault.trace_text())
             method_name = f"_play_{sim_fault.kind.replace('-', '_')}"
             inject: Callable[[SimFault], Coroutine[Any, Any, None]] = getattr(self, method_name)
             tasks.append(self.world.loop.create_task(inject(sim_fault)))
@@ -253,9 +253,9 @@
 
     async def _play_worker_silent(self, sim_fault: SimFault) -> None:
         model = self.fleet.worker(self._choose_machine("worker", sim_fault))
-        model.log.is_silent = True
+        model.log.reports_suppressed = True
         await pause(self.world, sim_fault.fault_duration_micros)
-        model.log.is_silent = False
+        model.log.reports_suppressed = False
 
     async def _play_worker_replaced(self, sim_fault: SimFault) -> None:
         """Destroys a worker for good; after the fault's duration, another is started at a new address and listed."""
@@ -273,17 +273,17 @@
         self.leaving.discard(name)
 
     async def _play_links_slow(self, sim_fault: SimFault) -> None:
-        links = [
-            link
+        cache_transfers = [
+            cache_transfer
             for a in sorted(self.fleet.back_ends)
             if a.startswith("worker-")
-            and isinstance(link := self.fleet.worker(a.partition(":")[0]).link, SimCacheFetcher)
+            and isinstance(cache_transfer := self.fleet.worker(a.partition(":")[0]).cache_transfer, SimCacheTransfer)
         ]
-        for link in links:
-            link.slowness = 30
+        for cache_transfer in cache_transfers:
+            cache_transfer.slowness = 30
         await pause(self.world, sim_fault.fault_duration_micros)
-        for link in links:
-            link.slowness = 1
+        for cache_transfer in cache_transfers:
+            cache_transfer.slowness = 1
 
     async def _play_store_empty(self, sim_fault: SimFault) -> None:
         await self._kill_and_restart(sim_fault, ["store"])
@@ -348,4 +348,4 @@
         while await self.fleet.apply(self.fleet.marked_description(self._next_mark())) != "done":
             await pause(self.world, 50 * MILLI)
         if is_key_withdrawn:
-            self.fleet.ledger.withdrawals.append((tenant_name, self.world.now()))
+            self.fleet.ledger.tenant_withdrawals.append((tenant_name, self.world.now()))
--- a/src/pearhead/testbed/simulator/fault_schedule.py
+++ b/src/pearhead/testbed/simulator/fault_schedule.py
@@ -93,7 +93,7 @@
     target_index: int
     is_permanent: bool = False
 
-    def text(self) -> str:
+    def trace_text(self) -> str:
         """Returns the line that is noted in the trace when the fault begins."""
         duration_text = "for good" if self.is_permanent else f"for {self.fault_duration_micros / SECOND:.1f} s"
         start_text = f"{self.at_micros / SECOND:.1f} s"
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -24,7 +24,7 @@
 from pearhead.testbed.simulator.simulated_clients import (
     BackEnd,
     BackEnds,
-    SimCacheFetcher,
+    SimCacheTransfer,
     SimUpstreamClient,
     SimWorkerClient,
 )
@@ -145,7 +145,7 @@
         startup = self.startups[name]
 
         def fail(reason: str) -> None:
-            self.world.note(f"{name} must stop: {reason}")
+            self.world.trace_event(f"{name} must stop: {reason}")
             self.kill(name)
 
         core = CoreProcess(startup, machine, SimNetwork(machine, startup.address), machine.disk, machine.rng, fail)
@@ -162,7 +162,7 @@
                 fail(str(fault))
 
         machine.task_group.start(start())
-        self.world.note(f"starts {name}")
+        self.world.trace_event(f"starts {name}")
 
     def start_node(self, name: str) -> None:
         """Boots the machine of a node and starts its process."""
@@ -186,7 +186,7 @@
         node.start()
         machine.task_group.start(node.wait_until_placeable())
         self.nodes[name] = node
-        self.world.note(f"starts {name}")
+        self.world.trace_event(f"starts {name}")
 
     def start_back_end(self, name: str) -> None:
         """Boots the machine of a worker, the store ("store") or the application ("desk") with an empty model."""
@@ -205,11 +205,11 @@
             model = ApplicationModel(machine, build_recording)
         else:
             model = WorkerModel(
-                machine, machine.rng, SimCacheFetcher(machine, self.back_ends, "store:2"), build_recording
+                machine, machine.rng, SimCacheTransfer(machine, self.back_ends, "store:2"), build_recording
             )
             model.speed = self.worker_speeds.setdefault(name, self._random_worker_speed())
         self.back_ends[address] = BackEnd(machine, model)
-        self.world.note(f"starts {name}")
+        self.world.trace_event(f"starts {name}")
 
     def current_workers(self) -> list[str]:
         """Returns the names of all workers except those that are gone for good; some may be down."""
@@ -249,7 +249,7 @@
     def restore_links(self, pairs: list[tuple[str, str]]) -> None:
         """Ends the cuts of these pairs only; others stay."""
         self._record_action("mend", pairs=[list(pair) for pair in pairs])
-        self.world.note(f"mends {len(pairs)} links")
+        self.world.trace_event(f"mends {len(pairs)} links")
         for pair in pairs:
             self.fault_log.end("cut", pair, self.world.now())
             self.world.cuts.discard(pair)
@@ -299,7 +299,7 @@
     def kill(self, name: str, loses_power: bool = False) -> None:
         """Kills the process of a machine, or cuts the machine's power, which may lose unsynced writes."""
         self._record_action("power" if loses_power else "kill", name=name)
-        self.world.note(f"{'cuts the power of' if loses_power else 'kills'} {name}")
+        self.world.trace_event(f"{'cuts the power of' if loses_power else 'kills'} {name}")
         if self._is_machine_alive(name):
             self.fault_log.begin("dead", (name,), self.world.now())
         self.world.machine(name).crash(loses_power)
@@ -313,8 +313,8 @@
 
     async def stop_planned(self, name: str) -> None:
         """Stops a machine as the platform does for planned work: no new connections or jobs, drain, then stop."""
-        self.world.note(f"stops {name} as planned")
-        self.ledger.planned_count += 1
+        self.world.trace_event(f"stops {name} as planned")
+        self.ledger.planned_operation_count += 1
         machine = self.world.machine(name)
         process = self.cores.get(name) or self.nodes.get(name)
         if process is not None:
@@ -329,7 +329,7 @@
     def freeze(self, name: str) -> None:
         """Freezes a machine until wake()."""
         self._record_action("freeze", name=name)
-        self.world.note(f"freezes {name}")
+        self.world.trace_event(f"freezes {name}")
         if not self.world.machine(name).is_frozen:
             self.fault_log.begin("frozen", (name,), self.world.now())
         self.world.machine(name).freeze()
@@ -337,13 +337,13 @@
     def wake(self, name: str) -> None:
         """Ends the freeze of a machine."""
         self._record_action("wake", name=name)
-        self.world.note(f"wakes {name}")
+        self.world.trace_event(f"wakes {name}")
         self.fault_log.end("frozen", (name,), self.world.now())
         self.world.machine(name).wake()
 
     def set_disk(self, name: str, kind: str, is_fault_active: bool) -> None:
         """Begins or ends a disk fault; `kind` is "stalled" or "full"."""
-        self.world.note(f"the disk of {name} is {kind if is_fault_active else 'well again'}")
+        self.world.trace_event(f"the disk of {name} is {kind if is_fault_active else 'well again'}")
         disk = self.world.machine(name).disk
         if kind == "stalled":
             disk.is_stalled = is_fault_active
@@ -363,9 +363,9 @@
         """Cuts the power of a core for good and empties its disk."""
         self.kill(name, loses_power=True)
         self.world.machine(name).disk.empty()
-        self.forget_core(name)
+        self.remove_core(name)
 
-    def forget_core(self, name: str) -> None:
+    def remove_core(self, name: str) -> None:
         """Removes a core from the fleet's lists, so that no operator contacts it any more."""
         self.cores.pop(name)
         self._update_machine_names()
@@ -413,7 +413,7 @@
 
     # ---- start -----------------------------------------------------------------------------------
 
-    async def up(self) -> None:
+    async def start_all(self) -> None:
         """Starts everything, applies the description and waits until all nodes know all workers to be loaded."""
         names = [*self.startups, "store", "desk", *(f"worker-{n + 1}" for n in range(self.worker_count))]
         for name in names:
@@ -424,7 +424,7 @@
         self._update_machine_names()
         self.fault_log.intervals.clear()
         self.fault_log.event_micros.clear()
-        self.world.note("is up")
+        self.world.trace_event("is up")
 
     def _update_machine_names(self) -> None:
         self.ledger.core_names, self.ledger.node_names = set(self.cores), set(self.nodes)
@@ -522,7 +522,7 @@
         await self.retry_until_decided(command)
         for name in removed:
             self.leaving_since.setdefault(name, self.world.now())
-        self.world.note(f"the worker list is acknowledged, removed {removed}")
+        self.world.trace_event(f"the worker list is acknowledged, removed {removed}")
 
     async def mark_leaving(self, *names: str) -> None:
         """Marks workers as leaving, so that they get no new jobs."""
@@ -532,7 +532,7 @@
         result = await self.retry_until_decided(command)
         for name in names:
             self.leaving_since.setdefault(name, self.world.now())
-        self.world.note(f"leaving {names}: {result.status}")
+        self.world.trace_event(f"leaving {names}: {result.status}")
 
     async def clear_leaving(self, *names: str) -> None:
         """Clears the marks that mark_leaving() set."""
@@ -543,7 +543,7 @@
         result = await self.retry_until_decided(command)
         for name in names:
             self.ledger.leaving_intervals.append((name, self.leaving_since.pop(name), start_micros))
-        self.world.note(f"staying {names}: {result.status}")
+        self.world.trace_event(f"staying {names}: {result.status}")
 
     async def apply(self, description: dict[str, Any], base: int | None = None) -> str:
         """Applies a description on a base revision, by default the latest acknowledged; returns the final status."""
@@ -562,7 +562,7 @@
             marks = {t["name"] for t in description["tenants"]} - set(self.deployment.tenant_names)
             if marks:
                 self.ledger.rejected_mark_sets.append(frozenset(marks))
-        self.world.note(f"apply: {result.status}")
+        self.world.trace_event(f"apply: {result.status}")
         return result.status
 
     def start_state_reads(self) -> None:
@@ -597,7 +597,7 @@
         result = await self.retry_until_decided(command)
         if result.status == "done":
             self.ledger.weights_changes.append((json.loads(result.body)["revision"], self.world.now(), name))
-        self.world.note(f"weights {name}: {result.status}")
+        self.world.trace_event(f"weights {name}: {result.status}")
         return result.status
 
     async def weights_revision(self) -> int:
@@ -688,7 +688,7 @@
             refusal: Refusal = answer.ok_value.err_value
             trace.outcome = refusal.kind.value
             trace.is_refused = ERROR_TABLE[refusal.kind].ran == NOT_RUN
-            trace.come_back_seconds = refusal.retry_after_seconds()
+            trace.retry_after_seconds = refusal.retry_after_seconds()
             if trace.is_refused and trace.lines:
                 self.ledger.breaches.append(f"{job['jobId']} was refused after a line")
         else:
@@ -700,7 +700,7 @@
     def _record_send(self, node_name: str, upstream_id: str, worker: str) -> None:
         """Records that the first byte of a job leaves its node, with the view that the node has then."""
         view = self.nodes[node_name].view_replica.view
-        self.ledger.sends[upstream_id] = SentJob(
+        self.ledger.sent_jobs[upstream_id] = SentJob(
             node_name,
             self.world.machine(node_name).boot_count,
             self.world.now(),
--- a/src/pearhead/testbed/simulator/history.py
+++ b/src/pearhead/testbed/simulator/history.py
@@ -101,7 +101,7 @@
             found.setdefault(number, content)
         return found
 
-    def taken(self) -> set[Change]:
+    def accepted_changes(self) -> set[Change]:
         """Returns the changes that are known to have been accepted.
 
         These are the acknowledged ones, and those seen in a read if only one requested change has their number and
@@ -149,17 +149,17 @@
 
     def _find_wrong_refusals(self) -> list[str]:
         """Finds accepted changes that were definitely refused at any time, or did not run according to every answer."""
-        taken = self.taken()
+        accepted = self.accepted_changes()
         faults = []
         attempts: dict[Change, list[ChangeAttempt]] = {}
         for attempt in self.change_attempts:
-            is_taken = attempt.change in taken
-            if is_taken and attempt.status in DEFINITE_REFUSALS:
+            is_accepted = attempt.change in accepted
+            if is_accepted and attempt.status in DEFINITE_REFUSALS:
                 faults.append(
                     f"{attempt.core} answered {attempt.status} to {attempt.change.number} {attempt.change.content!r} "
                     f"at {attempt.end_micros}, which is taken"
                 )
-            if is_taken:
+            if is_accepted:
                 attempts.setdefault(attempt.change, []).append(attempt)
         for change, change_attempts in attempts.items():
             if all(attempt.status in NOT_RUN for attempt in change_attempts):
--- a/src/pearhead/testbed/simulator/interleaving_explorer.py
+++ b/src/pearhead/testbed/simulator/interleaving_explorer.py
@@ -109,12 +109,12 @@
     Attributes:
         schedule_count: Number of schedules that were run.
         faults: For each failed schedule its exception and its choices.
-        is_whole: Whether all schedules were run, rather than only as many as the limit allows.
+        is_complete: Whether all schedules were run, rather than only as many as the limit allows.
     """
 
     schedule_count: int = 0
     faults: list[str] = field(default_factory=list)
-    is_whole: bool = True
+    is_complete: bool = True
 
 
 class InterleavingExplorer:
@@ -150,7 +150,7 @@
             if next_choices is None:
                 return exploration
             if exploration.schedule_count >= schedule_limit:
-                exploration.is_whole = False
+                exploration.is_complete = False
                 return exploration
             schedule_choices = next_choices
 
--- a/src/pearhead/testbed/simulator/ledger.py
+++ b/src/pearhead/testbed/simulator/ledger.py
@@ -28,7 +28,7 @@
     """A job as its caller saw it: where and when it was sent, the lines of its result, and how it ended.
 
     `outcome` is "open" until it ends, then "done", "unreached", "no answer" or the kind of the refusal. `is_refused`
-    says that the caller knows that the job did not run. `come_back_seconds` is the advised time until a retry, or 0.
+    says that the caller knows that the job did not run. `retry_after_seconds` is the advised time until a retry, or 0.
     """
 
     job: dict[str, Any]
@@ -39,7 +39,7 @@
     outcome: str = "open"
     is_refused: bool = False
     end_micros: int = 0
-    come_back_seconds: int = 0
+    retry_after_seconds: int = 0
 
 
 @dataclass
@@ -76,7 +76,7 @@
     deployment: Deployment
     jobs: dict[str, JobTrace] = field(default_factory=dict)
     runs: list[tuple[str, RunRecord]] = field(default_factory=list)
-    sends: dict[str, SentJob] = field(default_factory=dict)
+    sent_jobs: dict[str, SentJob] = field(default_factory=dict)
     fault_log: FaultLog = field(default_factory=FaultLog)
     core_names: set[str] = field(default_factory=set)
     node_names: set[str] = field(default_factory=set)
@@ -92,9 +92,9 @@
     # (requested at, answered at, revision)
     reads: list[tuple[int, int, int]] = field(default_factory=list)
     # (tenant, acknowledged at)
-    withdrawals: list[tuple[str, int]] = field(default_factory=list)
+    tenant_withdrawals: list[tuple[str, int]] = field(default_factory=list)
     # (cache key of the part, first reported at, time until old copies must be out of use)
-    changes: list[tuple[str, int, int]] = field(default_factory=list)
+    part_changes: list[tuple[str, int, int]] = field(default_factory=list)
     # (revision, acknowledged at, name of the weights)
     weights_changes: list[tuple[int, int, str]] = field(default_factory=list)
     # (worker, marked as leaving at, cleared at)
@@ -106,7 +106,7 @@
     retry_count: int = 0
     budgeted_job_count: int = 0
     end_micros: int = 0
-    planned_count: int = 0
+    planned_operation_count: int = 0
     is_loaded: bool = False
     last_revisions: set[int] = field(default_factory=set)
     last_weights: int = 0
@@ -179,14 +179,14 @@
 
         A job that waited at a frozen worker counts from when its node sent it, as the node could not take it back.
         """
-        send = self.sends.get(record.upstream_id)
+        send = self.sent_jobs.get(record.upstream_id)
         if send is not None and self.fault_log.was_frozen_between(worker, send.at_micros, record.at_micros):
             return send.at_micros
         return record.at_micros
 
     def _start_times(self) -> dict[str, int]:
         """By upstream id: when a job began to run, or was sent if it never ran."""
-        start_times = {upstream_id: send.at_micros for upstream_id, send in self.sends.items()}
+        start_times = {upstream_id: send.at_micros for upstream_id, send in self.sent_jobs.items()}
         for worker, record in self.runs:
             start_times[record.upstream_id] = self.begin_micros(worker, record)
         return start_times
@@ -200,7 +200,7 @@
         faults = []
         latest: dict[tuple[str, int], int] = {}
         start_times = self._start_times()
-        for upstream_id, send in self.sends.items():
+        for upstream_id, send in self.sent_jobs.items():
             begin_micros = start_times[upstream_id]
             key = (send.node, send.node_boot_count)
             if send.description_revision < latest.get(key, 0):
@@ -224,7 +224,7 @@
             and self._has_success_after(max(a for _, a in self.acknowledged_applies) + CONFIG_PROPAGATION_LIMIT_MICROS)
         ):
             newest = max(r for r, _ in self.acknowledged_applies)
-            if not any(s.description_revision >= newest for s in self.sends.values()):
+            if not any(s.description_revision >= newest for s in self.sent_jobs.values()):
                 faults.append(f"nothing was ever served under revision {newest}")
         return faults
 
@@ -385,7 +385,7 @@
 
     def _check_planned(self) -> list[str]:
         """Planned work drops no accepted job, and refuses at most PLANNED_REFUSAL_SHARE of all, which did not run."""
-        if not self.planned_count:
+        if not self.planned_operation_count:
             return []
         faults = [
             f"{t.job['jobId']} at {t.node} was dropped: {t.outcome}"
@@ -419,7 +419,7 @@
         return [
             f"{record.upstream_id} on {worker} ran on {key[:8]} "
             f"{(record.at_micros - reported_micros) / SECOND:.1f} s after it was reported as changed"
-            for key, reported_micros, limit_micros in self.changes
+            for key, reported_micros, limit_micros in self.part_changes
             for worker, record in self.runs
             if key in record.reused_keys and record.at_micros > reported_micros + limit_micros
         ]
@@ -432,7 +432,7 @@
         """A queued job that may not run any more is refused at once, and not only at its turn."""
         faults = []
         for trace in self.jobs.values():
-            for tenant, ack_micros in self.withdrawals:
+            for tenant, ack_micros in self.tenant_withdrawals:
                 answer_due_micros = ack_micros + CONFIG_PROPAGATION_LIMIT_MICROS + ANSWER_DELAY_LIMIT_MICROS
                 is_late = trace.sent_micros < ack_micros and trace.is_refused and trace.end_micros > answer_due_micros
                 if (
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -215,7 +215,7 @@
     advised_seconds: list[int] = []
 
     async def retry_when_advised(trace: JobTrace) -> None:
-        await pause(fleet.world, trace.come_back_seconds * SECOND)
+        await pause(fleet.world, trace.retry_after_seconds * SECOND)
         job = {**trace.job, "jobId": f"{trace.job['jobId']}-again"}
         retried_traces.append(await fleet.call(trace.node, trace.tenant, job))
 
@@ -226,9 +226,9 @@
         if step == 60:
             fleet.end_bursts()
         for job_id, trace in list(fleet.ledger.jobs.items()):
-            if trace.come_back_seconds and job_id not in retried_job_ids and not job_id.endswith("-again"):
+            if trace.retry_after_seconds and job_id not in retried_job_ids and not job_id.endswith("-again"):
                 retried_job_ids.add(job_id)
-                advised_seconds.append(trace.come_back_seconds)
+                advised_seconds.append(trace.retry_after_seconds)
                 tasks.append(fleet.world.loop.create_task(retry_when_advised(trace)))
     await fleet.end_load()
     for task in tasks:
@@ -283,7 +283,7 @@
 
     async def run_in_world(world: World) -> Figures:
         fleet = SimFleet(world, DEPLOYMENTS[deployment_name], node_count)
-        await fleet.up()
+        await fleet.start_all()
         return await MEASURES[name](fleet)
 
     figures: Any = run_in_virtual_time(seed, run_in_world)
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -30,15 +30,15 @@
 MUTATIONS: dict[str, Mutation] = dict(CONTROL_MUTATIONS)
 
 
-def mutation(scenario: str, wanted: str) -> Callable[[MutationPatch], MutationPatch]:
+def mutation(scenario: str, expected_check: str) -> Callable[[MutationPatch], MutationPatch]:
     """Registers a mutation under the function's name.
 
-    `scenario` is the run that must expose it, `wanted` the check that must report a breach there.
+    `scenario` is the run that must expose it, `expected_check` the check that must report a breach there.
     """
 
-    def register(prepare: MutationPatch) -> MutationPatch:
-        MUTATIONS[prepare.__name__] = Mutation(prepare, scenario, wanted)
-        return prepare
+    def register(apply_patch: MutationPatch) -> MutationPatch:
+        MUTATIONS[apply_patch.__name__] = Mutation(apply_patch, scenario, expected_check)
+        return apply_patch
 
     return register
 
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -63,7 +63,7 @@
         self.content_number += 1
         return f"c{self.content_number}"
 
-    async def ask(
+    async def send_change(
         self, change: Change, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS
     ) -> ChangeAttempt:
         """Sends a change once, to one core, and records the attempt.
@@ -102,7 +102,7 @@
         request_timeout_micros = first_timeout_micros or REQUEST_TIMEOUT_MICROS
         while self.world.now() < end_micros:
             core_name = self.world.rng.choice(sorted(self.fleet.cores))
-            attempt = await self.ask(change, core_name, request_timeout_micros)
+            attempt = await self.send_change(change, core_name, request_timeout_micros)
             if attempt.status in (DONE, *DEFINITE_REFUSALS):
                 return attempt.status
             request_timeout_micros = REQUEST_TIMEOUT_MICROS
@@ -194,10 +194,10 @@
     async def resend_to_all_cores(self, change: Change) -> None:
         """Sends an accepted change again to each core, each time followed by another content under its number."""
         for core_name in sorted(self.fleet.cores):
-            await self.ask(change, core_name)
-            await self.ask(Change(change.base, change.number, f"not-{change.content}"), core_name)
+            await self.send_change(change, core_name)
+            await self.send_change(Change(change.base, change.number, f"not-{change.content}"), core_name)
 
-    def taken(self) -> list[Change]:
+    def acknowledged_changes(self) -> list[Change]:
         """Returns the acknowledged changes, ordered by number."""
         return sorted(
             {attempt.change for attempt in self.history.change_attempts if attempt.status == DONE},
--- a/src/pearhead/testbed/simulator/recording.py
+++ b/src/pearhead/testbed/simulator/recording.py
@@ -105,7 +105,7 @@
 
     async def play(world: World) -> Replay:
         fleet = SimFleet(world, DEPLOYMENTS[recording.deployment], recording.node_count)
-        await fleet.up()
+        await fleet.start_all()
         if description is not None:
             status = await fleet.apply(description)
             if status != "done":
--- a/src/pearhead/testbed/simulator/runner.py
+++ b/src/pearhead/testbed/simulator/runner.py
@@ -78,7 +78,7 @@
     trace: list[str] = field(default_factory=list)
     real_seconds: float = 0.0
 
-    def line(self) -> str:
+    def summary_line(self) -> str:
         """Returns a summary on one line."""
         recovery = "-" if self.recovery_micros is None else f"{self.recovery_micros / SECOND:.2f}"
         outcomes = " ".join(f"{name}={count}" for name, count in sorted(self.outcomes.items()))
@@ -88,7 +88,7 @@
             f"hash {self.run_hash} {outcomes}"
         )
 
-    def failure(self) -> str:
+    def failure_report(self) -> str:
         """Returns the command that repeats the run, the first violations and the end of the trace."""
         return "\n".join([self.spec.command(), *self.breaches[:12], *self.trace[-TRACE_LINES:]])
 
@@ -100,7 +100,7 @@
     logging.getLogger("pearhead").handlers = [logging.NullHandler()]
     start_seconds = time.monotonic()
     try:
-        prepare = MUTATIONS[spec.mutation].prepare if spec.mutation else lambda fleet: None
+        prepare = MUTATIONS[spec.mutation].apply_patch if spec.mutation else lambda fleet: None
         ledger, world = run_scenario(
             spec.scenario,
             spec.deployment,
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -67,7 +67,7 @@
 
     async def run_in_world(world: World) -> Row:
         fleet = SimFleet(world, ACADEMY, node_count)
-        await fleet.up()
+        await fleet.start_all()
         await pause(world, 2 * SECOND)
         before = _sent_totals(fleet)
         await pause(world, 10 * SECOND)
@@ -118,7 +118,7 @@
 
     async def run_in_world(world: World) -> Row:
         fleet = SimFleet(world, ACADEMY, 12)
-        await fleet.up()
+        await fleet.start_all()
         description = fleet.marked_description("a")
         for number in range(entry_count):
             description["entries"].append(
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -17,7 +17,7 @@
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.ledger import RECOVERY_LIMIT_MICROS, Ledger
 from pearhead.testbed.simulator.recording import build_recording
-from pearhead.testbed.simulator.simulated_clients import COMMAND_CONNECTION, JOB_CONNECTION, SimCacheFetcher
+from pearhead.testbed.simulator.simulated_clients import COMMAND_CONNECTION, JOB_CONNECTION, SimCacheTransfer
 from pearhead.testbed.simulator.world import Machine, World, pause, run_in_virtual_time
 from pearhead.testbed.workermodel import ApplicationModel, StoreModel
 
@@ -128,7 +128,7 @@
     """The leader is cut off from the other cores, while the description and the weights change."""
     leader = fleet.leader()
     others = [n for n in sorted(fleet.cores) if n != leader]
-    fleet.world.note(f"cuts {leader} off from {others}")
+    fleet.world.trace_event(f"cuts {leader} off from {others}")
     fleet.cut([leader], others)
     await fleet.apply(fleet.marked_description("a"))
     await pause(fleet.world, 5 * SECOND)
@@ -142,13 +142,13 @@
 async def node_isolated(fleet: SimFleet) -> None:
     """A node is cut off from all machines while a tenant is withdrawn."""
     all_machine_names = sorted(fleet.world.machines)
-    fleet.world.note("isolates node-3")
+    fleet.world.trace_event("isolates node-3")
     fleet.cut(["node-3"], all_machine_names)
     description = fleet.marked_description("a")
     withdrawn = fleet.deployment.tenant_names[-1]
     description["tenants"] = [t for t in description["tenants"] if t["name"] != withdrawn]
     await fleet.apply(description)
-    fleet.ledger.withdrawals.append((withdrawn, fleet.world.now()))
+    fleet.ledger.tenant_withdrawals.append((withdrawn, fleet.world.now()))
     await wait_for_recovery(fleet)
     fleet.heal()
     await wait_for_recovery(fleet)
@@ -162,7 +162,7 @@
     description = description or fleet.marked_description("withdrawn")
     description["tenants"] = [t for t in description["tenants"] if t["name"] != tenant_name]
     await fleet.apply(description)
-    fleet.ledger.withdrawals.append((tenant_name, fleet.world.now()))
+    fleet.ledger.tenant_withdrawals.append((tenant_name, fleet.world.now()))
 
 
 def freeze_nodes_on_connect(fleet: SimFleet, purpose: str, names: list[str]) -> list[tuple[str, str]]:
@@ -252,7 +252,7 @@
     Meanwhile a tenant is withdrawn, workers are marked as leaving, and the weights change.
     """
     name = fleet.world.rng.choice(sorted(fleet.nodes))
-    fleet.world.note(f"cuts {name} off from cores and nodes")
+    fleet.world.trace_event(f"cuts {name} off from cores and nodes")
     fleet.cut([name], [*sorted(fleet.cores), *sorted(fleet.nodes)])
     await withdraw_tenant_key(fleet, fleet.deployment.tenant_names[0])
     await fleet.mark_leaving("worker-1", "worker-2")
@@ -372,7 +372,7 @@
     Each time an empty machine at a new address replaces it.
     """
     # The replacement of a core counts as planned work: no job may be dropped by it.
-    fleet.ledger.planned_count += 1
+    fleet.ledger.planned_operation_count += 1
     for number in range(3):
         await fleet.apply(fleet.marked_description(str(number)))
         name = fleet.leader()
@@ -466,7 +466,7 @@
     """
     rng = fleet.world.rng
     names = sorted(fleet.nodes)[:2]
-    fleet.world.note(f"cuts {names} off from cores and nodes")
+    fleet.world.trace_event(f"cuts {names} off from cores and nodes")
     pairs = fleet.cut(names, [*sorted(fleet.cores), *sorted(fleet.nodes)])
     for number in range(4):
         await fleet.name_weights(f"w{number + 2}")
@@ -585,7 +585,7 @@
 
     Each new one has another name and address, and is loaded before the old one leaves; meanwhile the weights change.
     """
-    fleet.ledger.planned_count += 1
+    fleet.ledger.planned_operation_count += 1
     for number, name in enumerate(fleet.current_workers()):
         new_name = await fleet.add_worker()
         await fleet.wait_until(lambda new_name=new_name: fleet.is_loaded(new_name), f"{new_name} is loaded")  # type: ignore[misc]
@@ -852,11 +852,11 @@
 async def reports_late_or_never(fleet: SimFleet) -> None:
     """Workers' event logs stay silent while the weights change, and for 8 s after."""
     for number in range(fleet.worker_count):
-        fleet.worker(f"worker-{number + 1}").log.is_silent = True
+        fleet.worker(f"worker-{number + 1}").log.reports_suppressed = True
     await fleet.name_weights("w2")
     await pause(fleet.world, 8 * SECOND)
     for number in range(fleet.worker_count):
-        fleet.worker(f"worker-{number + 1}").log.is_silent = False
+        fleet.worker(f"worker-{number + 1}").log.reports_suppressed = False
     await wait_for_recovery(fleet)
 
 
@@ -879,7 +879,7 @@
         assert isinstance(store, StoreModel)
         fleet.world.loop.call_later(rng.uniform(0.1, 1.5), store.log.append_event, "changed", key)
         fleet.world.loop.call_later(rng.uniform(2.0, 4.0), late.log.append_event, "changed", key)
-        fleet.ledger.changes.append((key, fleet.world.now(), limit_micros))
+        fleet.ledger.part_changes.append((key, fleet.world.now(), limit_micros))
     if not keys:
         fleet.ledger.breaches.append("no cached part was in use that could be reported as changed")
     return keys
@@ -914,9 +914,9 @@
     """Workers fetch cached parts 50 times more slowly."""
     for address, back_end in sorted(fleet.back_ends.items()):
         if address.startswith("worker-"):
-            link = fleet.worker(back_end.machine.name).link
-            assert isinstance(link, SimCacheFetcher)
-            link.slowness = 50
+            cache_transfer = fleet.worker(back_end.machine.name).cache_transfer
+            assert isinstance(cache_transfer, SimCacheTransfer)
+            cache_transfer.slowness = 50
     await pause(fleet.world, 6 * SECOND)
     await wait_for_recovery(fleet)
 
@@ -972,7 +972,7 @@
     for number in range(6):
         fault_kind = rng.choice(["kill", "freeze", "cut", "apply", "weights", "power", "loss"])
         name = rng.choice([n for n in sorted(fleet.world.machines) if n not in ("store", "desk")])
-        fleet.world.note(f"draws {fault_kind} {name}")
+        fleet.world.trace_event(f"draws {fault_kind} {name}")
         if fault_kind in ("kill", "power"):
             fleet.kill(name, loses_power=fault_kind == "power")
             await pause(fleet.world, rng.randrange(500 * MILLI, 4 * SECOND))
@@ -1040,7 +1040,7 @@
         fleet = build_fleet(world, name, deployment_name, node_count)
         fleet.excluded_faults = excluded_faults
         prepare(fleet)
-        await fleet.up()
+        await fleet.start_all()
         start_micros = world.now()
         if name not in CONTROL_SCENARIOS:
             fleet.start_load(JOBS_PER_SECOND)
--- a/src/pearhead/testbed/simulator/simulated_clients.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -296,7 +296,7 @@
         self.machine.guard_callback(settle)()
 
 
-class SimCacheFetcher:
+class SimCacheTransfer:
     """Transfers cached prefix parts between a worker, other workers and the store.
 
     Attributes:
@@ -328,12 +328,12 @@
         await asyncio.sleep(min(transfer_micros, limit_micros) / SECOND)
         return part if transfer_micros <= limit_micros else None
 
-    async def write_to_store(self, key: str, kept: CachedPart) -> None:
+    async def write_to_store(self, key: str, cached_part: CachedPart) -> None:
         """Sends a part to the store without waiting for it to arrive."""
         store = self.back_ends[self.store_address]
 
         async def work() -> None:
             assert isinstance(store.model, StoreModel)
-            store.model.put(key, kept)
+            store.model.put(key, cached_part)
 
         self.machine.task_group.start(self.world.run_on_machine(store.machine, self.machine.name, work, SECOND))
--- a/src/pearhead/testbed/simulator/sweep.py
+++ b/src/pearhead/testbed/simulator/sweep.py
@@ -97,7 +97,7 @@
             minimal_result = FailureMinimizer(self.run_many).minimize_failure(failure)
             if minimal_result is not failure:
                 self.report_line("minimized:")
-                self.report_line(minimal_result.failure())
+                self.report_line(minimal_result.failure_report())
         for line in self.summary(specs):
             self.report_line(line)
         return failed_count + len(failures)
--- a/src/pearhead/testbed/simulator/uplink.py
+++ b/src/pearhead/testbed/simulator/uplink.py
@@ -24,7 +24,7 @@
         self.idle_at_micros = 0
         self.dropped_count = 0
 
-    def departure(self, now_micros: int, byte_count: int, is_stream: bool) -> int | None:
+    def enqueue(self, now_micros: int, byte_count: int, is_stream: bool) -> int | None:
         """Queues a packet; returns the time at which its last byte has left, or None if it was dropped."""
         packet_bytes = byte_count + PACKET_OVERHEAD_BYTES
         starts_micros = max(now_micros, self.idle_at_micros)
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -247,7 +247,7 @@
         """Returns the virtual time in microseconds."""
         return self.loop.now()
 
-    def note(self, text: str) -> None:
+    def trace_event(self, text: str) -> None:
         """Adds a line to the trace and to the run hash; another text gives another hash."""
         self.trace.append(f"{self.now() / SECOND:9.3f} {text}")
         self.run_hash.update(f"{self.now()} {text}".encode())
@@ -275,7 +275,7 @@
 
     def heal(self) -> None:
         """Ends all cuts."""
-        self.note("heals")
+        self.trace_event("heals")
         self.cuts.clear()
 
     def link_micros(self) -> int:
@@ -318,7 +318,7 @@
     def _departure(self, source: Machine, frame_bytes: bytes, is_stream: bool) -> int | None:
         """Returns when the message has left its machine; None if the uplink dropped it."""
         uplink = self.uplinks.get(source.name)
-        return self.now() if uplink is None else uplink.departure(self.now(), len(frame_bytes), is_stream)
+        return self.now() if uplink is None else uplink.enqueue(self.now(), len(frame_bytes), is_stream)
 
     # ---- requests from outside, and HTTP between machines ----------------------------------------
 
--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -22,7 +22,7 @@
 )
 
 
-class HttpCacheFetcher:
+class HttpCacheTransfer:
     """Moves cached prefix parts between a worker, other workers and the store over HTTP.
 
     `slowness` multiplies the time that a fetch takes, for tests with slow links.
@@ -50,19 +50,19 @@
         await sleep_for(self.clock, min(link_micros, limit_micros))
         return cached_part if link_micros <= limit_micros else None
 
-    async def write_to_store(self, key: str, kept: CachedPart) -> None:
+    async def write_to_store(self, key: str, cached_part: CachedPart) -> None:
         """Starts to write a part to the store, if there is one, and does not wait for it. Failures are ignored."""
         if not self.store_address:
             return
-        put_task = asyncio.ensure_future(self._put(key, kept))
+        put_task = asyncio.ensure_future(self._put(key, cached_part))
         self.put_tasks.add(put_task)
         put_task.add_done_callback(self.put_tasks.discard)
 
-    async def _put(self, key: str, kept: CachedPart) -> None:
+    async def _put(self, key: str, cached_part: CachedPart) -> None:
         request = HTTPRequest(
             f"http://{self.store_address}/v1/kv/{key}",
             method="PUT",
-            body=json.dumps(vars(kept)),
+            body=json.dumps(vars(cached_part)),
             follow_redirects=False,
             request_timeout=1.0,
         )
@@ -197,16 +197,16 @@
 class FaultHandler(RequestHandler):
     """Injects faults by command: a slow link, reports that tell nothing new, answers cut after some lines."""
 
-    def initialize(self, model: WorkerModel, link: HttpCacheFetcher) -> None:
-        """Receives the worker and its link from the routes of `build_stand_in`."""
+    def initialize(self, model: WorkerModel, cache_transfer: HttpCacheTransfer) -> None:
+        """Receives the worker and its cache transfer from the routes of `build_stand_in`."""
         self.model = model
-        self.link = link
+        self.cache_transfer = cache_transfer
 
     def post(self) -> None:
         """Sets the faults that the body names; others stay as they are."""
         fault = json.loads(self.request.body)
-        self.link.slowness = int(fault.get("slowness", self.link.slowness))
-        self.model.log.is_silent = bool(fault.get("silent", self.model.log.is_silent))
+        self.cache_transfer.slowness = int(fault.get("slowness", self.cache_transfer.slowness))
+        self.model.log.reports_suppressed = bool(fault.get("silent", self.model.log.reports_suppressed))
         if "cutAfterLines" in fault:
             self.model.cut_after_lines = fault["cutAfterLines"]
         self.finish({})
@@ -233,8 +233,8 @@
             ],
             log_function=lambda handler: None,
         )
-    link = HttpCacheFetcher(store_address)
-    worker = WorkerModel(clock, rng, link)
+    cache_transfer = HttpCacheTransfer(store_address)
+    worker = WorkerModel(clock, rng, cache_transfer)
     return Application(
         [
             ("/v1/completions", CompletionsHandler, {"model": worker}),
@@ -243,7 +243,7 @@
             ("/v1/kv_events", EventsHandler, {"model": worker}),
             ("/v1/kv/(.+)", CachedPartHandler, {"model": worker}),
             ("/runs", RunsHandler, {"model": worker}),
-            ("/faults", FaultHandler, {"model": worker, "link": link}),
+            ("/faults", FaultHandler, {"model": worker, "cache_transfer": cache_transfer}),
         ],
         log_function=lambda handler: None,
     )
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -18,7 +18,7 @@
 PREFILL_MICROS_PER_TOKEN = 100
 LINE_INTERVAL_MICROS = 15 * MILLI
 # Lines of the answer to a long job.
-LINE_COUNT = 6
+LONG_LINE_COUNT = 6
 LOAD_MICROS = 1_500 * MILLI
 EVENT_LIMIT = 5_000
 # The time of each line is multiplied by the number of running jobs // BATCH_SIZE, but at least by 1.
@@ -64,13 +64,13 @@
     reused_keys: list[str] = field(default_factory=list)
 
 
-class CacheFetcher(Protocol):
+class CacheTransfer(Protocol):
     """Transfers cached parts between a worker, other workers and the store."""
 
     async def fetch(self, remote_address: str, key: str, limit_micros: int) -> CachedPart | None:
         """The part of a key at `remote_address`; None if it is not there or can't be transferred within the limit."""
 
-    async def write_to_store(self, key: str, kept: CachedPart) -> None:
+    async def write_to_store(self, key: str, cached_part: CachedPart) -> None:
         """Writes a part to the store of the worker."""
 
 
@@ -79,9 +79,9 @@
     return f"{hashlib.sha256(body.encode()).hexdigest()[:16]}/{line_number}"
 
 
-def expected_lines(body: str) -> int:
+def expected_line_count(body: str) -> int:
     """The number of lines in the answer to a body."""
-    return LINE_COUNT if "long" in body else 2
+    return LONG_LINE_COUNT if "long" in body else 2
 
 
 @dataclass
@@ -102,14 +102,14 @@
     """Numbered events of cached parts. A reader that is too far behind gets the whole list of keys instead.
 
     `life` identifies one start of the process; sequence numbers count within it. `EVENT_LIMIT` events are retained.
-    While `is_silent` is set, workers report no new events.
+    While `reports_suppressed` is set, workers report no new events.
     """
 
     def __init__(self, life: str) -> None:
         self.life = life
         self.sequence = 0
         self.events: list[tuple[int, str, str]] = []
-        self.is_silent = False
+        self.reports_suppressed = False
 
     def append_event(self, kind: str, key: str) -> None:
         """Records that a part was kept, dropped or changed, or that all were cleared."""
@@ -148,11 +148,11 @@
         self,
         clock: Clock,
         rng: random.Random,
-        link: CacheFetcher,
+        cache_transfer: CacheTransfer,
         on_run: Callable[[RunRecord], None] = lambda record: None,
     ) -> None:
         self.clock = clock
-        self.link = link
+        self.cache_transfer = cache_transfer
         self.on_run = on_run
         self.log = CacheEventLog(rng.randbytes(8).hex())
         self.loaded_model = ""
@@ -219,8 +219,8 @@
                 await self._cache_part(
                     part["key"], CachedPart(self.loaded_model, salt, record.tenant, int(part["tokens"]))
                 )
-        line_count = expected_lines(request["prompt"])
-        line_micros = self.speed.line_micros if line_count < LINE_COUNT else self.speed.long_line_micros
+        line_count = expected_line_count(request["prompt"])
+        line_micros = self.speed.line_micros if line_count < LONG_LINE_COUNT else self.speed.long_line_micros
         for line_number in range(line_count):
             await sleep_for(self.clock, line_micros * max(1, self.running_count // BATCH_SIZE))
             if self.loaded_model != record.loaded_model or self.load_count != load_count:
@@ -256,7 +256,7 @@
                 continue
             if left_micros <= 0:
                 break
-            cached_part = await self.link.fetch(plan["remote"], part["key"], left_micros)
+            cached_part = await self.cache_transfer.fetch(plan["remote"], part["key"], left_micros)
             if cached_part is None:
                 break
             token_count += cached_part.tokens
@@ -278,7 +278,7 @@
         while len(self.cache) > CACHE_KEY_LIMIT:
             evicted_key, _ = self.cache.popitem(last=False)
             self.log.append_event("dropped", evicted_key)
-        await self.link.write_to_store(key, cached_part)
+        await self.cache_transfer.write_to_store(key, cached_part)
 
     async def claim(self, fence: int) -> dict[str, Any]:
         """Takes the fence of a new lease holder: commands with an older one are refused from now on.
@@ -332,7 +332,7 @@
         """
         waiting_tokens = max(0, self.prefill_free_at - self.clock.now()) // self.speed.prefill_micros
         load = {"running": self.running_count, "waiting_tokens": waiting_tokens}
-        if self.log.is_silent:
+        if self.log.reports_suppressed:
             return {
                 "life": life or self.log.life,
                 "sequence": after,
@@ -350,21 +350,21 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.log = CacheEventLog(rng.randbytes(8).hex())
-        self.kept: OrderedDict[str, CachedPart] = OrderedDict()
+        self.parts: OrderedDict[str, CachedPart] = OrderedDict()
 
-    def put(self, key: str, kept: CachedPart) -> None:
+    def put(self, key: str, cached_part: CachedPart) -> None:
         """Stores a part; only a new key becomes an event."""
-        if key not in self.kept:
+        if key not in self.parts:
             self.log.append_event("kept", key)
-        self.kept[key] = kept
+        self.parts[key] = cached_part
 
     def get(self, key: str) -> CachedPart | None:
         """The part of a key, if there is one."""
-        return self.kept.get(key)
+        return self.parts.get(key)
 
     def events(self, life: str, after: int) -> dict[str, Any]:
         """The report of stored parts to a reader (see `CacheEventLog.read`)."""
-        return self.log.read(life, after, list(self.kept))
+        return self.log.read(life, after, list(self.parts))
 
 
 class ApplicationModel:
@@ -381,7 +381,7 @@
         record = RunRecord(upstream_id, request["user"], request["model"], request["model"], self.clock.now())
         self.runs.append(record)
         self.on_run(record)
-        line_count = expected_lines(request["prompt"])
+        line_count = expected_line_count(request["prompt"])
         for line_number in range(line_count):
             await sleep_for(self.clock, self.line_micros)
             yield {
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -24,7 +24,7 @@
 def run_in_control_scenario(body: Callable[[ControlScenarioRun], Awaitable[None]]) -> None:
     async def run_in_world(world: World) -> None:
         scenario_run = ControlScenarioRun(SimFleet(world, KLIPPVIK, 1, 2))
-        await scenario_run.fleet.up()
+        await scenario_run.fleet.start_all()
         await body(scenario_run)
 
     run_in_virtual_time(1, run_in_world)
@@ -43,16 +43,16 @@
         run_in_virtual_time(1, body)
 
     def test_each_check_has_a_broken_build_on_one_of_them(self) -> None:
-        found = {mutation.wanted for mutation in MUTATIONS.values() if mutation.scenario in CONTROL_SCENARIOS}
+        found = {mutation.expected_check for mutation in MUTATIONS.values() if mutation.scenario in CONTROL_SCENARIOS}
         self.assertEqual(found, CHECKS)
 
     def test_an_answer_given_up_is_none_and_the_repeat_elsewhere_is_acknowledged(self) -> None:
         async def body(scenario_run: ControlScenarioRun) -> None:
             change = Change(0, 1, "a")
             leader, other = scenario_run.fleet.leader(), scenario_run.followers()[0]
-            unanswered = await scenario_run.operators.ask(change, leader, 1 * MILLI)
-            repeat = await scenario_run.operators.ask(change, other)
-            conflicting = await scenario_run.operators.ask(Change(0, 1, "b"), other)
+            unanswered = await scenario_run.operators.send_change(change, leader, 1 * MILLI)
+            repeat = await scenario_run.operators.send_change(change, other)
+            conflicting = await scenario_run.operators.send_change(Change(0, 1, "b"), other)
             self.assertEqual([o.status for o in (unanswered, repeat, conflicting)], [NO_ANSWER, DONE, CONFLICT])
             self.assertEqual(repeat.reported_number, 1)
             read = await scenario_run.operators.read(other)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -338,7 +338,7 @@
     def check(self, scenario: TaskScenario, mutate: Callable[[], Callable[[], None]], least_count: int) -> None:
         exploration = self.explore(scenario)
         self.assertEqual(exploration.faults, [])
-        self.assertTrue(exploration.is_whole, "not all schedules were run")
+        self.assertTrue(exploration.is_complete, "not all schedules were run")
         self.assertGreaterEqual(exploration.schedule_count, least_count)
         restore = mutate()
         try:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -254,7 +254,7 @@
                             fleet.start(new_name)
                         await pause(fleet.world, fleet.world.rng.randrange(SECOND))
                     names.append(new_name)
-                    fleet.forget_core(old_name)
+                    fleet.remove_core(old_name)
                     took_seconds = await seconds_until(fleet, lambda: all_agree(fleet, names), 30.0)
                     self.assertLess(took_seconds, 20.0, f"{old_name} to {new_name}: {voters_of(fleet)} vote")
                     await self.apply(fleet, str(number), 2.0)
@@ -302,7 +302,7 @@
         await pause(fleet.world, fleet.world.rng.randrange(3 * SECOND))
         await fleet.cores[old_name].drain()
         fleet.kill(old_name)
-        fleet.forget_core(old_name)
+        fleet.remove_core(old_name)
 
     def test_a_planned_replacement_and_two_losses_after_it_leave_a_leader(self) -> None:
         """One core is replaced as planned, 15 s later another is lost and replaced, then a third loses its disk.
@@ -322,7 +322,7 @@
                     lost_name = fleet.world.rng.choice(names)
                     names.remove(lost_name)
                     fleet.kill(lost_name, loses_power=True)
-                    fleet.forget_core(lost_name)
+                    fleet.remove_core(lost_name)
                     await pause(fleet.world, fleet.world.rng.randrange(3 * SECOND))
                     await self.add_core(fleet, "core-7", lost_name)
                     # Another machine may be lost once the successor has run for this long: that is guaranteed.
--- a/tests/test_roster_freshness.py
+++ b/tests/test_roster_freshness.py
@@ -173,8 +173,8 @@
     def test_a_burst_beyond_the_queue_loses_its_tail_and_streams_wait(self) -> None:
         uplink = Uplink(1_000_000, 10 * 1_000)
         size = 1_000 - PACKET_OVERHEAD_BYTES
-        departures = [uplink.departure(0, size, is_stream=False) for _ in range(12)]
+        departures = [uplink.enqueue(0, size, is_stream=False) for _ in range(12)]
         self.assertEqual(departures, [n * 1_000 for n in range(1, 11)] + [None, None])
         self.assertEqual(uplink.dropped_count, 2)
-        self.assertEqual(uplink.departure(0, size, is_stream=True), 11_000)
-        self.assertEqual(uplink.departure(20_000, size, is_stream=False), 21_000, "the queue is empty again")
+        self.assertEqual(uplink.enqueue(0, size, is_stream=True), 11_000)
+        self.assertEqual(uplink.enqueue(20_000, size, is_stream=False), 21_000, "the queue is empty again")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -24,10 +24,10 @@
         known = read_known_red(KNOWN_RED_FILE.read_text() if KNOWN_RED_FILE.exists() else "")
         failures = []
         for result in results:
-            if result.breaches and is_known(result.failure(), result.breaches, known):
-                print(f"known red: {result.failure().splitlines()[0]}", flush=True)
+            if result.breaches and is_known(result.failure_report(), result.breaches, known):
+                print(f"known red: {result.failure_report().splitlines()[0]}", flush=True)
             elif result.breaches:
-                failures.append(result.failure())
+                failures.append(result.failure_report())
         self.assertEqual(len(results), len(specs))
         self.assertEqual(failures, [], "\n\n".join(failures))
 
@@ -44,7 +44,7 @@
     def test_each_checker_finds_a_broken_build(self) -> None:
         specs = [RunSpec(m.scenario, "klippvik", 1, name, 3) for name, m in MUTATIONS.items()]
         for result in run_specs(specs):
-            wanted = MUTATIONS[result.spec.mutation].wanted
+            wanted = MUTATIONS[result.spec.mutation].expected_check
             found_checks = {breach.split(":")[0] for breach in result.breaches}
             with self.subTest(result.spec.mutation):
                 self.assertIn(wanted, found_checks, result.breaches[:3])
--- a/tests/test_simulator_explore.py
+++ b/tests/test_simulator_explore.py
@@ -25,7 +25,7 @@
             assert counter["value"] == 2, "lost"
 
         exploration = InterleavingExplorer().explore(scenario)
-        self.assertTrue(exploration.is_whole)
+        self.assertTrue(exploration.is_complete)
         self.assertGreater(exploration.schedule_count, 5)
         self.assertGreater(len(exploration.faults), 0)
         self.assertLess(len(exploration.faults), exploration.schedule_count)
