--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -15,7 +15,7 @@
 
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
 from pearhead.testbed.emulator.ledger import RecordSink, Try, body_digest
-from pearhead.testbed.emulator.node_selector import Entry
+from pearhead.testbed.emulator.node_selector import NodeSelector
 from pearhead.testbed.emulator.plan import RequestKind, SitePlan
 from pearhead.testbed.emulator.raw_http import RawConnection, RawResponseHead, WireError
 from pearhead.testbed.emulator.response_format import (
@@ -137,7 +137,7 @@
     def __post_init__(self) -> None:
         self.last_number = self.resumed_from
 
-    def take(self, piece: Piece | None) -> None:
+    def check_event(self, piece: Piece | None) -> None:
         """Checks the next event; None is one that could not be parsed."""
         if piece is None:
             self.faults.append(("MIXED", "bytes that are no event"))
@@ -184,31 +184,31 @@
 
 
 class EventSplitter:
-    """Splits a body into its events. `held` is the beginning of an incomplete one."""
+    """Splits a body into its events. `incomplete` is the beginning of an unfinished one."""
 
     def __init__(self) -> None:
-        self.held = b""
+        self.incomplete = b""
 
-    def take(self, chunk: bytes) -> list[bytes]:
+    def feed(self, chunk: bytes) -> list[bytes]:
         """Returns the events that this chunk completes."""
-        *events, self.held = (self.held + chunk).split(b"\n\n")
+        *events, self.incomplete = (self.incomplete + chunk).split(b"\n\n")
         return events
 
 
 @dataclass
-class Outcome:
+class AttemptOutcome:
     """How one attempt ended. `status`: 0 if it was cut off or reached no node. `is_unread`: no node read the request.
 
     `is_given_up`: the client ended it, for silence or its deadline. `last_number`: the last piece that came.
     """
 
     status: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
     is_unread: bool = False
     is_given_up: bool = False
     last_number: int = 0
     retry_micros: int = 0
-    first_at: int = 0
+    first_piece_at: int = 0
     faults: list[tuple[str, str]] = field(default_factory=list)
 
 
@@ -218,21 +218,27 @@
 
     outcomes: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
-    tries: int = 0
-    first_micros: list[int] = field(default_factory=list)
+    attempt_count: int = 0
+    first_piece_micros: list[int] = field(default_factory=list)
 
 
 class SiteClient:
     """One client with a persistent connection to its node; it sends one request at a time."""
 
     def __init__(
-        self, name: str, entry: Entry, clock: Clock, rng: random.Random, sink: RecordSink, max_retries: int = 1
+        self,
+        name: str,
+        node_selector: NodeSelector,
+        clock: Clock,
+        rng: random.Random,
+        sink: RecordSink,
+        max_retries: int = 1,
     ) -> None:
-        self.name, self.entry, self.clock, self.rng, self.sink = name, entry, clock, rng, sink
+        self.name, self.node_selector, self.clock, self.rng, self.sink = name, node_selector, clock, rng, sink
         self.max_retries = max_retries
         self.kept_connection: tuple[str, RawConnection] | None = None
 
-    async def call(self, request: SiteRequest, report: CallReport) -> Outcome:
+    async def call(self, request: SiteRequest, report: CallReport) -> AttemptOutcome:
         """Sends a request and retries it within its deadline. Each attempt is recorded; returns the last outcome."""
         started_at = self.clock.now()
         end_at = started_at + request.deadline_micros
@@ -240,7 +246,7 @@
         resumed_from = 0
         for attempt in range(1 + self.max_retries):
             outcome = await self._attempt(request, attempt, tried, resumed_from, end_at, report)
-            if outcome.is_whole or not self._may_retry(request, outcome):
+            if outcome.is_complete or not self._may_retry(request, outcome):
                 break
             if request.is_resumable:
                 resumed_from = max(resumed_from, outcome.last_number)
@@ -250,8 +256,8 @@
                 break
             await sleep_for(self.clock, pause_micros)
         report.outcomes[self._outcome_label(outcome)] += 1
-        if outcome.is_whole and outcome.first_at:
-            report.first_micros.append(outcome.first_at - started_at)
+        if outcome.is_complete and outcome.first_piece_at:
+            report.first_piece_micros.append(outcome.first_piece_at - started_at)
         return outcome
 
     def close(self) -> None:
@@ -260,12 +266,12 @@
             self.kept_connection[1].close()
             self.kept_connection = None
 
-    def _outcome_label(self, outcome: Outcome) -> str:
-        if outcome.is_whole:
+    def _outcome_label(self, outcome: AttemptOutcome) -> str:
+        if outcome.is_complete:
             return "done"
         return str(outcome.status) if outcome.status else "unread" if outcome.is_unread else "cut"
 
-    def _may_retry(self, request: SiteRequest, outcome: Outcome) -> bool:
+    def _may_retry(self, request: SiteRequest, outcome: AttemptOutcome) -> bool:
         """Whether the platform's rules allow another attempt."""
         if outcome.status in FINAL_STATUSES:
             return False
@@ -273,21 +279,21 @@
 
     async def _attempt(
         self, request: SiteRequest, attempt: int, tried: list[str], resumed_from: int, end_at: int, report: CallReport
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         previous = self.kept_connection
         node, connection = await self._connect(attempt, tried)
         is_kept = previous is not None and previous[1] is connection
         request_id = self.rng.randbytes(8).hex()
         sent_at = self.clock.now()
-        outcome = Outcome(is_unread=True)
+        outcome = AttemptOutcome(is_unread=True)
         if connection is not None:
             outcome = await self._exchange(request, request_id, connection, resumed_from, end_at)
-            if not outcome.is_whole:
+            if not outcome.is_complete:
                 self.close()
         tried.append(node)
-        report.tries += 1
+        report.attempt_count += 1
         report.faults.extend(f"{rule}: {what} ({request_id} at {node})" for rule, what in outcome.faults)
-        self.sink.take(
+        self.sink.record(
             Try(
                 sent_at,
                 self.clock.now(),
@@ -304,7 +310,7 @@
                 outcome.status,
                 resumed_from,
                 outcome.last_number,
-                outcome.first_at,
+                outcome.first_piece_at,
                 tuple(outcome.faults),
                 outcome.is_unread,
                 outcome.is_given_up,
@@ -318,8 +324,8 @@
         if self.kept_connection is not None and attempt == 0 and not self.kept_connection[1].is_closed():
             return self.kept_connection
         self.close()
-        node = self.entry.pick(self.name, attempt, tried)
-        connection = RawConnection(self.entry.address(node))
+        node = self.node_selector.pick(self.name, attempt, tried)
+        connection = RawConnection(self.node_selector.address(node))
         try:
             await connection.open()
         except (OSError, TimeoutError):
@@ -329,8 +335,8 @@
 
     async def _exchange(
         self, request: SiteRequest, request_id: str, connection: RawConnection, resumed_from: int, end_at: int
-    ) -> Outcome:
-        outcome = Outcome(last_number=resumed_from)
+    ) -> AttemptOutcome:
+        outcome = AttemptOutcome(last_number=resumed_from)
         if connection.stray_bytes():
             outcome.faults.append(("MIXED", "bytes came while no request was waiting"))
         headers = {
@@ -364,7 +370,7 @@
                 self.close()
         return outcome
 
-    def _mark_cut(self, outcome: Outcome) -> None:
+    def _mark_cut(self, outcome: AttemptOutcome) -> None:
         if 200 <= outcome.status < 300:
             outcome.status = 0
 
@@ -373,7 +379,7 @@
         request: SiteRequest,
         connection: RawConnection,
         head: RawResponseHead,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         resumed_from: int,
         end_at: int,
     ) -> None:
@@ -391,15 +397,15 @@
                     break
                 if not is_success:
                     continue
-                for event in splitter.take(chunk):
-                    check.take(parse_piece(event))
-                    outcome.first_at = outcome.first_at or self.clock.now()
+                for event in splitter.feed(chunk):
+                    check.check_event(parse_piece(event))
+                    outcome.first_piece_at = outcome.first_piece_at or self.clock.now()
                     outcome.last_number = check.last_number
             if is_success:
-                if splitter.held:
+                if splitter.incomplete:
                     check.faults.append(("MIXED", "a success that ends inside an event"))
                 check.end()
-                outcome.is_whole = True
+                outcome.is_complete = True
         finally:
             outcome.faults.extend(check.faults)
 
@@ -420,19 +426,19 @@
 
     def __init__(self, plan: SitePlan, clock: Clock, rng: random.Random, sink: RecordSink) -> None:
         self.plan, self.clock, self.rng, self.sink = plan, clock, rng, sink
-        self.entry = Entry(plan.of("router"))
+        self.node_selector = NodeSelector(plan.machines_of("router"))
 
     async def run(self, request_count: int, concurrency: int, config: dict[str, Any] | None = None) -> CallReport:
         """Sends `request_count` requests, `concurrency` of them at a time, and reports what the clients saw."""
         report = CallReport()
         draw = RequestGenerator(self.plan, config or self.plan.config, self.rng)
-        await self.entry.poll()
-        await self.entry.poll()
-        poll_task = asyncio.ensure_future(self.entry.run(self.clock))
+        await self.node_selector.poll()
+        await self.node_selector.poll()
+        poll_task = asyncio.ensure_future(self.node_selector.run(self.clock))
         remaining = iter(range(request_count))
 
         async def run_client(number: int) -> None:
-            client = SiteClient(f"client-{number}", self.entry, self.clock, self.rng, self.sink)
+            client = SiteClient(f"client-{number}", self.node_selector, self.clock, self.rng, self.sink)
             for _ in remaining:
                 await client.call(draw.draw(), report)
             client.close()
--- a/src/pearhead/testbed/emulator/cloud.py
+++ b/src/pearhead/testbed/emulator/cloud.py
@@ -105,7 +105,7 @@
         self.listed_states = states
         for worker_id, state in {**changed, **removed}.items():
             if self.sink is not None:
-                self.sink.take(Shown(shown_at, worker_id, state))
+                self.sink.record(Shown(shown_at, worker_id, state))
 
 
 class CloudHandler(RequestHandler):
--- a/src/pearhead/testbed/emulator/corefaults.py
+++ b/src/pearhead/testbed/emulator/corefaults.py
@@ -24,7 +24,7 @@
 
     def names(self) -> list[str]:
         """The names of the present core machines."""
-        return [m.name for m in self.launcher.site.of("control_plane")]
+        return [m.name for m in self.launcher.site.machines_of("control_plane")]
 
     def settle(self) -> None:
         """Waits for `SettleS`, after which the core may lose a machine again."""
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -346,7 +346,7 @@
         """Handles an order to change the weights and returns its status: 202, 200, 400, 409 or 412."""
         status = self._check_order(body)
         if status != 400:
-            self.sink.take(
+            self.sink.record(
                 OrderSeen(
                     now,
                     self.worker,
@@ -546,7 +546,7 @@
             self._record_use(now, entry, partial_part, partial_part.tokens)
 
     def _record_use(self, now: int, entry: _RequestState, part: KeptPart, tokens: int) -> None:
-        self.sink.take(
+        self.sink.record(
             Use(
                 now,
                 self.worker,
@@ -698,7 +698,7 @@
 
     def _record_run(self, now: int, entry: _RequestState, status: int) -> None:
         request = entry.request
-        self.sink.take(
+        self.sink.record(
             Run(
                 now,
                 self.worker,
--- a/src/pearhead/testbed/emulator/engine_driver.py
+++ b/src/pearhead/testbed/emulator/engine_driver.py
@@ -17,7 +17,7 @@
     SaveRequested,
 )
 from pearhead.testbed.emulator.part_cache import KeptPart, PartKey
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 
 PartKeys = tuple[PartKey, ...]
 
@@ -39,7 +39,7 @@
 
     async def fetch(self, address: str, keys: PartKeys) -> tuple[list[KeptPart], str] | None:
         """Returns the parts found at an address and its zone; None without a successful response."""
-        answer = await ask(address, "POST", "/site/lend", {"keys": keys})
+        answer = await send_request(address, "POST", "/site/lend", {"keys": keys})
         if answer is None or answer.head.status != 200:
             return None
         result = answer.fields()
@@ -47,7 +47,7 @@
 
     async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None:
         """Sends parts to a store, whether it succeeds or not."""
-        await ask(address, "POST", "/site/keep", {"parts": [asdict(p) for p in parts]})
+        await send_request(address, "POST", "/site/keep", {"parts": [asdict(p) for p in parts]})
 
 
 class EngineDriver:
--- a/src/pearhead/testbed/emulator/engine_server.py
+++ b/src/pearhead/testbed/emulator/engine_server.py
@@ -120,7 +120,7 @@
 
     def abort_response(self, is_reset: bool) -> None:
         """Closes the connection in the middle of a response, with or without a reset, and records it."""
-        self.context.sink.take(BrokenOff(self.context.clock.now(), self.model.worker, self.header("X-Request-Id")))
+        self.context.sink.record(BrokenOff(self.context.clock.now(), self.model.worker, self.header("X-Request-Id")))
         self._auto_finish = False
         if is_reset:
             reset_connection(self.stream)
@@ -185,7 +185,7 @@
             self.context.driver.cancel(self.ticket)
 
     def _record_arrival(self, status: int) -> None:
-        self.context.sink.take(
+        self.context.sink.record(
             Arrival(
                 self.context.clock.now(),
                 self.model.worker,
@@ -304,7 +304,7 @@
     async def _finish_response(self, engine_request: EngineRequest, fault: str) -> None:
         """Ends the response, sends the stray one of an `extra` or `late` fault, and closes the connection if due."""
         stream = self.stream
-        self.context.sink.take(Finished(self.context.clock.now(), self.model.worker, engine_request.request_id))
+        self.context.sink.record(Finished(self.context.clock.now(), self.model.worker, engine_request.request_id))
         await self.finish()
         if fault in ("extra", "late") and not stream.closed():
             if fault == "late":
--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -41,7 +41,7 @@
     program_settings,
     read_plan,
 )
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 from pearhead.testbed.launcher import Launcher
 
 ROOT = Path(__file__).resolve().parents[4]
@@ -142,7 +142,7 @@
         settings_path.write_text(json.dumps(self.settings_of(name), indent=2))
         self.plan["ids"][name] = self._spawn(name, settings_path)
         self._save_plan()
-        self._note(name, "started")
+        self._record_trouble(name, "started")
 
     def settings_of(self, name: str) -> dict[str, Any]:
         """The contents of a process's settings file if it started now. Creates a node's data folder if missing."""
@@ -190,7 +190,7 @@
         """Sends a signal to a process and records its effect. Returns whether the process was alive."""
         is_sent = super().send_signal(name, signal_number)
         if is_sent and signal_number in TROUBLE_BY_SIGNAL and self._update_frozen(name, signal_number):
-            self._note(name, TROUBLE_BY_SIGNAL[signal.Signals(signal_number)])
+            self._record_trouble(name, TROUBLE_BY_SIGNAL[signal.Signals(signal_number)])
         return is_sent
 
     def _update_frozen(self, name: str, signal_number: int) -> bool:
@@ -212,12 +212,12 @@
         super().down()
         self.release_block()
 
-    def _note(self, name: str, what: str) -> None:
+    def _record_trouble(self, name: str, what: str) -> None:
         """Records a trouble of a process, also of a removed machine, in the ledger."""
         process = {**self.plan["processes"], **self.plan["retired"]}[name]
         sink = LedgerFile(self.ledger_path / "troubles.jsonl")
         ip = process["httpAddress"].partition(":")[0]
-        sink.take(Trouble(self.clock.now(), name, process["program"], what, ip))
+        sink.record(Trouble(self.clock.now(), name, process["program"], what, ip))
         sink.close()
 
     # ---- machines that come and go -----------------------------------------------------------------
@@ -229,7 +229,7 @@
             process["program"] == "control_plane"
             for process in (*self.plan["processes"].values(), *self.plan["retired"].values())
         )
-        first = site.of("control_plane")[0]
+        first = site.machines_of("control_plane")[0]
         ip = f"{first.ip.rpartition('.')[0]}.{number}"
         machine = Machine(f"core-{number}", "control_plane", ip, site.zones[(number - 1) % len(site.zones)])
         site.machines.append(machine)
@@ -252,7 +252,7 @@
     def wipe(self, name: str) -> None:
         """Deletes the disk contents of a process that has ended, and records this."""
         shutil.rmtree(self.folder_path / f"{name}.data")
-        self._note(name, "wiped")
+        self._record_trouble(name, "wiped")
 
     def listed_control_addresses(self) -> list[str]:
         """The control addresses of the core by the platform's list, which lags behind by `SeedLagS`."""
@@ -278,7 +278,7 @@
         finally:
             sink.close()
 
-    def set_up(self) -> None:
+    def apply_initial_configuration(self) -> None:
         """Sends the first configuration, for up to 60 s; one that is in force already is no error.
 
         Raises RuntimeError if it was not accepted.
@@ -299,7 +299,7 @@
         """
         with self.operator(lost_answers) as operator:
             status = asyncio.run(operator.put(config, base, is_valid=is_valid))
-        self._hold(config, status)
+        self._save_if_accepted(config, status)
         return status
 
     def put_concurrently(self, configs: list[dict[str, Any]], lost_answers: int = 0) -> list[int]:
@@ -317,7 +317,7 @@
             operators = [stack.enter_context(self.operator(lost_answers)) for _ in configs]
             statuses = asyncio.run(put_all(operators))
         for config, status in zip(configs, statuses, strict=True):
-            self._hold(config, status)
+            self._save_if_accepted(config, status)
         return statuses
 
     def put_during(self, config: dict[str, Any], work: Callable[[], None]) -> int:
@@ -328,7 +328,7 @@
             sender.start()
             work()
             sender.join()
-        self._hold(config, statuses[0])
+        self._save_if_accepted(config, statuses[0])
         return statuses[0]
 
     def patch(self, patch: dict[str, Any], lost_answers: int = 0) -> int:
@@ -336,7 +336,7 @@
         base_config = self.plan["config"]
         with self.operator(lost_answers) as operator:
             status = asyncio.run(operator.patch(patch, base_config))
-        self._hold(apply_patch(base_config, patch), status)
+        self._save_if_accepted(apply_patch(base_config, patch), status)
         return status
 
     def read_config(self) -> dict[str, Any]:
@@ -352,7 +352,7 @@
         with self.operator() as operator:
             return asyncio.run(operator.name_version(site.model, version, cloud, workers))
 
-    def _hold(self, config: dict[str, Any], status: int) -> None:
+    def _save_if_accepted(self, config: dict[str, Any], status: int) -> None:
         """Saves a configuration as the last accepted one if its status is 200."""
         if status == 200:
             self.plan["config"] = config
@@ -362,27 +362,27 @@
 
     def wait_ready(self) -> None:
         """Waits until the readiness endpoint of every front node answers 200."""
-        fronts = self.site.of("router")
+        fronts = self.site.machines_of("router")
 
         async def ask_all() -> bool:
-            answers = [await ask(f"{m.ip}:{READINESS_PORT}", "GET", "/v1/readiness") for m in fronts]
+            answers = [await send_request(f"{m.ip}:{READINESS_PORT}", "GET", "/v1/readiness") for m in fronts]
             return all(a is not None and a.head.status == 200 for a in answers)
 
         self.wait_until(lambda: asyncio.run(ask_all()), "every front node ready")
 
     def version_of(self, name: str) -> int:
         """The version of the weights that one emulated worker reports; 0 if it does not answer."""
-        answer = asyncio.run(ask(self.plan["processes"][name]["httpAddress"], "GET", "/v1/report"))
+        answer = asyncio.run(send_request(self.plan["processes"][name]["httpAddress"], "GET", "/v1/report"))
         models = answer.fields().get("Models", []) if answer is not None else []
         return int(models[0]["Revision"]) if models else 0
 
     def inject_worker_faults(self, name: str, faults: dict[str, Any]) -> None:
         """Sets faults of one emulated worker, by the field names of EngineFaults, and records this."""
         address = self.plan["processes"][name]["httpAddress"]
-        self._note(name, "commanded")
-        asyncio.run(ask(address, "POST", "/site/command", faults))
+        self._record_trouble(name, "commanded")
+        asyncio.run(send_request(address, "POST", "/site/command", faults))
 
-    def call(self, request_count: int, concurrency: int, seed: int) -> CallReport:
+    def send_requests(self, request_count: int, concurrency: int, seed: int) -> CallReport:
         """Sends requests, `concurrency` of them at a time, and checks and records their answers.
 
         The random source also depends on the length of the ledger file, so that repeated calls with one seed don't
@@ -401,7 +401,7 @@
         ledger = read_ledger(self.ledger_path)
         for log_path in sorted(self.folder_path.glob("*.log")):
             for life in read_lives(log_path.read_text(errors="replace")):
-                ledger.take(life)
+                ledger.record(life)
         return ledger
 
 
@@ -432,7 +432,7 @@
     if not launcher.plan:
         launcher.make_site(deployment, size, seed)
     launcher.up()
-    launcher.set_up()
+    launcher.apply_initial_configuration()
     launcher.wait_ready()
     site = launcher.site
     return [
@@ -443,10 +443,10 @@
 
 def call_site(folder: str, request_count: int, concurrency: int, seed: int) -> tuple[list[str], int]:
     """Sends requests to a site. Returns lines to show, and how many faults the clients found in answers."""
-    report = SiteLauncher(folder).call(request_count, concurrency, seed)
+    report = SiteLauncher(folder).send_requests(request_count, concurrency, seed)
     lines = [f"{outcome}: {count}" for outcome, count in sorted(report.outcomes.items())]
-    if report.first_micros:
-        in_order = sorted(report.first_micros)
+    if report.first_piece_micros:
+        in_order = sorted(report.first_piece_micros)
         lines.append(f"first event, median: {in_order[len(in_order) // 2] // 1_000} ms")
     lines.append(f"faults: {len(report.faults)}")
     return [*lines, *(f"  {fault}" for fault in report.faults[:20])], len(report.faults)
--- a/src/pearhead/testbed/emulator/ledger.py
+++ b/src/pearhead/testbed/emulator/ledger.py
@@ -255,7 +255,7 @@
 class RecordSink(Protocol):
     """Accepts the records of one process."""
 
-    def take(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Stores one record."""
         ...
 
@@ -284,9 +284,9 @@
         self.finished: list[Finished] = []
         self.troubles: list[Trouble] = []
         for record in records or []:
-            self.take(record)
+            self.record(record)
 
-    def take(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Adds a record to the list of its type."""
         match record:
             case Arrival():
@@ -324,13 +324,13 @@
 
 
 class LedgerFile:
-    """Appends records to a file, unbuffered: a record is in the file when `take` returns."""
+    """Appends records to a file, unbuffered: a record is in the file when `record` returns."""
 
     def __init__(self, file_path: Path) -> None:
         file_path.parent.mkdir(parents=True, exist_ok=True)
         self.file = file_path.open("ab", buffering=0)
 
-    def take(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Appends a record as one line of JSON."""
         self.file.write(json.dumps({"type": type(record).__name__, **asdict(record)}).encode() + b"\n")
 
@@ -354,5 +354,5 @@
                 fields["faults"] = tuple((rule, what) for rule, what in fields["faults"])
             records.append(record_type(**fields))
     for record in records:
-        ledger.take(record)
+        ledger.record(record)
     return ledger
--- a/src/pearhead/testbed/emulator/main.py
+++ b/src/pearhead/testbed/emulator/main.py
@@ -22,7 +22,7 @@
 from pearhead.testbed.emulator.engine_driver import EngineDriver, HttpPartTransfer
 from pearhead.testbed.emulator.engine_server import EngineContext, build_engine_server
 from pearhead.testbed.emulator.ledger import LedgerFile
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 from pearhead.testbed.emulator.store import StoreContext, StoreModel, build_store
 
 HEARTBEAT_INTERVAL_MICROS = 250 * MILLI
@@ -52,7 +52,7 @@
         The weights version is that of the previous run, or the newest announced one if there was none.
         """
         stopped = stop_event()
-        named_answer = await ask(self.settings["cloud"], "GET", "/site/name")
+        named_answer = await send_request(self.settings["cloud"], "GET", "/site/name")
         named = (named_answer.fields() if named_answer else {}).get(self.settings["model"], [1])
         version = int(self.version_path.read_text()) if self.version_path.exists() else max(named)
         site = self._build(version)
@@ -102,7 +102,7 @@
         site.driver.advance_to_now()
         self._save_version(model.version)
         state = model.state()
-        answer = await ask(
+        answer = await send_request(
             settings["cloud"],
             "POST",
             "/site/beat",
--- a/src/pearhead/testbed/emulator/node_selector.py
+++ b/src/pearhead/testbed/emulator/node_selector.py
@@ -7,12 +7,12 @@
 
 from pearhead.runtime.clock import SECOND, Clock, sleep_for
 from pearhead.testbed.emulator.plan import FRONT_PORT, READINESS_PORT, Machine
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 
 MISS_LIMIT = 2
 
 
-class Entry:
+class NodeSelector:
     """Front nodes and their readiness, polled every second.
 
     A node that misses MISS_LIMIT polls in a row is left out. If fewer than half would be left, all nodes are used.
@@ -22,7 +22,7 @@
         self.fronts = fronts
         self.misses = dict.fromkeys((m.name for m in fronts), 0)
 
-    def take(self, name: str, is_ready: bool) -> None:
+    def record_poll(self, name: str, is_ready: bool) -> None:
         """Records the result of one readiness poll."""
         self.misses[name] = 0 if is_ready else self.misses[name] + 1
 
@@ -45,8 +45,8 @@
         """Polls the readiness of all nodes once."""
 
         async def poll_node(node: Machine) -> None:
-            answer = await ask(f"{node.ip}:{READINESS_PORT}", "GET", "/v1/readiness")
-            self.take(node.name, answer is not None and answer.head.status == 200)
+            answer = await send_request(f"{node.ip}:{READINESS_PORT}", "GET", "/v1/readiness")
+            self.record_poll(node.name, answer is not None and answer.head.status == 200)
 
         await asyncio.gather(*(poll_node(m) for m in self.fronts))
 
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -18,7 +18,7 @@
     VersionNamed,
     body_digest,
 )
-from pearhead.testbed.emulator.raw_http import RawResponse, ask
+from pearhead.testbed.emulator.raw_http import RawResponse, send_request
 
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 MIN_RETRY_DELAY_MICROS = 100 * MILLI
@@ -97,7 +97,7 @@
         if answer is None or answer.head.status != 200:
             return {}
         config = answer.fields()
-        self.sink.take(ConfigRead(self.clock.now(), int(config.get("Revision", 0)), config, asked_at))
+        self.sink.record(ConfigRead(self.clock.now(), int(config.get("Revision", 0)), config, asked_at))
         return config
 
     async def name_version(
@@ -110,12 +110,12 @@
         """
         sent_at = self.clock.now()
         body = {"Model": model, "Revision": version}
-        await ask(cloud, "POST", "/site/name", body)
+        await send_request(cloud, "POST", "/site/name", body)
         for address in workers:
-            await ask(address, "POST", "/site/command", {"named": [version]})
+            await send_request(address, "POST", "/site/command", {"named": [version]})
         answer = await self._call("POST", "/v1/version-put", body, {}, limit_micros)
         status = answer.head.status if answer is not None else 0
-        self.sink.take(VersionNamed(sent_at, self.clock.now() if 200 <= status < 300 else 0, model, version))
+        self.sink.record(VersionNamed(sent_at, self.clock.now() if 200 <= status < 300 else 0, model, version))
         return status
 
     async def _send(
@@ -134,7 +134,7 @@
         answer = await self._call(method, "/v1/config", body, {"If-Match": str(base)}, limit_micros, change)
         status = answer.head.status if answer is not None else 0
         self.last_body = answer.fields() if answer is not None else {}
-        self.sink.take(ConfigSent(sent_at, self.clock.now(), number, base, status, full_config, is_valid))
+        self.sink.record(ConfigSent(sent_at, self.clock.now(), number, base, status, full_config, is_valid))
         return status
 
     async def _call(
@@ -193,7 +193,7 @@
         status = answer.head.status if answer is not None else 0
         is_lost = bool(status) and self.lost_answers > 0
         self.lost_answers -= is_lost
-        self.sink.take(
+        self.sink.record(
             ConfigTry(
                 sent_at, self.clock.now(), change.number, change.base, control, status, change.content, is_lost=is_lost
             )
@@ -211,7 +211,7 @@
         answer_timeout_seconds = self.answer_timeout_seconds + len(body_bytes) / UPLOAD_BYTES_PER_SECOND
         target, target_path = control, path
         for _ in range(1 + MAX_REDIRECTS):
-            answer = await ask(target, method, target_path, body_bytes, headers, answer_timeout_seconds)
+            answer = await send_request(target, method, target_path, body_bytes, headers, answer_timeout_seconds)
             if answer is None or answer.head.status != 307:
                 return answer
             location = answer.head.text("location").removeprefix("http://")
--- a/src/pearhead/testbed/emulator/plan.py
+++ b/src/pearhead/testbed/emulator/plan.py
@@ -105,13 +105,13 @@
     cloud_page_size: int = 50
     started: list[str] = field(default_factory=list)
 
-    def of(self, *programs: str) -> list[Machine]:
+    def machines_of(self, *programs: str) -> list[Machine]:
         """The machines that run one of the programs."""
         return [m for m in self.machines if m.program in programs]
 
     def addresses(self, program: str, port: int) -> list[str]:
         """The addresses `ip:port` of all machines that run the program."""
-        return [f"{m.ip}:{port}" for m in self.of(program)]
+        return [f"{m.ip}:{port}" for m in self.machines_of(program)]
 
     def fields(self) -> dict[str, Any]:
         """The plan as a dictionary that can be stored as JSON."""
@@ -271,7 +271,7 @@
     differ from the plan.
     """
     is_core = machine.program == "control_plane"
-    cloud = plan.of("cloud")[0]
+    cloud = plan.machines_of("cloud")[0]
     binds = (
         {"Control": f"{machine.ip}:{CONTROL_PORT}"}
         if is_core
@@ -317,7 +317,7 @@
 
 def program_settings(plan: SitePlan, machine: Machine, folder: str) -> dict[str, Any]:
     """The settings of an emulated worker, of the cache store, or of the platform's worker list."""
-    cloud = f"{plan.of('cloud')[0].ip}:{CLOUD_PORT}"
+    cloud = f"{plan.machines_of('cloud')[0].ip}:{CLOUD_PORT}"
     if machine.program == "engine":
         return {
             "name": machine.name,
--- a/src/pearhead/testbed/emulator/raw_http.py
+++ b/src/pearhead/testbed/emulator/raw_http.py
@@ -150,7 +150,7 @@
             raise WireError(f"the connection ended: {error}") from error
 
 
-async def ask(
+async def send_request(
     address: str,
     method: str,
     path: str,
--- a/src/pearhead/testbed/emulator/sitefaults.py
+++ b/src/pearhead/testbed/emulator/sitefaults.py
@@ -91,19 +91,21 @@
         `number` seeds the requests. Returns a description of the action, and what the clients saw.
         """
         reports: list[CallReport] = []
-        caller = threading.Thread(target=lambda: reports.append(self.launcher.call(request_count, concurrency, number)))
+        caller = threading.Thread(
+            target=lambda: reports.append(self.launcher.send_requests(request_count, concurrency, number))
+        )
         caller.start()
         time.sleep(self.rng.uniform(0.3, 1.2))
         action_name = self.rng.choice(list(self.actions))
         detail = self.actions[action_name]()
         caller.join()
-        for machine in self.launcher.site.of("engine"):
+        for machine in self.launcher.site.machines_of("engine"):
             if action_name.startswith("trouble"):
                 self.launcher.inject_worker_faults(machine.name, NO_FAULTS)
         return f"{action_name} ({detail})", reports[0]
 
     def _names(self, program: str, count: int) -> list[str]:
-        names = [m.name for m in self.launcher.site.of(program)]
+        names = [m.name for m in self.launcher.site.machines_of(program)]
         return self.rng.sample(names, min(count, len(names)))
 
     def _random_delay(self) -> float:
@@ -146,7 +148,7 @@
         return name
 
     def _name_weights(self) -> str:
-        versions = [self.launcher.version_of(m.name) for m in self.launcher.site.of("engine")]
+        versions = [self.launcher.version_of(m.name) for m in self.launcher.site.machines_of("engine")]
         self.version = max([self.version, *versions]) + 1
         return f"{self.version}: {self.launcher.name_version(self.version)}"
 
--- a/src/pearhead/testbed/launcher.py
+++ b/src/pearhead/testbed/launcher.py
@@ -275,7 +275,7 @@
         self.wait_until(is_answered, f"a core that takes {path}")
         return answer
 
-    def set_up(self) -> None:
+    def apply_initial_configuration(self) -> None:
         """Gives the fleet its worker list, and its first description unless it has one already.
 
         Raises RuntimeError when the cores refuse one of them.
--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -70,7 +70,7 @@
                 chosen_deployment, nodes, workers or chosen_deployment.worker_count, chosen_deployment.core_count
             )
         launcher.up()
-        launcher.set_up()
+        launcher.apply_initial_configuration()
         launcher.wait_ready()
         print("cores  " + ",".join(launcher.addresses_of("control_plane")))
         print("nodes  " + ",".join(launcher.addresses_of("router")))
--- a/src/pearhead/testbed/soak/fault_runner.py
+++ b/src/pearhead/testbed/soak/fault_runner.py
@@ -15,7 +15,7 @@
 from pearhead.testbed.emulator.ledger import LedgerFile
 from pearhead.testbed.emulator.operator import apply_patch
 from pearhead.testbed.emulator.plan import CLOUD_PORT, WORKER_PORT
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 from pearhead.testbed.emulator.sitefaults import NO_FAULTS
 from pearhead.testbed.soak.fault_proxy import TOO_MANY_REQUESTS, LinkFault
 from pearhead.testbed.soak.fleet import SoakFleet
@@ -138,7 +138,7 @@
         self.fleet.record_worker_faulty(name, False)
 
     async def _set_worker_faults(self, name: str, faults: dict[str, Any]) -> None:
-        await ask(self.fleet.plan["processes"][name]["httpAddress"], "POST", "/site/command", faults)
+        await send_request(self.fleet.plan["processes"][name]["httpAddress"], "POST", "/site/command", faults)
 
     # ---- links -------------------------------------------------------------------------------------
 
--- a/src/pearhead/testbed/soak/fleet.py
+++ b/src/pearhead/testbed/soak/fleet.py
@@ -16,7 +16,7 @@
 from pearhead.runtime.clock import SECOND, sleep_for
 from pearhead.testbed.emulator.launcher import SiteLauncher
 from pearhead.testbed.emulator.ledger import LedgerFile
-from pearhead.testbed.emulator.node_selector import Entry
+from pearhead.testbed.emulator.node_selector import NodeSelector
 from pearhead.testbed.emulator.operator import SiteOperator
 from pearhead.testbed.emulator.plan import (
     BOUNDS,
@@ -29,7 +29,7 @@
     RequestKind,
     SiteSize,
 )
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 from pearhead.testbed.launcher import Launcher, find_deployment
 from pearhead.testbed.soak.fault_proxy import NO_LINK_FAULT, FaultProxy, LinkFault
 from pearhead.testbed.soak.schedule import SoakProfile
@@ -56,7 +56,7 @@
     return f"{first}.{second}.{int(third) + PROXY_OCTET_OFFSET}.{fourth}"
 
 
-class ProxiedEntry(Entry):
+class ProxiedNodeSelector(NodeSelector):
     """Sends callers to the front nodes' proxies instead of the nodes themselves."""
 
     def address(self, node: Machine) -> str:
@@ -99,7 +99,7 @@
             settings["listed_address"] = f"{proxy_ip(host_name)}:{WORKER_PORT}"
             settings["drain_micros"] = WORKER_DRAIN_MICROS
         elif program in ("control_plane", "router"):
-            list_ip = self.site.of("cloud")[0].ip
+            list_ip = self.site.machines_of("cloud")[0].ip
             settings["CloudApi"]["Address"] = f"{proxy_ip(list_ip)}:{CLOUD_PORT}"
         return settings
 
@@ -107,7 +107,7 @@
 
     async def open_proxies(self, rng: random.Random) -> None:
         """Opens a proxy for each core node, front node and worker, and for the cloud API. Raises OSError."""
-        for machine in self.site.of(*PROXIED_PORTS):
+        for machine in self.site.machines_of(*PROXIED_PORTS):
             port = PROXIED_PORTS[machine.program]
             proxy = FaultProxy(f"{proxy_ip(machine.ip)}:{port}", f"{machine.ip}:{port}", rng)
             await proxy.open()
@@ -119,13 +119,13 @@
 
     def start_link_fault(self, name: str, fault: LinkFault) -> None:
         """Starts a fault on the link to a process and records it."""
-        self._note(name, "cut")
+        self._record_trouble(name, "cut")
         self.proxies[name].set_fault(fault)
 
     def heal_link(self, name: str) -> None:
         """Ends the fault on the link to a process and records it."""
         self.proxies[name].set_fault(NO_LINK_FAULT)
-        self._note(name, "healed")
+        self._record_trouble(name, "healed")
 
     # ---- processes ---------------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
         if not await self.wait_exited(name, BOUNDS["GraceS"] * SECOND):
             # Not recorded as an unplanned kill: the requests that it breaks are a consequence of the planned stop.
             Launcher.send_signal(self, name, signal.SIGKILL)
-            self._note(name, "overran")
+            self._record_trouble(name, "overran")
             await self.wait_exited(name, PROCESS_TIMEOUT_MICROS)
 
     async def wait_exited(self, name: str, limit_micros: int) -> bool:
@@ -161,7 +161,7 @@
 
     def record_worker_faulty(self, name: str, is_faulty: bool) -> None:
         """Records that a worker starts (`is_faulty`) or stops giving faulty responses."""
-        self._note(name, "faulty" if is_faulty else "sound")
+        self._record_trouble(name, "faulty" if is_faulty else "sound")
 
     def resume_frozen(self) -> None:
         """Sends SIGCONT to all processes that are still frozen."""
@@ -177,8 +177,8 @@
             await sleep_for(self.clock, POLL_INTERVAL_MICROS)
 
     async def _unready_nodes(self) -> list[str]:
-        fronts = self.site.of("router")
-        asked = [ask(f"{m.ip}:{READINESS_PORT}", "GET", "/v1/readiness") for m in fronts]
+        fronts = self.site.machines_of("router")
+        asked = [send_request(f"{m.ip}:{READINESS_PORT}", "GET", "/v1/readiness") for m in fronts]
         answers = await asyncio.gather(*asked)
         pairs = zip(fronts, answers, strict=True)
         return [m.name for m, answer in pairs if answer is None or answer.head.status != 200]
@@ -199,7 +199,7 @@
 
     def save_config(self, config: dict[str, Any], status: int) -> None:
         """Saves the configuration that later changes are based on, if `status` says that it was accepted (200)."""
-        self._hold(config, status)
+        self._save_if_accepted(config, status)
 
     def live_process_count(self) -> int:
         """How many processes of this fleet are running."""
--- a/src/pearhead/testbed/soak/traffic.py
+++ b/src/pearhead/testbed/soak/traffic.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
-from pearhead.testbed.emulator.client import CallReport, Outcome, RequestGenerator, SiteClient, SiteRequest
+from pearhead.testbed.emulator.client import AttemptOutcome, CallReport, RequestGenerator, SiteClient, SiteRequest
 from pearhead.testbed.emulator.ledger import RecordSink
 from pearhead.testbed.emulator.plan import SitePlan
 from pearhead.testbed.emulator.raw_http import RawConnection
 from pearhead.testbed.soak.fault_proxy import FaultProxy
-from pearhead.testbed.soak.fleet import ProxiedEntry
+from pearhead.testbed.soak.fleet import ProxiedNodeSelector
 
 MIN_PAUSE_MICROS = 100 * MILLI
 LONG_PAUSE_PROBABILITY = 0.5
@@ -53,7 +53,7 @@
 
     async def _exchange(
         self, request: SiteRequest, request_id: str, connection: RawConnection, resumed_from: int, end_at: int
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         own_address = connection.writer.get_extra_info("sockname")
         outcome = await super()._exchange(request, request_id, connection, resumed_from, end_at)
         proxy = self.proxies.get(connection.address)
@@ -82,15 +82,15 @@
         self.clock, self.sink, self.seed = clock, sink, seed
         self.longest_pause_micros = round(pause_seconds * SECOND)
         self.source = RequestSource(plan, config, random.Random(f"requests {seed}"))
-        self.entry = ProxiedEntry(plan.of("router"))
+        self.node_selector = ProxiedNodeSelector(plan.machines_of("router"))
         self.report = CallReport()
         self.stop_requested = asyncio.Event()
 
     async def run(self, client_count: int) -> None:
         """Runs the clients; returns when each has finished its last request after `stop`."""
-        await self.entry.poll()
-        await self.entry.poll()
-        poll_task = asyncio.ensure_future(self.entry.run(self.clock))
+        await self.node_selector.poll()
+        await self.node_selector.poll()
+        poll_task = asyncio.ensure_future(self.node_selector.run(self.clock))
         try:
             await asyncio.gather(*(self._run_client(number) for number in range(client_count)))
         finally:
@@ -102,7 +102,7 @@
 
     async def _run_client(self, number: int) -> None:
         rng = random.Random(f"client {self.seed} {number} {self.clock.now()}")
-        client = SoakClient(f"client-{number}", self.entry, self.clock, rng, self.sink)
+        client = SoakClient(f"client-{number}", self.node_selector, self.clock, rng, self.sink)
         client.proxies = self.proxies
         while True:
             await self._pause(rng)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,7 +42,7 @@
         cls.launcher.make_plan(ACADEMY, node_count=3, worker_count=3, core_count=3)
         cls.addClassCleanup(cls.launcher.down)
         cls.launcher.up()
-        cls.launcher.set_up()
+        cls.launcher.apply_initial_configuration()
         cls.launcher.wait_ready()
 
     def call(self, job_count: int, first: int, node_addresses: list[str]) -> CallerReport:
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -100,7 +100,7 @@
             lambda view, line, version: True,
         )
 
-    def take(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         self.records.append(record)
 
     def start_worker(self, name: str, version: int) -> EngineModel:
--- a/tests/test_site_checkers.py
+++ b/tests/test_site_checkers.py
@@ -39,7 +39,7 @@
     VersionNamed,
     read_ledger,
 )
-from pearhead.testbed.emulator.node_selector import Entry
+from pearhead.testbed.emulator.node_selector import NodeSelector
 from pearhead.testbed.emulator.operator import apply_patch
 from pearhead.testbed.emulator.plan import PlanMaker, SiteSize, node_settings
 from pearhead.testbed.emulator.raw_http import RawResponseHead
@@ -294,7 +294,7 @@
                 with self.subTest(f"{rule} {number}"):
                     ledger = sound_ledger()
                     for record in plant():
-                        ledger.take(record)
+                        ledger.record(record)
                     self.assertIn(rule, {b.rule for b in find_breaches(ledger)})
 
     def test_what_may_run_again_and_what_an_unsettled_core_stretches(self) -> None:
@@ -310,7 +310,7 @@
             VersionNamed(SECOND, SECOND, "m", 2),
             Trouble(6 * SECOND, "core-1", "control_plane", "killed"),
         ):
-            ledger.take(record)
+            ledger.record(record)
         self.assertEqual(find_breaches(ledger), [])
 
     def test_what_is_not_lost_and_not_late_at_a_draining_worker(self) -> None:
@@ -339,13 +339,13 @@
             make_arrival("thawed", instance="i-3"),
             Trouble(5 * SECOND, "front-3", "router", "woken"),
         ):
-            ledger.take(record)
+            ledger.record(record)
         self.assertEqual(find_breaches(ledger), [])
-        ledger.take(make_try("v", status=0))
+        ledger.record(make_try("v", status=0))
         self.assertEqual([b.rule for b in find_breaches(ledger)], ["LOST"])
-        ledger.take(Trouble(9 * SECOND, "w1", "engine", "stopped"))
+        ledger.record(Trouble(9 * SECOND, "w1", "engine", "stopped"))
         self.assertEqual([b.rule for b in find_breaches(ledger)], ["LOST"], "the request had not reached that worker")
-        ledger.take(make_arrival("v"))
+        ledger.record(make_arrival("v"))
         self.assertEqual(find_breaches(ledger), [], "the request's worker was stopped less than ContactMs before")
 
     def test_what_is_not_lost_late_or_old_during_a_fault_that_lasts(self) -> None:
@@ -386,15 +386,15 @@
         ]
         ledger = sound_ledger()
         for record in story:
-            ledger.take(record)
+            ledger.record(record)
         self.assertEqual({b.rule for b in find_breaches(ledger)}, {"CONFIG"})
-        ledger.take(Trouble(9 * SECOND, "front-1", "router", "woken"))
+        ledger.record(Trouble(9 * SECOND, "front-1", "router", "woken"))
         self.assertNotIn("older configuration", " ".join(b.line() for b in find_breaches(ledger)))
 
     def assert_sound(self, *records: Any) -> None:
         ledger = sound_ledger()
         for record in records:
-            ledger.take(record)
+            ledger.record(record)
         self.assertEqual([b.line() for b in find_breaches(ledger)], [])
 
     def test_what_is_sound_about_configurations(self) -> None:
@@ -430,19 +430,19 @@
     def test_turns_of_a_holder_out_of_touch_count_where_workers_check_no_fences(self) -> None:
         ledger = sound_ledger()
         for holder, fence in (("h", 3), ("g", 4), ("h", 5)):
-            ledger.take(make_order(holder, fence, (20 + fence) * SECOND))
-        ledger.take(Life(0, "ip-g", "g"))
-        ledger.take(Trouble(23 * SECOND, "n", "router", "woken", "ip-g"))
+            ledger.record(make_order(holder, fence, (20 + fence) * SECOND))
+        ledger.record(Life(0, "ip-g", "g"))
+        ledger.record(Trouble(23 * SECOND, "n", "router", "woken", "ip-g"))
         self.assertEqual(find_breaches(ledger), [])
         self.assertEqual([b.rule for b in find_breaches(ledger, SiteBounds(is_fenced=False))], ["ONE"])
 
     def test_a_change_that_may_be_in_force_allows_both(self) -> None:
         ledger = sound_ledger()
         changed = {**CONFIG, "Revision": 5, "RouteTable": [route("a", "/a/", "other")]}
-        ledger.take(ConfigSent(9 * SECOND, 14 * SECOND, 5, 3, 0, changed))
-        ledger.take(make_try("x"))
-        ledger.take(make_arrival("x", service="other"))
-        ledger.take(make_run("x", service="other"))
+        ledger.record(ConfigSent(9 * SECOND, 14 * SECOND, 5, 3, 0, changed))
+        ledger.record(make_try("x"))
+        ledger.record(make_arrival("x", service="other"))
+        ledger.record(make_run("x", service="other"))
         self.assertEqual(find_breaches(ledger), [])
 
     def test_a_ledger_on_files_reads_back_and_bears_a_cut_line(self) -> None:
@@ -451,7 +451,7 @@
             ledger = sound_ledger()
             records: list[Record] = [*ledger.configs, *ledger.tries, *ledger.runs, *ledger.uses, *ledger.orders]
             for record in [*records, make_try("x", faults=(("MIXED", "so"),))]:
-                sink.take(record)
+                sink.record(record)
             sink.file.write(b'{"type": "Run", "at')
             sink.close()
             held = read_ledger(Path(folder))
@@ -471,7 +471,7 @@
         held = replace(request or self.request, is_resumable=False) if run == "run" else request or self.request
         check = StreamChecker(held, self.seal, resumed_from)
         for number in numbers:
-            check.take(parse_piece(Piece(number, run, piece_text(self.request.digest, number)).encode()[:-2]))
+            check.check_event(parse_piece(Piece(number, run, piece_text(self.request.digest, number)).encode()[:-2]))
         check.end()
         return [rule for rule, _ in check.faults]
 
@@ -487,10 +487,10 @@
             check = StreamChecker(self.request, self.seal, 0)
             check.check_version(2 if told[0] else 0)
             for number, version in enumerate(told, 1):
-                check.take(Piece(number, "run", piece_text(self.request.digest, number), version))
+                check.check_event(Piece(number, "run", piece_text(self.request.digest, number), version))
             self.assertEqual("ORDER" in [rule for rule, _ in check.faults], is_broken, told)
         check = StreamChecker(self.request, self.seal, 0)
-        check.take(parse_piece(b"what is this"))
+        check.check_event(parse_piece(b"what is this"))
         self.assertEqual(check.faults[0][0], "MIXED")
 
     def test_heads(self) -> None:
@@ -517,23 +517,23 @@
         body = b"".join(Piece(n, "r", f"t/{n}").encode() for n in range(1, 5))
         for size in (1, 7, 1_000):
             splitter = EventSplitter()
-            events = [e for i in range(0, len(body), size) for e in splitter.take(body[i : i + size])]
+            events = [e for i in range(0, len(body), size) for e in splitter.feed(body[i : i + size])]
             numbers = [piece.number for e in events if (piece := parse_piece(e))]
-            self.assertEqual((numbers, splitter.held), ([1, 2, 3, 4], b""))
+            self.assertEqual((numbers, splitter.incomplete), ([1, 2, 3, 4], b""))
 
     def test_a_node_is_out_after_two_misses_and_further_tries_go_elsewhere(self) -> None:
-        entry = Entry(self.plan.of("router"))
-        first = entry.pick("c", 0, [])
-        self.assertEqual(entry.pick("c", 0, []).name, first.name)
-        self.assertNotEqual(entry.pick("c", 1, [first.name]).name, first.name)
-        entry.take(first.name, False)
-        self.assertIn(first, entry.in_use())
-        entry.take(first.name, False)
-        self.assertNotIn(first, entry.in_use())
-        for node in self.plan.of("router"):
-            entry.take(node.name, False)
-            entry.take(node.name, False)
-        self.assertEqual(len(entry.in_use()), 3, "with less than half of the nodes in use, all are used")
+        node_selector = NodeSelector(self.plan.machines_of("router"))
+        first = node_selector.pick("c", 0, [])
+        self.assertEqual(node_selector.pick("c", 0, []).name, first.name)
+        self.assertNotEqual(node_selector.pick("c", 1, [first.name]).name, first.name)
+        node_selector.record_poll(first.name, False)
+        self.assertIn(first, node_selector.in_use())
+        node_selector.record_poll(first.name, False)
+        self.assertNotIn(first, node_selector.in_use())
+        for node in self.plan.machines_of("router"):
+            node_selector.record_poll(node.name, False)
+            node_selector.record_poll(node.name, False)
+        self.assertEqual(len(node_selector.in_use()), 3, "with less than half of the nodes in use, all are used")
 
     def test_changes_by_name_and_settings(self) -> None:
         changed = apply_patch(
@@ -547,7 +547,7 @@
         self.assertEqual([r["Name"] for r in changed["RouteTable"]], ["b", "c"])
         self.assertEqual([t["Name"] for t in changed["Tenants"]], ["one", "three"])
         self.assertEqual((changed["Revision"], CONFIG["Revision"]), (9, 3))
-        core, front = self.plan.of("control_plane")[0], self.plan.of("router")[1]
+        core, front = self.plan.machines_of("control_plane")[0], self.plan.machines_of("router")[1]
         settings = node_settings(self.plan, core, "folder", True)
         self.assertEqual(
             (settings["DataDir"], settings["Counted"], list(settings["BindAddresses"])), ("folder", True, ["Control"])
--- a/tests/test_site_fleet.py
+++ b/tests/test_site_fleet.py
@@ -43,12 +43,12 @@
         cls.launcher.make_site(ACADEMY, SiteSize(cores=3, fronts=3, engines=3), seed=7)
         cls.addClassCleanup(cls.launcher.down)
         cls.launcher.up()
-        cls.launcher.set_up()
+        cls.launcher.apply_initial_configuration()
         cls.launcher.wait_ready()
 
     def call_during(self, request_count: int, seed: int, work: Callable[[], None] = lambda: None) -> CallReport:
         held: list[CallReport] = []
-        caller = threading.Thread(target=lambda: held.append(self.launcher.call(request_count, 6, seed)))
+        caller = threading.Thread(target=lambda: held.append(self.launcher.send_requests(request_count, 6, seed)))
         caller.start()
         work()
         caller.join()
@@ -82,7 +82,7 @@
         self.assertEqual(launcher.put_on_base(bad, whole["Revision"], is_valid=False) // 100, 4)
 
     def versions_of(self) -> set[int]:
-        return {v for v in (self.launcher.version_of(m.name) for m in self.launcher.site.of("engine"))}
+        return {v for v in (self.launcher.version_of(m.name) for m in self.launcher.site.machines_of("engine"))}
 
     def test_requests_weights_configurations_kills_and_stops(self) -> None:
         launcher = self.launcher
@@ -121,8 +121,8 @@
         # Proves that the checkers work on this ledger: they find a planted broken promise and a planted outdated part.
         run = ledger.runs[-1]
         attempt = ledger.tries_by_id()[run.request_id]
-        ledger.take(replace(attempt, resumable=False, status=503))
-        ledger.take(replace(ledger.uses[-1], made_version=99))
+        ledger.record(replace(attempt, resumable=False, status=503))
+        ledger.record(replace(ledger.uses[-1], made_version=99))
         self.assertEqual({b.rule for b in find_breaches(ledger)}, {"REFUSED", "STALE"})
 
     def test_stacked_losses_of_the_core(self) -> None:
@@ -160,7 +160,7 @@
         self.assertEqual([b.line() for b in find_breaches(ledger)], [])
         # Proves that the checkers work on this ledger: they find a planted refusal of a change acknowledged before.
         taken = next(t for t in reversed(ledger.config_tries) if t.status == 200)
-        ledger.take(replace(taken, sent_at=taken.ended_at, ended_at=taken.ended_at + 1, status=412))
+        ledger.record(replace(taken, sent_at=taken.ended_at, ended_at=taken.ended_at + 1, status=412))
         self.assertEqual({b.rule for b in find_breaches(ledger)}, {"CONFIG"})
 
     def assert_read_back(self) -> None:
--- a/tests/test_site_sockets.py
+++ b/tests/test_site_sockets.py
@@ -16,17 +16,17 @@
 
 from pearhead.runtime.clock import SECOND, BootClock
 from pearhead.testbed.deployment import ACADEMY
-from pearhead.testbed.emulator.client import CallReport, Outcome, RequestGenerator, SiteClient, SiteRequest
+from pearhead.testbed.emulator.client import AttemptOutcome, CallReport, RequestGenerator, SiteClient, SiteRequest
 from pearhead.testbed.emulator.cloud import CloudModel, build_cloud
 from pearhead.testbed.emulator.engine import EngineModel, EngineSettings
 from pearhead.testbed.emulator.engine_driver import EngineDriver, HttpPartTransfer
 from pearhead.testbed.emulator.engine_server import EngineContext, build_engine_server
 from pearhead.testbed.emulator.launcher import SiteLauncher
 from pearhead.testbed.emulator.ledger import SiteLedger
-from pearhead.testbed.emulator.node_selector import Entry
+from pearhead.testbed.emulator.node_selector import NodeSelector
 from pearhead.testbed.emulator.operator import SiteOperator
 from pearhead.testbed.emulator.plan import Machine, PlanMaker, SiteSize
-from pearhead.testbed.emulator.raw_http import RawConnection, RawResponse, RawResponseHead, WireError, ask
+from pearhead.testbed.emulator.raw_http import RawConnection, RawResponse, RawResponseHead, WireError, send_request
 from pearhead.testbed.emulator.store import StoreContext, StoreModel, build_store
 
 POLL_SECONDS = 0.005
@@ -36,7 +36,7 @@
 )
 
 
-class FixedAddressEntry(Entry):
+class FixedAddressNodeSelector(NodeSelector):
     """Resolves every front node to one worker, so that clients reach it directly."""
 
     node_address = ""
@@ -62,9 +62,9 @@
         self.engine_address = self.serve(build_engine_server(self.engine_context, "/health"))
         self.store = StoreModel(1_000_000, random.Random(1))
         self.store_address = self.serve(HTTPServer(build_store(StoreContext(self.store, self.clock, "north", 1))))
-        entry = FixedAddressEntry(self.plan.of("router"))
-        entry.node_address = self.engine_address
-        self.client = SiteClient("c", entry, self.clock, random.Random(3), self.ledger)
+        node_selector = FixedAddressNodeSelector(self.plan.machines_of("router"))
+        node_selector.node_address = self.engine_address
+        self.client = SiteClient("c", node_selector, self.clock, random.Random(3), self.ledger)
         self.draw = RequestGenerator(self.plan, self.plan.config, random.Random(4))
         self.report = CallReport()
 
@@ -79,7 +79,7 @@
         drawn = next(r for r in iter(self.draw.draw, None) if r.is_resumable)
         return replace(drawn, is_resumable=False, **more)
 
-    async def call(self, request: SiteRequest) -> Outcome:
+    async def call(self, request: SiteRequest) -> AttemptOutcome:
         return await self.client.call(request, self.report)
 
     async def wait_idle(self) -> None:
@@ -87,7 +87,7 @@
 
         A client that takes a stray response for its own has its outcome before its request has run.
         """
-        while len(self.ledger.arrivals) < self.report.tries or self.model.queue or self.model.running:
+        while len(self.ledger.arrivals) < self.report.attempt_count or self.model.queue or self.model.running:
             await asyncio.sleep(POLL_SECONDS)
 
     def close(self) -> None:
@@ -106,7 +106,7 @@
 
     def run_with_fault(
         self, faults: dict[str, float], second_settings: EngineSettings = FAST_SETTINGS
-    ) -> tuple[Outcome, WorkerFixture]:
+    ) -> tuple[AttemptOutcome, WorkerFixture]:
         """Sends one request with faults and one without; returns the outcome of the first, and the fixture.
 
         `second_settings`: the worker's settings for the second one. Waits until the worker has run both.
@@ -132,10 +132,10 @@
         async def scenario() -> None:
             fixture = WorkerFixture()
             for _ in range(30):
-                self.assertTrue((await fixture.call(fixture.draw.draw())).is_whole)
+                self.assertTrue((await fixture.call(fixture.draw.draw())).is_complete)
             self.assertEqual((fixture.report.faults, dict(fixture.report.outcomes)), ([], {"done": 30}))
             self.assertEqual(len(fixture.ledger.runs), 30)
-            self.assertGreater(min(fixture.report.first_micros), 0)
+            self.assertGreater(min(fixture.report.first_piece_micros), 0)
             fixture.close()
 
         self.run_scenario(scenario())
@@ -146,7 +146,7 @@
             with self.subTest(fault):
                 found = {f.partition(":")[0] for f in fixture.report.faults}
                 self.assertEqual(found, {rule} - {""})
-                self.assertEqual(outcome.is_whole, fault == "extra")
+                self.assertEqual(outcome.is_complete, fault == "extra")
                 self.assertEqual(
                     len(fixture.ledger.runs), 2, "a request whose response fails has run, and is not sent again"
                 )
@@ -159,7 +159,7 @@
             with self.subTest(fault):
                 _, fixture = self.run_with_fault({fault: 1.0}, replace(FAST_SETTINGS, step_micros=SLOW_STEP_MICROS))
                 self.assertEqual(len(fixture.ledger.runs), 2, "each runs once, whenever the client had its outcome")
-                self.assertEqual(fixture.report.tries, 2)
+                self.assertEqual(fixture.report.attempt_count, 2)
 
     def test_a_late_answer_lies_where_the_next_is_due(self) -> None:
         _, fixture = self.run_with_fault({"late": 1.0})
@@ -192,7 +192,7 @@
             await asyncio.sleep(0.05)
             self.assertEqual((fixture.ledger.broken_off, fixture.ledger.finished), ([], []))
             fixture.model.settings = FAST_SETTINGS
-            self.assertTrue((await fixture.call(fixture.make_unrepeatable_request())).is_whole)
+            self.assertTrue((await fixture.call(fixture.make_unrepeatable_request())).is_complete)
             self.assertEqual(len(fixture.ledger.finished), 1)
             fixture.engine_context.apply_faults({"cut": 1.0})
             await fixture.call(fixture.make_unrepeatable_request())
@@ -237,7 +237,7 @@
                 ({"X-Request-Id": ""}, 400),
                 ({"X-Token-Count": "99999999,1"}, 503),
             ):
-                answer = await ask(fixture.engine_address, "POST", "/x/y", b"", {**headers, **changed})
+                answer = await send_request(fixture.engine_address, "POST", "/x/y", b"", {**headers, **changed})
                 assert answer is not None
                 self.assertEqual((answer.head.status, answer.head.text("x-not-run")), (status, "1"))
             self.assertEqual([a.turned_away for a in fixture.ledger.arrivals], [421, 421, 400, 503])
@@ -253,7 +253,9 @@
             address = fixture.engine_address
 
             async def get(path: str, **headers: str) -> RawResponse:
-                answer = await ask(address, "GET", path, headers={k.replace("_", "-"): v for k, v in headers.items()})
+                answer = await send_request(
+                    address, "GET", path, headers={k.replace("_", "-"): v for k, v in headers.items()}
+                )
                 assert answer is not None
                 return answer
 
@@ -276,7 +278,7 @@
                 "Holder": "h",
                 "Fence": 3,
             }
-            answer = await ask(address, "POST", "/v1/order", order)
+            answer = await send_request(address, "POST", "/v1/order", order)
             assert answer is not None
             self.assertEqual(answer.head.status, 202)
             health = await get("/health")
@@ -312,7 +314,7 @@
             first = RawConnection(fixture.engine_address)
             await first.open()
             await asyncio.sleep(0)
-            self.assertIsNone(await ask(fixture.engine_address, "GET", "/health"))
+            self.assertIsNone(await send_request(fixture.engine_address, "GET", "/health"))
             first.close()
             fixture.close()
 
@@ -482,12 +484,12 @@
         async def scenario() -> None:
             fixture = WorkerFixture()
             address = fixture.serve(HTTPServer(build_cloud(CloudModel(0, 5), fixture.clock)))
-            await ask(address, "POST", "/site/name", {"Model": "m", "Revision": 4})
+            await send_request(address, "POST", "/site/name", {"Model": "m", "Revision": 4})
             beat = {"Id": "i", "Service": "s", "Address": "a:1", "Zone": "z", "Loading": True}
-            answer = await ask(address, "POST", "/site/beat", beat)
+            answer = await send_request(address, "POST", "/site/beat", beat)
             assert answer is not None
             self.assertEqual(answer.fields(), {"Named": {"m": [1, 4]}, "Loading": 1})
-            answer = await ask(address, "GET", "/workers?Zone=z")
+            answer = await send_request(address, "GET", "/workers?Zone=z")
             assert answer is not None
             self.assertEqual(json.loads(answer.body)["Servers"][0]["Id"], "i")
             fixture.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,7 +21,7 @@
 from pearhead.testbed.emulator.rules import SiteBounds, TroubleHistory
 from pearhead.testbed.soak.fault_proxy import NO_LINK_FAULT, TOO_MANY_REQUESTS, FaultProxy, LinkFault
 from pearhead.testbed.soak.fault_runner import FaultRunner
-from pearhead.testbed.soak.fleet import NotReadyError, ProxiedEntry, SoakFleet
+from pearhead.testbed.soak.fleet import NotReadyError, ProxiedNodeSelector, SoakFleet
 from pearhead.testbed.soak.log_scanner import LogScanner, error_lines
 from pearhead.testbed.soak.run import check_final_state, run_seed
 from pearhead.testbed.soak.schedule import (
@@ -170,7 +170,9 @@
             proxy.address = f"127.0.0.1:{port}"
             plan = PlanMaker(ACADEMY, SiteSize(1, 1, 1), 1, 9).make()
             ledger = SiteLedger()
-            client = SoakClient("c", ProxiedEntry(plan.of("router")), BootClock(), random.Random(1), ledger)
+            client = SoakClient(
+                "c", ProxiedNodeSelector(plan.machines_of("router")), BootClock(), random.Random(1), ledger
+            )
             client.proxies = {proxy.address: proxy}
             request = RequestGenerator(plan, plan.config, random.Random(2)).draw()
             assert echo.server is not None
