--- a/tests/test_kept_gatherer.py
+++ b/tests/test_kept_gatherer.py
@@ -24,7 +24,7 @@
 ) -> Any:
     async def run_scenario(world: World) -> Any:
         fleet = WorkerFleet(world, node_count, worker_count)
-        fleet.start("rosters", "poller")
+        fleet.start("roster_synchronizer", "poller")
         await pause(world, 6 * SECOND)
         result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -50,7 +50,7 @@
 from pearhead.runtime.metrics import METRICS_PATH, build_registry, serve_metrics  # noqa: E402
 from pearhead.runtime.socketnet import FRAME_EXPIRY_MICROS, QUEUE_LIMIT, OutgoingConnection, SocketNet, split_address  # noqa: E402
 from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time  # noqa: E402
-from tests.test_relay import Fleet as RelayFleet  # noqa: E402
+from tests.test_relay import RelayFleet  # noqa: E402
 from tests.workerfleet import WorkerFleet  # noqa: E402
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -365,13 +365,13 @@
     def test_a_calm_fleet_logs_one_asker_and_nothing_more(self) -> None:
         async def scenario(world: World) -> None:
             fleet = WorkerFleet(world, 8, 5)
-            fleet.start("rosters")
+            fleet.start("roster_synchronizer")
             await pause(world, 10 * SECOND)
             with self.assertNoLogs(LOGGER, "INFO"):
                 await pause(world, 20 * SECOND)
-            askers = [node for node in fleet.nodes if node.rosters.is_asker]
+            askers = [node for node in fleet.nodes if node.roster_synchronizer.is_asker]
             self.assertEqual(len(askers), 1)
-            samples = read(build_registry([RosterCollector(askers[0].rosters)]))
+            samples = read(build_registry([RosterCollector(askers[0].roster_synchronizer)]))
             self.assertLessEqual(samples["roster_age_seconds"], 1.2)
             self.assertGreater(samples["roster_list_requests_total"], 20)
             self.assertEqual(fleet.faults(), [])
@@ -381,7 +381,7 @@
     def test_who_leaves_is_logged_once_a_node_with_its_source(self) -> None:
         async def scenario(world: World) -> None:
             fleet = WorkerFleet(world, 8, 5)
-            fleet.start("rosters")
+            fleet.start("roster_synchronizer")
             await pause(world, 10 * SECOND)
             listed = fleet.platform.listed
             listed["w1"] = dataclasses.replace(listed["w1"], is_leaving=True)
@@ -389,7 +389,7 @@
                 await pause(world, 10 * SECOND)
             lines = messages(caught, "A worker leaves.")
             self.assertEqual(len(lines), 8, lines)
-            asker = next(node for node in fleet.nodes if node.rosters.is_asker)
+            asker = next(node for node in fleet.nodes if node.roster_synchronizer.is_asker)
             sources = [line.partition("source=")[2].partition(" ")[0] for line in lines]
             self.assertEqual(sorted(set(sources)), sorted({"list", asker.rpc_endpoint.own_address}))
             self.assertEqual(sources.count("list"), 1)
@@ -402,7 +402,7 @@
     def test_a_list_in_trouble_is_logged_with_its_begin_and_its_end(self) -> None:
         async def scenario(world: World) -> None:
             fleet = WorkerFleet(world, 6, 3)
-            fleet.start("rosters")
+            fleet.start("roster_synchronizer")
             await pause(world, 10 * SECOND)
             fleet.platform.is_list_up = False
             with self.assertLogs(LOGGER, "INFO") as caught:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -33,7 +33,7 @@
 class FakeRpcEndpoint:
     """Queues each note in the fleet, which delivers it."""
 
-    def __init__(self, fleet: Fleet, own: str) -> None:
+    def __init__(self, fleet: RelayFleet, own: str) -> None:
         self.fleet = fleet
         self.own = own
 
@@ -51,20 +51,20 @@
         self.fleet.queue.append((self.own, address, note))
 
 
-class Fleet:
+class RelayFleet:
     def __init__(self, size: int) -> None:
         self.runtime = FakeRuntime()
         self.records = [
             Record(identity=f"n{n}", address=f"n{n}", role="router", area=ZONES[n % len(ZONES)]) for n in range(size)
         ]
         self.queue: list[tuple[str, str, RelayNote]] = []
-        self.kept: dict[str, list[int]] = {r.identity: [] for r in self.records}
+        self.received_sequences: dict[str, list[int]] = {r.identity: [] for r in self.records}
         self.loads = {r.identity: WorkerLoadTracker(self.runtime) for r in self.records}
         self.dead: set[str] = set()
         self.rng = random.Random(7)
         self.loss_share = 0.0
-        self.messages = 0
-        self.bytes = 0
+        self.message_count = 0
+        self.byte_count = 0
         self.bytes_by_sender: dict[str, int] = {}
         self.relays = {r.identity: self._relay(r) for r in self.records}
 
@@ -73,7 +73,7 @@
         directory: Directory = FakeDirectory(record.identity, self.records)  # type: ignore[assignment]
 
         def record_note(identity: str, address: str, note: KeptNote) -> None:
-            self.kept[record.identity].append(note.sequence)
+            self.received_sequences[record.identity].append(note.sequence)
 
         return Relay(
             record.identity,
@@ -98,8 +98,8 @@
             # Notes that are forwarded on receipt arrive within the same period.
             while self.queue:
                 own, address, note = self.queue.pop(0)
-                self.messages += 1
-                self.bytes += note.ByteSize()
+                self.message_count += 1
+                self.byte_count += note.ByteSize()
                 self.bytes_by_sender[own] = self.bytes_by_sender.get(own, 0) + note.ByteSize()
                 if address not in self.dead and self.rng.random() >= self.loss_share:
                     self.relays[address]._handle_relay_note(own, own, note)
@@ -112,7 +112,7 @@
     """A fleet whose nodes store cache notes in real indexes; node `nK` polls the events of worker `wK`."""
 
     def __init__(self, size: int, worker_count: int) -> None:
-        self.fleet = Fleet(size)
+        self.fleet = RelayFleet(size)
         self.worker_count = worker_count
         self.sequence = 0
         self.announced_notes: dict[int, KeptNote] = {}
@@ -151,7 +151,7 @@
 
 class RelayTest(unittest.TestCase):
     def test_every_node_knows_the_whole_fleets_use_less_its_own_counted_once(self) -> None:
-        fleet = Fleet(63)
+        fleet = RelayFleet(63)
         for name, loads in fleet.loads.items():
             for _ in range(int(name[1:]) % 3):
                 loads.begin("w", 10, 10)
@@ -163,16 +163,16 @@
         self.assertEqual({fleet.seen_running(name) for name in fleet.loads}, {total - 1})
 
     def test_kept_parts_reach_every_node_once(self) -> None:
-        fleet = Fleet(30)
+        fleet = RelayFleet(30)
         fleet.play(2)
         self.assertTrue(fleet.relays["n7"].relay_cache_note(KeptNote(worker="w", sequence=5)))
         fleet.play(4)
-        heard = {name: notes for name, notes in fleet.kept.items() if name != "n7"}
+        heard = {name: notes for name, notes in fleet.received_sequences.items() if name != "n7"}
         self.assertEqual({tuple(set(notes)) for notes in heard.values()}, {(5,)})
         self.assertLessEqual(sum(len(notes) for notes in heard.values()), len(heard) + 3)
 
     def test_a_lost_relay_is_passed_over_within_a_second_and_a_half(self) -> None:
-        fleet = Fleet(30)
+        fleet = RelayFleet(30)
         fleet.loads["n0"].begin("w", 1, 1)
         fleet.play(5)
         relay = fleet.relays["n0"].chosen_relays["a"][0]
@@ -188,20 +188,20 @@
     def test_messages_grow_with_the_nodes_and_not_with_their_square(self) -> None:
         counts = {}
         for size in (30, 60, 120):
-            fleet = Fleet(size)
+            fleet = RelayFleet(size)
             for loads in fleet.loads.values():
                 loads.begin("w", 10, 10)
             fleet.play(4)
-            fleet.messages = fleet.bytes = 0
+            fleet.message_count = fleet.byte_count = 0
             fleet.play(10)
-            counts[size] = fleet.messages / 10
+            counts[size] = fleet.message_count / 10
         self.assertLess(counts[120], 2.2 * counts[60])
         self.assertLess(counts[60], 2.2 * counts[30])
         self.assertLessEqual(counts[120], 2 * 120 + 9)
 
     def test_no_relay_sends_more_than_a_narrow_link_carries(self) -> None:
         """Incident of issue 20: relays of 21 nodes filled their links of 625 KB/s, which delayed all other traffic."""
-        fleet = Fleet(63)
+        fleet = RelayFleet(63)
         for name, loads in fleet.loads.items():
             for worker in range(28):
                 loads.begin(f"i-{worker:010x}", int(name[1:]), 20_000)
@@ -225,7 +225,7 @@
         self.assertLess(most, 625_000 / 4, "bytes per second sent by the busiest node")
 
     def test_a_node_that_is_gone_costs_its_zone_few_notes(self) -> None:
-        fleet = Fleet(63)
+        fleet = RelayFleet(63)
         fleet.play(5)
         relay = fleet.relays["n0"].chosen_relays["a"][0]
         gone = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
@@ -239,7 +239,7 @@
             fleet.play(1)
         fleet.play(4)
         alive = [name for name in fleet.loads if name not in (gone, "n0")]
-        heard = [len(set(fleet.kept[name])) for name in alive]
+        heard = [len(set(fleet.received_sequences[name])) for name in alive]
         self.assertGreaterEqual(min(heard), 30)
         self.assertGreaterEqual(sum(heard) / len(heard), 36)
 
@@ -265,7 +265,7 @@
         self.assertGreater(caching_fleet.known_share(), 0.97)
 
     def test_a_small_fleet_tells_directly(self) -> None:
-        fleet = Fleet(9)
+        fleet = RelayFleet(9)
         fleet.play(2)
-        self.assertEqual(fleet.messages, 0)
+        self.assertEqual(fleet.message_count, 0)
         self.assertFalse(fleet.relays["n0"].relay_cache_note(KeptNote()))
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -23,7 +23,7 @@
     async def run_scenario(world: World) -> Any:
         fleet = WorkerFleet(world, node_count, worker_count)
         fleet.core.set_workers(fleet.platform)
-        fleet.start("rosters", "rollout")
+        fleet.start("roster_synchronizer", "rollout")
         await pause(world, 4 * SECOND)
         result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -24,7 +24,7 @@
 ) -> Any:
     async def run_scenario(world: World) -> Any:
         fleet = WorkerFleet(world, node_count, worker_count)
-        fleet.start("rosters")
+        fleet.start("roster_synchronizer")
         await pause(world, 4 * SECOND)
         result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
@@ -148,13 +148,15 @@
     def test_a_list_in_trouble_is_not_asked_by_all(self) -> None:
         async def scenario(fleet: WorkerFleet) -> None:
             fleet.platform.is_list_up = False
-            before = [n.rosters.roster.backends for n in fleet.nodes]
+            before = [n.roster_synchronizer.roster.backends for n in fleet.nodes]
             began = fleet.world.now()
             await pause(fleet.world, 20 * SECOND)
             calls = [at for at, _ in fleet.platform.list_calls if at >= began]
             self.assertLessEqual(busiest_second(calls), 3)
             self.assertEqual(
-                [n.rosters.roster.backends for n in fleet.nodes], before, "a failing list removes no workers"
+                [n.roster_synchronizer.roster.backends for n in fleet.nodes],
+                before,
+                "a failing list removes no workers",
             )
             fleet.platform.is_list_up = True
             fleet.platform.add("new")
@@ -181,7 +183,7 @@
             calls_before = len(fleet.platform.list_calls)
             new_node = FleetNode(fleet, "late")
             fleet.nodes.append(new_node)
-            new_node.start("rosters")
+            new_node.start("roster_synchronizer")
             await pause(fleet.world, 400 * MILLI)
             self.assertEqual(new_node.available_names(), set(fleet.platform.listed))
             self.assertLessEqual(len(fleet.platform.list_calls) - calls_before, 1)
@@ -193,8 +195,10 @@
             node = next(n for n in fleet.nodes if n is not asker_of(fleet))
             other = asker_of(fleet)
             backend = make_backend("odd")
-            other.rosters._merge([*other.rosters.roster.backends.values(), backend], other.machine.now())
-            note = RosterNote(worker=[ListedWorker(name=n) for n in other.rosters.roster.backends])
+            other.roster_synchronizer._merge(
+                [*other.roster_synchronizer.roster.backends.values(), backend], other.machine.now()
+            )
+            note = RosterNote(worker=[ListedWorker(name=n) for n in other.roster_synchronizer.roster.backends])
             other.rpc_endpoint.multicast([node.rpc_endpoint.own_address], "roster_note", note)
             await pause(fleet.world, 100 * MILLI)
             self.assertIn("odd", node.available_names())
@@ -204,11 +208,11 @@
     def test_a_stale_note_brings_nobody_back(self) -> None:
         async def scenario(fleet: WorkerFleet) -> None:
             node = fleet.nodes[0]
-            old_note = RosterNote(worker=[pack_backend(b) for b in node.rosters.roster.backends.values()])
+            old_note = RosterNote(worker=[pack_backend(b) for b in node.roster_synchronizer.roster.backends.values()])
             del fleet.platform.listed["w1"]
             await pause(fleet.world, 4 * SECOND)
             self.assertNotIn("w1", node.available_names())
-            node.rosters._handle_note("x", "x:1", old_note)
+            node.roster_synchronizer._handle_note("x", "x:1", old_note)
             self.assertNotIn("w1", node.available_names())
 
         run_fleet(4, 3, scenario)
--- a/tests/test_roster_freshness.py
+++ b/tests/test_roster_freshness.py
@@ -34,7 +34,7 @@
             world.uplinks[node.name] = Uplink(LINK_BYTES_PER_SECOND, LINK_QUEUE_BYTES)
         for number in range(WORKER_COUNT):
             add_worker(fleet, f"i-{number:010x}")
-        fleet.start("rosters")
+        fleet.start("roster_synchronizer")
         await pause(world, 10 * SECOND)
         result = await scenario(fleet)
         assert not fleet.faults(), fleet.faults()
@@ -121,7 +121,7 @@
                 await pause(fleet.world, 100 * MILLI)
                 # The clocks of the machines have different origins, so ages are compared instead of times.
                 true_age_micros = fleet.world.now() - fleet.platform.list_calls[-1][0]
-                youngest_micros = min(node.rosters.age_micros() or 0 for node in fleet.nodes)
+                youngest_micros = min(node.roster_synchronizer.age_micros() or 0 for node in fleet.nodes)
                 self.assertGreaterEqual(youngest_micros, true_age_micros - ON_THE_LINK_MICROS)
 
         run_fleet(NODE_COUNT, scenario)
@@ -131,7 +131,7 @@
             ages = []
             for _ in range(60):
                 await pause(fleet.world, 100 * MILLI)
-                ages += [fleet.world.now() - node.rosters.roster.at_micros for node in fleet.nodes]
+                ages += [fleet.world.now() - node.roster_synchronizer.roster.at_micros for node in fleet.nodes]
             self.assertLess(max(ages), 2 * SECOND)
 
         run_fleet(NODE_COUNT, scenario)
@@ -142,7 +142,7 @@
             for seed in range(1, 5):
 
                 async def scenario(fleet: WorkerFleet, gone_count: int = gone_count) -> None:
-                    ranked = sorted(fleet.nodes, key=lambda node: node.rosters._rank())
+                    ranked = sorted(fleet.nodes, key=lambda node: node.roster_synchronizer._rank())
                     gone = {asker_of(fleet).name: asker_of(fleet), **{node.name: node for node in ranked}}
                     for node in list(gone.values())[:gone_count]:
                         node.machine.freeze()
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -361,7 +361,7 @@
         self.core_client = NodeCoreClient(fleet.core, machine)
         self.control = FakeWorkerControl(fleet.platform, machine)
         self.version_table = WorkerVersionTable(machine)
-        self.rosters = RosterSynchronizer(
+        self.roster_synchronizer = RosterSynchronizer(
             self.identity,
             self.rpc_endpoint,
             self.directory,
@@ -372,8 +372,8 @@
             SECOND,
             InvariantCounters(machine, strict=True),
         )
-        self.rosters.watchers.append(self.version_table.apply_roster)
-        self.publisher = RosterPublisher(self.rosters, self.core_client, self.core_client, machine)
+        self.roster_synchronizer.watchers.append(self.version_table.apply_roster)
+        self.publisher = RosterPublisher(self.roster_synchronizer, self.core_client, self.core_client, machine)
         self.sink = RecordingSink()
         self.poller = PrefixCachePoller(
             self.identity,
@@ -382,7 +382,7 @@
             machine,
             machine.task_group,
             self.control,
-            self.rosters,
+            self.roster_synchronizer,
             self.core_client,
             self.sink,
         )
@@ -393,7 +393,7 @@
             machine,
             machine.task_group,
             self.control,
-            self.rosters,
+            self.roster_synchronizer,
             self.core_client,
             self.core_client,
             self.version_table,
@@ -408,7 +408,7 @@
 
     def available_names(self) -> set[str]:
         """Names of the workers on which requests may be placed."""
-        return {n for n, b in self.rosters.roster.backends.items() if not b.is_leaving}
+        return {n for n, b in self.roster_synchronizer.roster.backends.items() if not b.is_leaving}
 
 
 class WorkerFleet:
