--- a/src/pearhead/testbed/emulator/launcher.py
+++ b/src/pearhead/testbed/emulator/launcher.py
@@ -76,7 +76,7 @@
     def __init__(self, folder: str) -> None:
         super().__init__(folder)
         self.clock = BootClock()
-        self.block: AddressBlock | None = None
+        self.address_block: AddressBlock | None = None
 
     @property
     def site(self) -> SitePlan:
@@ -92,8 +92,8 @@
         """Claims an address block, draws a plan for it from the seed, and saves the plan. Starts nothing."""
         self.folder_path.mkdir(parents=True, exist_ok=True)
         self.release_block()
-        self.block = claim_free_block(CLAIMED_PORTS, os.getpid())
-        site = PlanMaker(deployment, size, seed, self.block.number).make()
+        self.address_block = claim_free_block(CLAIMED_PORTS, os.getpid())
+        site = PlanMaker(deployment, size, seed, self.address_block.number).make()
         machines = sorted(site.machines, key=lambda m: START_ORDER.index(m.program))
         self.plan = {
             "deployment": deployment.name,
@@ -120,19 +120,19 @@
 
         Raises RuntimeError if another site has taken the block meanwhile.
         """
-        if self.block is not None or any(self.is_alive(name) for name in self.plan["processes"]):
+        if self.address_block is not None or any(self.is_alive(name) for name in self.plan["processes"]):
             return
         number = int(self.site.machines[0].ip.split(".")[1])
         try:
-            self.block = AddressBlock(number, CLAIMED_PORTS)
+            self.address_block = AddressBlock(number, CLAIMED_PORTS)
         except BlockTakenError as fault:
             raise RuntimeError(f"the site's addresses are in use: {fault}") from fault
 
     def release_block(self) -> None:
         """Releases the address block; from now on only the site's running processes occupy its addresses."""
-        if self.block is not None:
-            self.block.release()
-            self.block = None
+        if self.address_block is not None:
+            self.address_block.release()
+            self.address_block = None
 
     # ---- processes ---------------------------------------------------------------------------------
 
--- a/src/pearhead/testbed/emulator/node_selector.py
+++ b/src/pearhead/testbed/emulator/node_selector.py
@@ -20,15 +20,15 @@
 
     def __init__(self, fronts: list[Machine]) -> None:
         self.fronts = fronts
-        self.misses = dict.fromkeys((m.name for m in fronts), 0)
+        self.missed_polls = dict.fromkeys((m.name for m in fronts), 0)
 
     def record_poll(self, name: str, is_ready: bool) -> None:
         """Records the result of one readiness poll."""
-        self.misses[name] = 0 if is_ready else self.misses[name] + 1
+        self.missed_polls[name] = 0 if is_ready else self.missed_polls[name] + 1
 
     def in_use(self) -> list[Machine]:
         """The nodes that new connections may go to."""
-        nodes = [m for m in self.fronts if self.misses[m.name] < MISS_LIMIT]
+        nodes = [m for m in self.fronts if self.missed_polls[m.name] < MISS_LIMIT]
         return nodes if 2 * len(nodes) >= len(self.fronts) else self.fronts
 
     def pick(self, client: str, attempt: int, tried: list[str]) -> Machine:
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -58,22 +58,22 @@
 class SiteOperator:
     """An operator of an emulated site: sends changes to the core, reads from it, and records what it sees.
 
-    Methods that return a status return that of the last conclusive answer, or 0 if none came in time. `controls`
-    returns the addresses of the nodes that serve operators; it is called again for each sending. `lost_answers`: how
-    many answers to changes are treated as lost; the same change is then sent again, first to nodes not yet tried.
-    `answer_timeout_seconds`: how long to wait for a node's answer, for a small body.
+    Methods that return a status return that of the last conclusive answer, or 0 if none came in time.
+    `list_control_addresses` returns the addresses of the nodes that serve operators; it is called again for each
+    sending. `lost_answers`: how many answers to changes are treated as lost; the same change is then sent again, first
+    to nodes not yet tried. `answer_timeout_seconds`: how long to wait for a node's answer, for a small body.
     """
 
     def __init__(
         self,
-        controls: Callable[[], list[str]],
+        list_control_addresses: Callable[[], list[str]],
         clock: Clock,
         sink: RecordSink,
         rng: random.Random | None = None,
         lost_answers: int = 0,
         answer_timeout_seconds: float = ANSWER_TIMEOUT_SECONDS,
     ) -> None:
-        self.controls, self.clock, self.sink = controls, clock, sink
+        self.list_control_addresses, self.clock, self.sink = list_control_addresses, clock, sink
         self.rng = rng or random.Random(0)
         self.lost_answers, self.answer_timeout_seconds = lost_answers, answer_timeout_seconds
         self.last_body: dict[str, Any] = {}
@@ -170,11 +170,11 @@
 
     def _pick_node(self, tried: list[str]) -> str:
         """A random node among those tried least often; it is added to `tried`."""
-        controls = self.controls()
-        fewest = min(tried.count(c) for c in controls)
-        control = self.rng.choice([c for c in controls if tried.count(c) == fewest])
-        tried.append(control)
-        return control
+        addresses = self.list_control_addresses()
+        fewest = min(tried.count(a) for a in addresses)
+        address = self.rng.choice([a for a in addresses if tried.count(a) == fewest])
+        tried.append(address)
+        return address
 
     async def _send_once(
         self,
--- a/src/pearhead/testbed/emulator/plan.py
+++ b/src/pearhead/testbed/emulator/plan.py
@@ -129,8 +129,8 @@
 class PlanMaker:
     """Draws a plan for a deployment. The same size, seed and address block give the same plan."""
 
-    def __init__(self, deployment: Deployment, size: SiteSize, seed: int, block: int) -> None:
-        self.deployment, self.size, self.block = deployment, size, block
+    def __init__(self, deployment: Deployment, size: SiteSize, seed: int, block_number: int) -> None:
+        self.deployment, self.size, self.block_number = deployment, size, block_number
         self.rng = random.Random(seed)
 
     def make(self) -> SitePlan:
@@ -208,10 +208,10 @@
         )
         for name_prefix, program, count, third_octet in groups:
             for number in range(count):
-                ip = f"127.{self.block}.{third_octet}.{number + 1}"
+                ip = f"127.{self.block_number}.{third_octet}.{number + 1}"
                 machines.append(Machine(f"{name_prefix}-{number + 1}", program, ip, zones[number % len(zones)]))
-        machines.append(Machine("store", "store", f"127.{self.block}.4.1", zones[1 % len(zones)]))
-        machines.append(Machine("cloud", "cloud", f"127.{self.block}.4.2", zones[0]))
+        machines.append(Machine("store", "store", f"127.{self.block_number}.4.1", zones[1 % len(zones)]))
+        machines.append(Machine("cloud", "cloud", f"127.{self.block_number}.4.2", zones[0]))
         return machines
 
     def _random_name(self) -> str:
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -41,7 +41,7 @@
 class ControlScenario:
     """One scenario of the control plane: its steps, the number of cores, and the entries between two snapshots."""
 
-    play: ControlScenarioBody
+    body: ControlScenarioBody
     core_count: int
     digest_every: int
 
@@ -49,7 +49,7 @@
         """Runs the steps between the checks that all control scenarios share."""
         scenario_run = ControlScenarioRun(fleet)
         scenario_run.begin()
-        await self.play(scenario_run)
+        await self.body(scenario_run)
         await scenario_run.end()
 
 
@@ -176,7 +176,7 @@
     async def _request_at(self, victim: str) -> None:
         """Requests a change at this core, which must answer soon, whether it applies the change or not."""
         content = self.operators.next_content()
-        change = Change(self.operators.number, self.operators.number + 1, content, is_marked=False)
+        change = Change(self.operators.highest_number, self.operators.highest_number + 1, content, is_marked=False)
         attempt = await self.operators.send_change(change, victim, LONG_REQUEST_TIMEOUT_MICROS)
         took_micros = attempt.end_micros - attempt.start_micros
         if attempt.status == NO_ANSWER or took_micros > ANSWER_LIMIT_MICROS:
--- a/src/pearhead/testbed/simulator/fault_injector.py
+++ b/src/pearhead/testbed/simulator/fault_injector.py
@@ -253,9 +253,9 @@
 
     async def _play_worker_silent(self, sim_fault: SimFault) -> None:
         model = self.fleet.worker(self._choose_machine("worker", sim_fault))
-        model.log.reports_suppressed = True
+        model.event_log.reports_suppressed = True
         await pause(self.world, sim_fault.fault_duration_micros)
-        model.log.reports_suppressed = False
+        model.event_log.reports_suppressed = False
 
     async def _play_worker_replaced(self, sim_fault: SimFault) -> None:
         """Destroys a worker for good; after the fault's duration, another is started at a new address and listed."""
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -47,7 +47,7 @@
     """Several operators of one fleet.
 
     Attributes:
-        number: The highest change number that an answer or a read has shown.
+        highest_number: The highest change number that an answer or a read has shown.
         content_number: Number of contents handed out.
     """
 
@@ -55,7 +55,7 @@
         self.fleet = fleet
         self.world = fleet.world
         self.history = fleet.ledger.history
-        self.number = 0
+        self.highest_number = 0
         self.content_number = 0
 
     def next_content(self) -> str:
@@ -86,7 +86,7 @@
             body = json.loads(result.body or b"{}")
             attempt.reported_number = body.get("number", 0)
         if attempt.status == DONE:
-            self.number = max(self.number, change.number)
+            self.highest_number = max(self.highest_number, change.number)
             self.fleet.ledger.acknowledged_applies.append((body["revision"], attempt.end_micros))
         return attempt
 
@@ -117,7 +117,7 @@
         end_micros = self.world.now() + limit_micros
         content = self.next_content()
         while self.world.now() < end_micros:
-            change = Change(self.number, self.number + 1, content, is_marked)
+            change = Change(self.highest_number, self.highest_number + 1, content, is_marked)
             status = await self.retry_until_decided(change, end_micros - self.world.now())
             if status == DONE:
                 return change
@@ -129,7 +129,7 @@
         for core_name in sorted(self.fleet.cores):
             read = await self.read(core_name)
             if read is not None:
-                self.number = max(self.number, read.number)
+                self.highest_number = max(self.highest_number, read.number)
 
     async def read(self, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS) -> Read | None:
         """Reads the description at a core and records the read; None without an answer that the core could confirm."""
@@ -176,7 +176,7 @@
         Most have the same number and different contents. One repeats a content under another number, and one repeats a
         change. Some of the first timeouts are too short for an answer, so that the change is sent again to other cores.
         """
-        base = self.number
+        base = self.highest_number
         contents = [self.next_content() for _ in range(count - 2)]
         changes = [Change(base, base + 1, content) for content in contents]
         changes += [Change(base, base + 2, contents[0]), Change(base, base + 1, contents[1])]
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -852,11 +852,11 @@
 async def reports_late_or_never(fleet: SimFleet) -> None:
     """Workers' event logs stay silent while the weights change, and for 8 s after."""
     for number in range(fleet.worker_count):
-        fleet.worker(f"worker-{number + 1}").log.reports_suppressed = True
+        fleet.worker(f"worker-{number + 1}").event_log.reports_suppressed = True
     await fleet.name_weights("w2")
     await pause(fleet.world, 8 * SECOND)
     for number in range(fleet.worker_count):
-        fleet.worker(f"worker-{number + 1}").log.reports_suppressed = False
+        fleet.worker(f"worker-{number + 1}").event_log.reports_suppressed = False
     await wait_for_recovery(fleet)
 
 
@@ -874,11 +874,11 @@
         holding_workers = [t for t in reporting_workers if key in t.cache] or reporting_workers
         first, late = holding_workers[0], holding_workers[-1]
         for _ in range(rng.choice([1, 2])):
-            first.log.append_event("changed", key)
+            first.event_log.append_event("changed", key)
         store = fleet.back_ends["store:2"].model
         assert isinstance(store, StoreModel)
-        fleet.world.loop.call_later(rng.uniform(0.1, 1.5), store.log.append_event, "changed", key)
-        fleet.world.loop.call_later(rng.uniform(2.0, 4.0), late.log.append_event, "changed", key)
+        fleet.world.loop.call_later(rng.uniform(0.1, 1.5), store.event_log.append_event, "changed", key)
+        fleet.world.loop.call_later(rng.uniform(2.0, 4.0), late.event_log.append_event, "changed", key)
         fleet.ledger.part_changes.append((key, fleet.world.now(), limit_micros))
     if not keys:
         fleet.ledger.breaches.append("no cached part was in use that could be reported as changed")
--- a/src/pearhead/testbed/simulator/world.py
+++ b/src/pearhead/testbed/simulator/world.py
@@ -379,8 +379,8 @@
     await asyncio.sleep(micros / SECOND)
 
 
-def run_in_virtual_time(seed: int, play: Callable[[World], Coroutine[Any, Any, Any]]) -> Any:
-    """Runs `play` in a new world on a loop of its own, and returns its result.
+def run_in_virtual_time(seed: int, scenario: Callable[[World], Coroutine[Any, Any, Any]]) -> Any:
+    """Runs `scenario` in a new world on a loop of its own, and returns its result.
 
     Afterwards all machines count as dead, so that no callback of theirs runs, and the remaining tasks are cancelled.
     """
@@ -388,7 +388,7 @@
     asyncio.set_event_loop(loop)
     world = World(loop, seed)
     try:
-        return loop.run_until_complete(play(world))
+        return loop.run_until_complete(scenario(world))
     finally:
         for machine in world.machines.values():
             machine.is_alive = False
--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -206,7 +206,7 @@
         """Sets the faults that the body names; others stay as they are."""
         fault = json.loads(self.request.body)
         self.cache_transfer.slowness = int(fault.get("slowness", self.cache_transfer.slowness))
-        self.model.log.reports_suppressed = bool(fault.get("silent", self.model.log.reports_suppressed))
+        self.model.event_log.reports_suppressed = bool(fault.get("silent", self.model.event_log.reports_suppressed))
         if "cutAfterLines" in fault:
             self.model.cut_after_lines = fault["cutAfterLines"]
         self.finish({})
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -154,7 +154,7 @@
         self.clock = clock
         self.cache_transfer = cache_transfer
         self.on_run = on_run
-        self.log = CacheEventLog(rng.randbytes(8).hex())
+        self.event_log = CacheEventLog(rng.randbytes(8).hex())
         self.loaded_model = ""
         self.loading_model = ""
         self.load_count = 0
@@ -274,10 +274,10 @@
 
     async def _cache_part(self, key: str, cached_part: CachedPart) -> None:
         self.cache[key] = cached_part
-        self.log.append_event("kept", key)
+        self.event_log.append_event("kept", key)
         while len(self.cache) > CACHE_KEY_LIMIT:
             evicted_key, _ = self.cache.popitem(last=False)
-            self.log.append_event("dropped", evicted_key)
+            self.event_log.append_event("dropped", evicted_key)
         await self.cache_transfer.write_to_store(key, cached_part)
 
     async def claim(self, fence: int) -> dict[str, Any]:
@@ -286,7 +286,7 @@
         Raises WorkerRefusalError (409) when the fence itself is older than the highest one seen.
         """
         self._accept_fence(fence, "")
-        return {"life": self.log.life, "fence": self.highest_fence}
+        return {"life": self.event_log.life, "fence": self.highest_fence}
 
     def _accept_fence(self, fence: int, model: str) -> None:
         is_accepted = fence >= self.highest_fence
@@ -322,8 +322,8 @@
             finally:
                 self.loading_model = ""
         self.cache.clear()
-        self.log.append_event("cleared", "")
-        return {"life": self.log.life, "sequence": self.log.sequence, "model": model}
+        self.event_log.append_event("cleared", "")
+        return {"life": self.event_log.life, "sequence": self.event_log.sequence, "model": model}
 
     def events(self, life: str, after: int) -> dict[str, Any]:
         """The report of cached parts to a reader (see `CacheEventLog.read`), with the load of the worker.
@@ -332,9 +332,9 @@
         """
         waiting_tokens = max(0, self.prefill_free_at - self.clock.now()) // self.speed.prefill_micros
         load = {"running": self.running_count, "waiting_tokens": waiting_tokens}
-        if self.log.reports_suppressed:
+        if self.event_log.reports_suppressed:
             return {
-                "life": life or self.log.life,
+                "life": life or self.event_log.life,
                 "sequence": after,
                 "whole": False,
                 "kept": [],
@@ -342,20 +342,20 @@
                 "changed": [],
                 **load,
             }
-        return {**self.log.read(life, after, list(self.cache)), **load}
+        return {**self.event_log.read(life, after, list(self.cache)), **load}
 
 
 class StoreModel:
     """The shared store of cached parts. It does not check for whom parts are written or read."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.log = CacheEventLog(rng.randbytes(8).hex())
+        self.event_log = CacheEventLog(rng.randbytes(8).hex())
         self.parts: OrderedDict[str, CachedPart] = OrderedDict()
 
     def put(self, key: str, cached_part: CachedPart) -> None:
         """Stores a part; only a new key becomes an event."""
         if key not in self.parts:
-            self.log.append_event("kept", key)
+            self.event_log.append_event("kept", key)
         self.parts[key] = cached_part
 
     def get(self, key: str) -> CachedPart | None:
@@ -364,7 +364,7 @@
 
     def events(self, life: str, after: int) -> dict[str, Any]:
         """The report of stored parts to a reader (see `CacheEventLog.read`)."""
-        return self.log.read(life, after, list(self.parts))
+        return self.event_log.read(life, after, list(self.parts))
 
 
 class ApplicationModel:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -425,13 +425,13 @@
     def test_a_zone_logs_its_relay_on_change_only(self) -> None:
         fleet = RelayFleet(30)
         with self.assertLogs(LOGGER, "INFO") as caught:
-            fleet.play(30)
+            fleet.run_periods(30)
         self.assertEqual(len(messages(caught, "Relays for its zone. zone=")), 3)
         self.assertEqual(len(caught.records), 3)
         self.assertEqual(sum(relay.is_relaying for relay in fleet.relays.values()), 3)
         fleet.dead.add(fleet.relays["n0"].chosen_relays["a"][0] if not fleet.relays["n0"].is_relaying else "n0")
         with self.assertLogs(LOGGER, "INFO") as caught:
-            fleet.play(30)
+            fleet.run_periods(30)
         self.assertEqual(len(messages(caught, "Relays for its zone. zone=a")), 1)
         self.assertEqual(len(caught.records), 1)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -89,7 +89,7 @@
         """Sets the share of randomly lost messages to one in `count`."""
         self.loss_share = 1 / count
 
-    def play(self, periods: int) -> None:
+    def run_periods(self, periods: int) -> None:
         for _ in range(periods):
             self.runtime.now_micros += RELAY_PERIOD_MICROS
             for name, relay in self.relays.items():
@@ -124,7 +124,7 @@
             )
             relay.handle_cache_note = poller.apply_note
 
-    def play(self, periods: int) -> None:
+    def run_periods(self, periods: int) -> None:
         """Runs the fleet for so many periods; in each, every worker caches one more part."""
         for _ in range(periods):
             for number in range(self.worker_count):
@@ -140,7 +140,7 @@
                 self.announced_notes[number] = note
                 self.fleet.relays[f"n{number}"].relay_cache_note(pack_note(combined or note))
             self.sequence += 1
-            self.fleet.play(1)
+            self.fleet.run_periods(1)
 
     def known_share(self) -> float:
         """The share of all cached parts that a running node knows, on average."""
@@ -156,17 +156,17 @@
             for _ in range(int(name[1:]) % 3):
                 loads.begin("w", 10, 10)
         total = sum(int(name[1:]) % 3 for name in fleet.loads)
-        fleet.play(4)
+        fleet.run_periods(4)
         self.assertEqual({fleet.seen_running(name) for name in fleet.loads}, {total})
         fleet.loads["n1"].end("w", 10, 10)
-        fleet.play(3)
+        fleet.run_periods(3)
         self.assertEqual({fleet.seen_running(name) for name in fleet.loads}, {total - 1})
 
     def test_kept_parts_reach_every_node_once(self) -> None:
         fleet = RelayFleet(30)
-        fleet.play(2)
+        fleet.run_periods(2)
         self.assertTrue(fleet.relays["n7"].relay_cache_note(KeptNote(worker="w", sequence=5)))
-        fleet.play(4)
+        fleet.run_periods(4)
         heard = {name: notes for name, notes in fleet.received_sequences.items() if name != "n7"}
         self.assertEqual({tuple(set(notes)) for notes in heard.values()}, {(5,)})
         self.assertLessEqual(sum(len(notes) for notes in heard.values()), len(heard) + 3)
@@ -174,13 +174,13 @@
     def test_a_lost_relay_is_passed_over_within_a_second_and_a_half(self) -> None:
         fleet = RelayFleet(30)
         fleet.loads["n0"].begin("w", 1, 1)
-        fleet.play(5)
+        fleet.run_periods(5)
         relay = fleet.relays["n0"].chosen_relays["a"][0]
         fleet.dead.add(relay)
         sender = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
-        fleet.play(14)  # 1.4 s
+        fleet.run_periods(14)  # 1.4 s
         fleet.loads[sender].begin("w", 1, 1)
-        fleet.play(4)
+        fleet.run_periods(4)
         expected = 1 + (relay != "n0")
         alive = [name for name in fleet.loads if name not in fleet.dead]
         self.assertEqual({fleet.seen_running(name) for name in alive}, {expected})
@@ -191,9 +191,9 @@
             fleet = RelayFleet(size)
             for loads in fleet.loads.values():
                 loads.begin("w", 10, 10)
-            fleet.play(4)
+            fleet.run_periods(4)
             fleet.message_count = fleet.byte_count = 0
-            fleet.play(10)
+            fleet.run_periods(10)
             counts[size] = fleet.message_count / 10
         self.assertLess(counts[120], 2.2 * counts[60])
         self.assertLess(counts[60], 2.2 * counts[30])
@@ -205,7 +205,7 @@
         for name, loads in fleet.loads.items():
             for worker in range(28):
                 loads.begin(f"i-{worker:010x}", int(name[1:]), 20_000)
-        fleet.play(4)
+        fleet.run_periods(4)
         fleet.bytes_by_sender.clear()
         for second in range(10):
             for number in range(63):
@@ -220,24 +220,24 @@
                         salt="tenant-salt-of-thirty-letters", part="5c1e07a2", tokens=3_720, line="daka510000"
                     )
                     fleet.relays[f"n{number}"].relay_cache_note(note)
-            fleet.play(10)
+            fleet.run_periods(10)
         most = max(fleet.bytes_by_sender.values()) / 10
         self.assertLess(most, 625_000 / 4, "bytes per second sent by the busiest node")
 
     def test_a_node_that_is_gone_costs_its_zone_few_notes(self) -> None:
         fleet = RelayFleet(63)
-        fleet.play(5)
+        fleet.run_periods(5)
         relay = fleet.relays["n0"].chosen_relays["a"][0]
         gone = next(r.identity for r in fleet.records if r.area == "a" and r.identity not in (relay, "n0"))
         fleet.dead.add(gone)
-        fleet.play(20)
+        fleet.run_periods(20)
         self.assertEqual(
             {fleet.relays[r.identity].chosen_relays["a"][0] for r in fleet.records if r.area == "a"}, {relay}
         )
         for sequence in range(1, 41):
             fleet.relays["n0"].relay_cache_note(KeptNote(worker="w", sequence=sequence))
-            fleet.play(1)
-        fleet.play(4)
+            fleet.run_periods(1)
+        fleet.run_periods(4)
         alive = [name for name in fleet.loads if name not in (gone, "n0")]
         heard = [len(set(fleet.received_sequences[name])) for name in alive]
         self.assertGreaterEqual(min(heard), 30)
@@ -248,24 +248,24 @@
         for gone_count in (1, 6):
             caching_fleet = CachingFleet(63, worker_count=8)
             fleet = caching_fleet.fleet
-            caching_fleet.play(40)
+            caching_fleet.run_periods(40)
             self.assertGreater(caching_fleet.known_share(), 0.9)
             non_relays = [name for name, relay in fleet.relays.items() if not relay.is_relaying and int(name[1:]) >= 8]
             fleet.dead.update(non_relays[:gone_count])
-            caching_fleet.play(40)
+            caching_fleet.run_periods(40)
             self.assertGreater(caching_fleet.known_share(), 0.9, f"{gone_count} dead nodes")
 
     def test_notes_that_are_lost_cost_no_more_than_what_they_tell(self) -> None:
         """Each note repeats the one before, so a part is lost only if two notes in a row are."""
         caching_fleet = CachingFleet(63, worker_count=8)
         caching_fleet.fleet.set_loss_one_in(50)
-        caching_fleet.play(60)
+        caching_fleet.run_periods(60)
         # Lets notes under way arrive.
-        caching_fleet.fleet.play(4)
+        caching_fleet.fleet.run_periods(4)
         self.assertGreater(caching_fleet.known_share(), 0.97)
 
     def test_a_small_fleet_tells_directly(self) -> None:
         fleet = RelayFleet(9)
-        fleet.play(2)
+        fleet.run_periods(2)
         self.assertEqual(fleet.message_count, 0)
         self.assertFalse(fleet.relays["n0"].relay_cache_note(KeptNote()))
--- a/tests/test_site_addresses.py
+++ b/tests/test_site_addresses.py
@@ -110,12 +110,12 @@
         reopened = SiteLauncher(str(holder.folder_path))
         with self.assertRaisesRegex(RuntimeError, "addresses are in use"):
             reopened.up()
-        self.assertEqual((reopened.plan["ids"], reopened.block), ({}, None))
+        self.assertEqual((reopened.plan["ids"], reopened.address_block), ({}, None))
 
     def test_a_site_that_starts_again_claims_its_own_block(self) -> None:
         made = self.make_launcher()
-        assert made.block is not None
-        number = made.block.number
+        assert made.address_block is not None
+        number = made.address_block.number
         reopened = SiteLauncher(str(made.folder_path))
         with mock.patch("pearhead.testbed.emulator.launcher.AddressBlock") as claimed:
             reopened.claim_block()
@@ -126,4 +126,4 @@
         reopened = SiteLauncher(str(self.make_launcher().folder_path))
         with mock.patch.object(SiteLauncher, "is_alive", return_value=True):
             reopened.claim_block()
-        self.assertIsNone(reopened.block)
+        self.assertIsNone(reopened.address_block)
