--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -238,16 +238,16 @@
         service: str,
         model: str,
         version: int,
-        chance: random.Random,
+        rng: random.Random,
         sink: RecordSink,
     ) -> None:
         self.settings = settings
         self.worker, self.instance, self.service, self.model = worker, instance, service, model
         self.version = version
         self.named_versions = {version}
-        self.chance = chance
+        self.rng = rng
         self.sink = sink
-        self.events = PartEventLog(chance.randrange(1, 1 << 31), chance)
+        self.events = PartEventLog(rng.randrange(1, 1 << 31), rng)
         self.cache = PartCache(settings.cache_tokens, self.events)
         self.queue: list[_RequestState] = []
         self.running: list[_RequestState] = []
@@ -346,7 +346,7 @@
         """Handles an order to change the weights and returns its status: 202, 200, 400, 409 or 412."""
         status = self._check_order(body)
         if status != 400:
-            self.sink.take(
+            self.sink.record(
                 OrderSeen(
                     now,
                     self.worker,
@@ -546,7 +546,7 @@
             self._record_use(now, entry, partial_part, partial_part.tokens)
 
     def _record_use(self, now: int, entry: _RequestState, part: KeptPart, tokens: int) -> None:
-        self.sink.take(
+        self.sink.record(
             Use(
                 now,
                 self.worker,
@@ -698,7 +698,7 @@
 
     def _record_run(self, now: int, entry: _RequestState, status: int) -> None:
         request = entry.request
-        self.sink.take(
+        self.sink.record(
             Run(
                 now,
                 self.worker,
--- a/src/pearhead/testbed/emulator/main.py
+++ b/src/pearhead/testbed/emulator/main.py
@@ -22,7 +22,7 @@
 from pearhead.testbed.emulator.engine_driver import EngineDriver, HttpPartTransfer
 from pearhead.testbed.emulator.engine_server import EngineContext, build_engine_server
 from pearhead.testbed.emulator.ledger import LedgerFile
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 from pearhead.testbed.emulator.store import StoreContext, StoreModel, build_store
 
 HEARTBEAT_INTERVAL_MICROS = 250 * MILLI
@@ -43,7 +43,7 @@
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
         self.clock = BootClock()
-        self.chance = random.Random()
+        self.rng = random.Random()
         self.version_path = Path(settings["version_file"])
 
     async def serve(self) -> None:
@@ -52,7 +52,7 @@
         The weights version is that of the previous run, or the newest announced one if there was none.
         """
         stopped = stop_event()
-        named_answer = await ask(self.settings["cloud"], "GET", "/site/name")
+        named_answer = await send_request(self.settings["cloud"], "GET", "/site/name")
         named = (named_answer.fields() if named_answer else {}).get(self.settings["model"], [1])
         version = int(self.version_path.read_text()) if self.version_path.exists() else max(named)
         site = self._build(version)
@@ -76,15 +76,15 @@
         model = EngineModel(
             EngineSettings(**settings["engine"]),
             settings["name"],
-            f"i-{self.chance.randbytes(4).hex()}",
+            f"i-{self.rng.randbytes(4).hex()}",
             settings["service"],
             settings["model"],
             version,
-            self.chance,
+            self.rng,
             sink,
         )
         driver = EngineDriver(model, self.clock, HttpPartTransfer(), settings["zone"])
-        return EngineContext(driver, self.clock, self.chance, sink, settings["readers"], settings["connections"])
+        return EngineContext(driver, self.clock, self.rng, sink, settings["readers"], settings["connections"])
 
     def _save_version(self, version: int) -> None:
         """Replaces the version file atomically, as the worker may be killed at any moment."""
@@ -102,7 +102,7 @@
         site.driver.advance_to_now()
         self._save_version(model.version)
         state = model.state()
-        answer = await ask(
+        answer = await send_request(
             settings["cloud"],
             "POST",
             "/site/beat",
--- a/src/pearhead/testbed/emulator/operator.py
+++ b/src/pearhead/testbed/emulator/operator.py
@@ -18,7 +18,7 @@
     VersionNamed,
     body_digest,
 )
-from pearhead.testbed.emulator.raw_http import RawResponse, ask
+from pearhead.testbed.emulator.raw_http import RawResponse, send_request
 
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 MIN_RETRY_DELAY_MICROS = 100 * MILLI
@@ -58,23 +58,23 @@
 class SiteOperator:
     """An operator of an emulated site: sends changes to the core, reads from it, and records what it sees.
 
-    Methods that return a status return that of the last conclusive answer, or 0 if none came in time. `controls`
-    returns the addresses of the nodes that serve operators; it is called again for each sending. `lost_answers`: how
-    many answers to changes are treated as lost; the same change is then sent again, first to nodes not yet tried.
-    `answer_timeout_seconds`: how long to wait for a node's answer, for a small body.
+    Methods that return a status return that of the last conclusive answer, or 0 if none came in time.
+    `list_control_addresses` returns the addresses of the nodes that serve operators; it is called again for each
+    sending. `lost_answers`: how many answers to changes are treated as lost; the same change is then sent again, first
+    to nodes not yet tried. `answer_timeout_seconds`: how long to wait for a node's answer, for a small body.
     """
 
     def __init__(
         self,
-        controls: Callable[[], list[str]],
+        list_control_addresses: Callable[[], list[str]],
         clock: Clock,
         sink: RecordSink,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         lost_answers: int = 0,
         answer_timeout_seconds: float = ANSWER_TIMEOUT_SECONDS,
     ) -> None:
-        self.controls, self.clock, self.sink = controls, clock, sink
-        self.chance = chance or random.Random(0)
+        self.list_control_addresses, self.clock, self.sink = list_control_addresses, clock, sink
+        self.rng = rng or random.Random(0)
         self.lost_answers, self.answer_timeout_seconds = lost_answers, answer_timeout_seconds
         self.last_body: dict[str, Any] = {}
 
@@ -97,7 +97,7 @@
         if answer is None or answer.head.status != 200:
             return {}
         config = answer.fields()
-        self.sink.take(ConfigRead(self.clock.now(), int(config.get("Revision", 0)), config, asked_at))
+        self.sink.record(ConfigRead(self.clock.now(), int(config.get("Revision", 0)), config, asked_at))
         return config
 
     async def name_version(
@@ -110,12 +110,12 @@
         """
         sent_at = self.clock.now()
         body = {"Model": model, "Revision": version}
-        await ask(cloud, "POST", "/site/name", body)
+        await send_request(cloud, "POST", "/site/name", body)
         for address in workers:
-            await ask(address, "POST", "/site/command", {"named": [version]})
+            await send_request(address, "POST", "/site/command", {"named": [version]})
         answer = await self._call("POST", "/v1/version-put", body, {}, limit_micros)
         status = answer.head.status if answer is not None else 0
-        self.sink.take(VersionNamed(sent_at, self.clock.now() if 200 <= status < 300 else 0, model, version))
+        self.sink.record(VersionNamed(sent_at, self.clock.now() if 200 <= status < 300 else 0, model, version))
         return status
 
     async def _send(
@@ -134,7 +134,7 @@
         answer = await self._call(method, "/v1/config", body, {"If-Match": str(base)}, limit_micros, change)
         status = answer.head.status if answer is not None else 0
         self.last_body = answer.fields() if answer is not None else {}
-        self.sink.take(ConfigSent(sent_at, self.clock.now(), number, base, status, full_config, is_valid))
+        self.sink.record(ConfigSent(sent_at, self.clock.now(), number, base, status, full_config, is_valid))
         return status
 
     async def _call(
@@ -170,11 +170,11 @@
 
     def _pick_node(self, tried: list[str]) -> str:
         """A random node among those tried least often; it is added to `tried`."""
-        controls = self.controls()
-        fewest = min(tried.count(c) for c in controls)
-        control = self.chance.choice([c for c in controls if tried.count(c) == fewest])
-        tried.append(control)
-        return control
+        addresses = self.list_control_addresses()
+        fewest = min(tried.count(a) for a in addresses)
+        address = self.rng.choice([a for a in addresses if tried.count(a) == fewest])
+        tried.append(address)
+        return address
 
     async def _send_once(
         self,
@@ -193,7 +193,7 @@
         status = answer.head.status if answer is not None else 0
         is_lost = bool(status) and self.lost_answers > 0
         self.lost_answers -= is_lost
-        self.sink.take(
+        self.sink.record(
             ConfigTry(
                 sent_at, self.clock.now(), change.number, change.base, control, status, change.content, is_lost=is_lost
             )
@@ -211,7 +211,7 @@
         answer_timeout_seconds = self.answer_timeout_seconds + len(body_bytes) / UPLOAD_BYTES_PER_SECOND
         target, target_path = control, path
         for _ in range(1 + MAX_REDIRECTS):
-            answer = await ask(target, method, target_path, body_bytes, headers, answer_timeout_seconds)
+            answer = await send_request(target, method, target_path, body_bytes, headers, answer_timeout_seconds)
             if answer is None or answer.head.status != 307:
                 return answer
             location = answer.head.text("location").removeprefix("http://")
--- a/src/pearhead/testbed/emulator/plan.py
+++ b/src/pearhead/testbed/emulator/plan.py
@@ -105,13 +105,13 @@
     cloud_page_size: int = 50
     started: list[str] = field(default_factory=list)
 
-    def of(self, *programs: str) -> list[Machine]:
+    def machines_of(self, *programs: str) -> list[Machine]:
         """The machines that run one of the programs."""
         return [m for m in self.machines if m.program in programs]
 
     def addresses(self, program: str, port: int) -> list[str]:
         """The addresses `ip:port` of all machines that run the program."""
-        return [f"{m.ip}:{port}" for m in self.of(program)]
+        return [f"{m.ip}:{port}" for m in self.machines_of(program)]
 
     def fields(self) -> dict[str, Any]:
         """The plan as a dictionary that can be stored as JSON."""
@@ -129,9 +129,9 @@
 class PlanMaker:
     """Draws a plan for a deployment. The same size, seed and address block give the same plan."""
 
-    def __init__(self, deployment: Deployment, size: SiteSize, seed: int, block: int) -> None:
-        self.deployment, self.size, self.block = deployment, size, block
-        self.chance = random.Random(seed)
+    def __init__(self, deployment: Deployment, size: SiteSize, seed: int, block_number: int) -> None:
+        self.deployment, self.size, self.block_number = deployment, size, block_number
+        self.rng = random.Random(seed)
 
     def make(self) -> SitePlan:
         """Draws the plan; to be called once, as each call draws on from the same random source."""
@@ -208,15 +208,15 @@
         )
         for name_prefix, program, count, third_octet in groups:
             for number in range(count):
-                ip = f"127.{self.block}.{third_octet}.{number + 1}"
+                ip = f"127.{self.block_number}.{third_octet}.{number + 1}"
                 machines.append(Machine(f"{name_prefix}-{number + 1}", program, ip, zones[number % len(zones)]))
-        machines.append(Machine("store", "store", f"127.{self.block}.4.1", zones[1 % len(zones)]))
-        machines.append(Machine("cloud", "cloud", f"127.{self.block}.4.2", zones[0]))
+        machines.append(Machine("store", "store", f"127.{self.block_number}.4.1", zones[1 % len(zones)]))
+        machines.append(Machine("cloud", "cloud", f"127.{self.block_number}.4.2", zones[0]))
         return machines
 
     def _random_name(self) -> str:
-        letters = "".join(self.chance.choice(string.ascii_lowercase) for _ in range(5))
-        return f"{letters}{self.chance.randrange(10, 99)}"
+        letters = "".join(self.rng.choice(string.ascii_lowercase) for _ in range(5))
+        return f"{letters}{self.rng.randrange(10, 99)}"
 
     def _route(
         self,
@@ -259,7 +259,7 @@
         return tenants
 
     def _key(self) -> str:
-        return "".join(self.chance.choice(string.ascii_lowercase + string.digits) for _ in range(20))
+        return "".join(self.rng.choice(string.ascii_lowercase + string.digits) for _ in range(20))
 
 
 def node_settings(
@@ -271,7 +271,7 @@
     differ from the plan.
     """
     is_core = machine.program == "control_plane"
-    cloud = plan.of("cloud")[0]
+    cloud = plan.machines_of("cloud")[0]
     binds = (
         {"Control": f"{machine.ip}:{CONTROL_PORT}"}
         if is_core
@@ -317,7 +317,7 @@
 
 def program_settings(plan: SitePlan, machine: Machine, folder: str) -> dict[str, Any]:
     """The settings of an emulated worker, of the cache store, or of the platform's worker list."""
-    cloud = f"{plan.of('cloud')[0].ip}:{CLOUD_PORT}"
+    cloud = f"{plan.machines_of('cloud')[0].ip}:{CLOUD_PORT}"
     if machine.program == "engine":
         return {
             "name": machine.name,
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -47,7 +47,7 @@
     """Several operators of one fleet.
 
     Attributes:
-        number: The highest change number that an answer or a read has shown.
+        highest_number: The highest change number that an answer or a read has shown.
         content_number: Number of contents handed out.
     """
 
@@ -55,7 +55,7 @@
         self.fleet = fleet
         self.world = fleet.world
         self.history = fleet.ledger.history
-        self.number = 0
+        self.highest_number = 0
         self.content_number = 0
 
     def next_content(self) -> str:
@@ -63,7 +63,7 @@
         self.content_number += 1
         return f"c{self.content_number}"
 
-    async def ask(
+    async def send_change(
         self, change: Change, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS
     ) -> ChangeAttempt:
         """Sends a change once, to one core, and records the attempt.
@@ -86,7 +86,7 @@
             body = json.loads(result.body or b"{}")
             attempt.reported_number = body.get("number", 0)
         if attempt.status == DONE:
-            self.number = max(self.number, change.number)
+            self.highest_number = max(self.highest_number, change.number)
             self.fleet.ledger.acknowledged_applies.append((body["revision"], attempt.end_micros))
         return attempt
 
@@ -101,8 +101,8 @@
         end_micros = self.world.now() + limit_micros
         request_timeout_micros = first_timeout_micros or REQUEST_TIMEOUT_MICROS
         while self.world.now() < end_micros:
-            core_name = self.world.chance.choice(sorted(self.fleet.cores))
-            attempt = await self.ask(change, core_name, request_timeout_micros)
+            core_name = self.world.rng.choice(sorted(self.fleet.cores))
+            attempt = await self.send_change(change, core_name, request_timeout_micros)
             if attempt.status in (DONE, *DEFINITE_REFUSALS):
                 return attempt.status
             request_timeout_micros = REQUEST_TIMEOUT_MICROS
@@ -117,7 +117,7 @@
         end_micros = self.world.now() + limit_micros
         content = self.next_content()
         while self.world.now() < end_micros:
-            change = Change(self.number, self.number + 1, content, is_marked)
+            change = Change(self.highest_number, self.highest_number + 1, content, is_marked)
             status = await self.retry_until_decided(change, end_micros - self.world.now())
             if status == DONE:
                 return change
@@ -129,7 +129,7 @@
         for core_name in sorted(self.fleet.cores):
             read = await self.read(core_name)
             if read is not None:
-                self.number = max(self.number, read.number)
+                self.highest_number = max(self.highest_number, read.number)
 
     async def read(self, core_name: str, request_timeout_micros: int = REQUEST_TIMEOUT_MICROS) -> Read | None:
         """Reads the description at a core and records the read; None without an answer that the core could confirm."""
@@ -167,8 +167,8 @@
 
     async def _read_periodically(self) -> None:
         while True:
-            await pause(self.world, self.world.chance.randrange(*READ_PAUSE_MICROS))
-            await self.read(self.world.chance.choice(sorted(self.fleet.cores)))
+            await pause(self.world, self.world.rng.randrange(*READ_PAUSE_MICROS))
+            await self.read(self.world.rng.choice(sorted(self.fleet.cores)))
 
     async def submit_conflicting_changes(self, count: int = 8) -> None:
         """Sends `count` conflicting changes concurrently, all on one base.
@@ -176,12 +176,12 @@
         Most have the same number and different contents. One repeats a content under another number, and one repeats a
         change. Some of the first timeouts are too short for an answer, so that the change is sent again to other cores.
         """
-        base = self.number
+        base = self.highest_number
         contents = [self.next_content() for _ in range(count - 2)]
         changes = [Change(base, base + 1, content) for content in contents]
         changes += [Change(base, base + 2, contents[0]), Change(base, base + 1, contents[1])]
-        chance = self.world.chance
-        first_timeouts = [chance.randrange(1 * MILLI, 15 * MILLI) if chance.random() < 0.5 else 0 for _ in changes]
+        rng = self.world.rng
+        first_timeouts = [rng.randrange(1 * MILLI, 15 * MILLI) if rng.random() < 0.5 else 0 for _ in changes]
         changes_and_timeouts = zip(changes, first_timeouts, strict=True)
         await asyncio.gather(
             *(
@@ -194,10 +194,10 @@
     async def resend_to_all_cores(self, change: Change) -> None:
         """Sends an accepted change again to each core, each time followed by another content under its number."""
         for core_name in sorted(self.fleet.cores):
-            await self.ask(change, core_name)
-            await self.ask(Change(change.base, change.number, f"not-{change.content}"), core_name)
+            await self.send_change(change, core_name)
+            await self.send_change(Change(change.base, change.number, f"not-{change.content}"), core_name)
 
-    def taken(self) -> list[Change]:
+    def acknowledged_changes(self) -> list[Change]:
         """Returns the acknowledged changes, ordered by number."""
         return sorted(
             {attempt.change for attempt in self.history.change_attempts if attempt.status == DONE},
--- a/src/pearhead/testbed/soak/fault_runner.py
+++ b/src/pearhead/testbed/soak/fault_runner.py
@@ -15,7 +15,7 @@
 from pearhead.testbed.emulator.ledger import LedgerFile
 from pearhead.testbed.emulator.operator import apply_patch
 from pearhead.testbed.emulator.plan import CLOUD_PORT, WORKER_PORT
-from pearhead.testbed.emulator.raw_http import ask
+from pearhead.testbed.emulator.raw_http import send_request
 from pearhead.testbed.emulator.sitefaults import NO_FAULTS
 from pearhead.testbed.soak.fault_proxy import TOO_MANY_REQUESTS, LinkFault
 from pearhead.testbed.soak.fleet import SoakFleet
@@ -52,7 +52,7 @@
     ) -> None:
         self.fleet, self.clock, self.seed = fleet, fleet.clock, seed
         self.operator_sink, self.on_config_accepted = operator_sink, on_config_accepted
-        self.chance = random.Random(f"faults {seed}")
+        self.rng = random.Random(f"faults {seed}")
         self.operator_lock = asyncio.Lock()
         self.process_locks: defaultdict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
         self.operation_count = 0
@@ -138,7 +138,7 @@
         self.fleet.record_worker_faulty(name, False)
 
     async def _set_worker_faults(self, name: str, faults: dict[str, Any]) -> None:
-        await ask(self.fleet.plan["processes"][name]["httpAddress"], "POST", "/site/command", faults)
+        await send_request(self.fleet.plan["processes"][name]["httpAddress"], "POST", "/site/command", faults)
 
     # ---- links -------------------------------------------------------------------------------------
 
@@ -212,8 +212,8 @@
 
     def _key_revocation_patch(self, base_config: dict[str, Any]) -> dict[str, Any]:
         """A patch that replaces the first key of a random tenant by a new one."""
-        tenant = copy.deepcopy(self.chance.choice(base_config["Tenants"]))
-        tenant["Keys"] = [*tenant["Keys"][1:], self.chance.randbytes(10).hex()]
+        tenant = copy.deepcopy(self.rng.choice(base_config["Tenants"]))
+        tenant["Keys"] = [*tenant["Keys"][1:], self.rng.randbytes(10).hex()]
         return {"Revision": base_config["Revision"] + 1, "Upsert": {"Tenants": [tenant]}}
 
     async def _name_weights(self) -> None:
