--- a/src/pearhead/router/admission.py
+++ b/src/pearhead/router/admission.py
@@ -91,7 +91,7 @@
         if own_count >= share_limit:
             retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
             return Err(Refusal(ErrorKind.TENANT_BUSY, "the tenant's share of the queue is full", retry_after_micros))
-        if wait_micros > job.left_micros(self.clock.now()):
+        if wait_micros > job.remaining_micros(self.clock.now()):
             # Refused at once: waiting until the deadline would only delay the same answer (§8.3).
             retry_after_micros = queue.next_retry_micros(wait_micros, entry.concurrency, self.clock.now())
             return Err(Refusal(ErrorKind.OVERLOADED, "its turn would come after its deadline", retry_after_micros))
@@ -105,7 +105,7 @@
                 Err(Refusal(ErrorKind.DEADLINE_PASSED, "waited for its turn to the deadline", tenant_wait_micros))
             )
 
-        deadline_timer = self.clock.after(job.left_micros(self.clock.now()), reject_at_deadline)
+        deadline_timer = self.clock.after(job.remaining_micros(self.clock.now()), reject_at_deadline)
         was_resolved = False
         try:
             admission_result = await waiter.admission_future
--- a/src/pearhead/router/client_http_server.py
+++ b/src/pearhead/router/client_http_server.py
@@ -66,7 +66,7 @@
     idle_micros: int = 30 * SECOND
 
     @classmethod
-    def of(cls, limits: Limits) -> ClientLimits:
+    def from_limits(cls, limits: Limits) -> ClientLimits:
         """Returns the limits of a description; a limit that is not positive there keeps its default."""
         values = {name: getattr(limits, name) for name in cls.__dataclass_fields__}
         return cls(**{name: value for name, value in values.items() if value > 0})
@@ -75,12 +75,12 @@
 class RequestParser(Protocol):
     """Parses requests and formats errors, in the header and error formats of the platform the node runs on."""
 
-    def read(
+    def parse_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes, arrived_micros: int
     ) -> Result[OpaqueRequest, Refusal]:
         """Parses a request; `arrived_micros` is when its head was complete."""
 
-    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
+    def format_refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
         """Returns the status, headers and body of an error response; `request` is None if it was not parsed."""
 
 
@@ -91,8 +91,8 @@
         assert isinstance(connection, HTTP1Connection)
         self.connection = connection
         self.closes_after_response = closes_after_response
-        self.gone = False
-        self.is_over = False
+        self.is_connection_closed = False
+        self.has_ended = False
         self.is_delimited_by_close = False
         self.on_disconnect: Callable[[], object] = lambda: None
         connection.set_close_callback(self._on_connection_closed)
@@ -105,18 +105,18 @@
         start_line = ResponseStartLine("HTTP/1.1", status, reason or _reason_phrase(status))
         self._ignore_write_result(self.connection.write_headers(start_line, headers))
         self.is_delimited_by_close = not (self.connection._chunking_output or "Content-Length" in headers)
-        if not self.gone:
+        if not self.is_connection_closed:
             self.connection.stream.set_nodelay(True)
 
     def write(self, chunk: bytes) -> None:
         """Writes a part of the body; dropped if the client is gone."""
-        if not self.gone:
+        if not self.is_connection_closed:
             self._ignore_write_result(self.connection.write(chunk))
 
     def finish(self) -> None:
         """Completes the response."""
-        self.is_over = True
-        if not self.gone:
+        self.has_ended = True
+        if not self.is_connection_closed:
             self.connection.finish()
 
     def abort(self) -> None:
@@ -125,17 +125,17 @@
         Without chunked encoding or a length, an orderly close would mark the response as complete, so the connection is
         reset instead.
         """
-        self.is_over = True
-        if self.is_delimited_by_close and not self.is_gone():
+        self.has_ended = True
+        if self.is_delimited_by_close and not self.is_disconnected():
             self.connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.connection.close()
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns whether the connection to the client is closed."""
-        return self.gone or self.connection.stream is None or self.connection.stream.closed()
+        return self.is_connection_closed or self.connection.stream is None or self.connection.stream.closed()
 
     def _on_connection_closed(self) -> None:
-        self.gone = True
+        self.is_connection_closed = True
         self.on_disconnect()
 
     @staticmethod
@@ -159,7 +159,7 @@
         self.start_line, self.headers = start_line, headers
         self.arrived_micros = self.manager.clock.now()
         stream = self.manager.complete_head(self.connection)
-        self.manager.reading[self] = None
+        self.manager.incoming_requests[self] = None
         if not self.manager.drain.may_accept():
             self.refuse_draining()
         elif stream.is_head_too_large:
@@ -179,7 +179,7 @@
         """Rejects the request because this node is draining; it is not sent to a worker."""
         if self.rejection_writer is not None:
             return
-        parsed = self.manager.reader.read(
+        parsed = self.manager.request_parser.parse_request(
             self.start_line.method, self.start_line.path, self.headers, b"", self.arrived_micros
         )
         request = None if isinstance(parsed, Err) else parsed.ok_value
@@ -198,17 +198,17 @@
         self.headers.pop("Expect", None)
         self.connection.set_body_timeout(REJECTED_BODY_READ_SECONDS)
         self.rejection_writer = ConnectionResponseWriter(self.connection, lambda: True)
-        self.manager.refuse(self.rejection_writer, self.start_line.method, refusal, status, request)
+        self.manager.write_refusal(self.rejection_writer, self.start_line.method, refusal, status, request)
 
     def finish(self) -> None:
-        self.manager.reading.pop(self, None)
+        self.manager.incoming_requests.pop(self, None)
         if self.rejection_writer is not None:
             return self.rejection_writer.finish()
         body, self.chunks = b"".join(self.chunks), []
         self.manager.handle_request(self.connection, self.start_line, self.headers, body, self.arrived_micros)
 
     def on_connection_close(self) -> None:
-        self.manager.reading.pop(self, None)
+        self.manager.incoming_requests.pop(self, None)
         self.chunks = []
 
 
@@ -291,12 +291,12 @@
 
     def unanswered_count(self) -> int:
         """Returns how many requests are being read or handled."""
-        return sum(not task.done() for task in self.manager.tasks) + len(self.manager.reading)
+        return sum(not task.done() for task in self.manager.tasks) + len(self.manager.incoming_requests)
 
     def on_close(self, server_conn: object) -> None:
         """Called by Tornado when a connection is closed."""
         assert isinstance(server_conn, HTTP1ServerConnection) and isinstance(server_conn.stream, ClientStream)
-        self.manager.forget(server_conn.stream)
+        self.manager.stop_timeouts(server_conn.stream)
         self.manager.streams.discard(server_conn.stream)
         super().on_close(server_conn)
 
@@ -305,26 +305,26 @@
     """Tracks client connections, enforces their limits and timeouts, and passes complete requests to `handler`.
 
     `limits`: returns the limits in force; called for each head, so it has to be cheap. `idle_since`, `pending_heads`:
-    since when (in microseconds) a connection has been idle or its head arriving, longest first. `reading`: requests
-    whose body is arriving. `streams`: all connections. Without a `drain` it never drains.
+    since when (in microseconds) a connection has been idle or its head arriving, longest first. `incoming_requests`:
+    requests whose body is arriving. `streams`: all connections. Without a `drain` it never drains.
     """
 
     def __init__(
         self,
         clock: Clock,
-        reader: RequestParser,
+        request_parser: RequestParser,
         handler: OpaqueRequestHandler,
         limits: Callable[[], ClientLimits],
         drain: DrainState | None = None,
     ) -> None:
         self.clock = clock
-        self.reader = reader
+        self.request_parser = request_parser
         self.handler = handler
         self.limits = limits
         self.drain = drain or DrainState(clock, DrainSchedule.for_grace_period(SECOND))
         self.lingering = LingeringSockets()
         self.streams: set[ClientStream] = set()
-        self.reading: dict[_RequestDelegate, None] = {}
+        self.incoming_requests: dict[_RequestDelegate, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.idle_since: dict[ClientStream, int] = {}
         self.pending_heads: dict[ClientStream, int] = {}
@@ -365,10 +365,10 @@
     def complete_head(self, connection: HTTPConnection) -> ClientStream:
         """Records that a head was completely read, which ends its timeouts; returns its stream."""
         assert isinstance(connection, HTTP1Connection) and isinstance(connection.stream, ClientStream)
-        self.forget(connection.stream)
+        self.stop_timeouts(connection.stream)
         return connection.stream
 
-    def forget(self, stream: ClientStream) -> None:
+    def stop_timeouts(self, stream: ClientStream) -> None:
         """Stops the idle and head timeouts of a connection."""
         self.idle_since.pop(stream, None)
         self.pending_heads.pop(stream, None)
@@ -404,7 +404,7 @@
 
     def refuse_incoming(self) -> None:
         """Rejects requests that have not arrived completely, and closes their connections."""
-        for delegate in list(self.reading):
+        for delegate in list(self.incoming_requests):
             delegate.refuse_draining()
             delegate.finish()
         for stream in list(self.pending_heads):
@@ -422,7 +422,7 @@
         """
         return self.drain.is_draining() and self.lingering.take_over(connection)
 
-    def refuse(
+    def write_refusal(
         self,
         writer: ConnectionResponseWriter,
         method: str,
@@ -432,9 +432,9 @@
     ) -> None:
         """Writes an error response of this node, without completing it.
 
-        `status`: overrides the reader's status if not 0.
+        `status`: overrides the parser's status if not 0.
         """
-        default_status, headers, body = self.reader.refusal(request, refusal)
+        default_status, headers, body = self.request_parser.format_refusal(request, refusal)
         headers["Content-Length"] = str(len(body))
         writer.begin(status or default_status, "", headers)
         if method != "HEAD":
@@ -450,12 +450,14 @@
     ) -> None:
         """Parses a complete request and starts a task that handles it; rejects it if invalid or during a drain."""
         writer = ConnectionResponseWriter(connection, self.drain.is_draining)
-        parsed = self.reader.read(start.method, start.path, headers, body, arrived_micros)
+        parsed = self.request_parser.parse_request(start.method, start.path, headers, body, arrived_micros)
         if isinstance(parsed, Err):
-            self.refuse(writer, start.method, parsed.err_value)
+            self.write_refusal(writer, start.method, parsed.err_value)
             return writer.finish()
         if not self.drain.may_accept():
-            self.refuse(writer, start.method, Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=parsed.ok_value)
+            self.write_refusal(
+                writer, start.method, Refusal(ErrorKind.DRAINING, DRAINING_DETAIL), request=parsed.ok_value
+            )
             return writer.finish()
         task = asyncio.get_running_loop().create_task(self._run_handler(parsed.ok_value, writer))
         # When the client disconnects, the task is cancelled, which frees its worker.
@@ -471,7 +473,7 @@
         except Exception:
             LOGGER.exception("edge: A request ended by a fault.")
         finally:
-            if not writer.is_over:
+            if not writer.has_ended:
                 writer.abort()
 
 
--- a/src/pearhead/router/cost_estimator.py
+++ b/src/pearhead/router/cost_estimator.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.prefill_rates: dict[tuple[str, str], float] = {}
         self.fetch_rates: dict[tuple[str, str], float] = {}
-        self.smoothed_micros: dict[tuple[str, str], float] = {}
+        self.average_stream_micros: dict[tuple[str, str], float] = {}
 
     def prefill_rate(self, line: str, worker: str) -> float:
         """Microseconds per token that a worker takes to prefill a prompt on a line."""
@@ -38,16 +38,16 @@
 
     def stream_micros(self, entry: str, worker: str) -> float:
         """How long the results of an entry stream at a worker, from the first line to the last; 0 if unknown."""
-        known = self.smoothed_micros.get((entry, worker))
+        known = self.average_stream_micros.get((entry, worker))
         if known is not None:
             return known
-        others = [micros for (other_entry, _), micros in self.smoothed_micros.items() if other_entry == entry]
+        others = [micros for (other_entry, _), micros in self.average_stream_micros.items() if other_entry == entry]
         return statistics.median(others) if others else 0.0
 
     def record_stream(self, entry: str, worker: str, micros: int) -> None:
         """Records how long one result took to stream."""
         previous_micros = self.stream_micros(entry, worker) or float(micros)
-        self.smoothed_micros[entry, worker] = previous_micros + EWMA_WEIGHT * (micros - previous_micros)
+        self.average_stream_micros[entry, worker] = previous_micros + EWMA_WEIGHT * (micros - previous_micros)
 
     def record_prefill(self, line: str, worker: str, tokens: int, micros: float) -> None:
         """Records how long a worker took to prefill so many tokens; short prefills are ignored."""
--- a/src/pearhead/router/drain.py
+++ b/src/pearhead/router/drain.py
@@ -16,7 +16,7 @@
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
 
 LOGGER = logging.getLogger("pearhead")
-POLL_MICROS = 20 * MILLI
+POLL_INTERVAL_MICROS = 20 * MILLI
 # Long enough for two missed readiness checks. Requests that clients send within 3 s after SIGTERM have to be answered,
 # and the process may receive SIGTERM late.
 MAX_HANDOVER_MICROS = 2_700 * MILLI
@@ -81,13 +81,13 @@
         self.clock = clock
         self.schedule = schedule
         self.on_violation = on_violation
-        self.begun_micros: int | None = None
+        self.started_micros: int | None = None
         self.has_ended = False
 
     def begin(self) -> None:
         """Starts the drain; called at SIGTERM. Later calls have no effect."""
-        if self.begun_micros is None:
-            self.begun_micros = self.clock.now()
+        if self.started_micros is None:
+            self.started_micros = self.clock.now()
 
     def end(self) -> None:
         """Moves to the ENDED phase at once, regardless of the schedule; called at the forced end."""
@@ -96,16 +96,16 @@
 
     def phase(self) -> DrainPhase:
         """Returns the current phase, from the clock alone: a delayed event loop must not accept requests too late."""
-        if self.begun_micros is None:
+        if self.started_micros is None:
             return DrainPhase.SERVING
-        elapsed_micros = self.clock.now() - self.begun_micros
+        elapsed_micros = self.clock.now() - self.started_micros
         if self.has_ended or elapsed_micros >= self.schedule.end_micros:
             return DrainPhase.ENDED
         return DrainPhase.HANDOVER if elapsed_micros < self.schedule.handover_micros else DrainPhase.FINISHING
 
     def is_draining(self) -> bool:
         """Returns whether the drain has begun; each response then closes its connection."""
-        return self.begun_micros is not None
+        return self.started_micros is not None
 
     def may_accept(self) -> bool:
         """Returns whether a request may be accepted and sent to a worker."""
@@ -196,7 +196,7 @@
         while not self._is_idle() and self.state.clock.now() < end_micros:
             # Repeated in each round: in Python 3.11 `asyncio.wait_for` can lose a cancellation.
             self.requests.end_open()
-            await sleep_for(self.state.clock, POLL_MICROS)
+            await sleep_for(self.state.clock, POLL_INTERVAL_MICROS)
         self.state.check_end(max(self.requests.open_count(), self.server.unanswered_count()))
 
     def _is_idle(self) -> bool:
@@ -209,9 +209,9 @@
 
         Polls, so that the server closes delivered connections meanwhile.
         """
-        assert self.state.begun_micros is not None
-        end_micros = self.state.begun_micros + since_begin_micros
+        assert self.state.started_micros is not None
+        end_micros = self.state.started_micros + since_begin_micros
         while self.state.clock.now() < end_micros:
             if self._is_idle() and stop_when_idle:
                 return
-            await sleep_for(self.state.clock, min(POLL_MICROS, end_micros - self.state.clock.now()))
+            await sleep_for(self.state.clock, min(POLL_INTERVAL_MICROS, end_micros - self.state.clock.now()))
--- a/src/pearhead/router/fleet_retry_budget.py
+++ b/src/pearhead/router/fleet_retry_budget.py
@@ -9,18 +9,18 @@
     """A node's share of the fleet's retries: a ratio of its own requests, plus its part of the fleet's free retries.
 
     `ratio`: retries per request. `slack`: free retries of the whole fleet within `window_micros`. Only four fifths of
-    both (USED_SHARE) are used, as nodes do not know the exact number of nodes.
+    both (USABLE_SHARE) are used, as nodes do not know the exact number of nodes.
     """
 
-    USED_SHARE = 0.8
+    USABLE_SHARE = 0.8
 
     def __init__(self, clock: Clock, ratio: float, slack: int, window_micros: int) -> None:
         self.clock = clock
-        self.ratio = ratio * self.USED_SHARE
-        self.slack = slack * self.USED_SHARE
+        self.ratio = ratio * self.USABLE_SHARE
+        self.slack = slack * self.USABLE_SHARE
         self.window_micros = window_micros
         self.credits: dict[str, tuple[float, int]] = {}
-        self.spent = 0
+        self.retry_count = 0
 
     def deposit(self, service: str, node_count: int) -> None:
         """Adds the credit that one request earns."""
@@ -33,7 +33,7 @@
         if credit < 1.0:
             return False
         self.credits[service] = (credit - 1.0, self.clock.now())
-        self.spent += 1
+        self.retry_count += 1
         return True
 
     def _max_credit(self, node_count: int) -> float:
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -259,7 +259,7 @@
         """The client limits of the last known description, parsed again only when the description changes."""
         body = self.view_replica.view.sections["description"][1]
         if self.cached_limits[0] is not body:
-            self.cached_limits = (body, ClientLimits.of(self.view_replica.view.description.limits))
+            self.cached_limits = (body, ClientLimits.from_limits(self.view_replica.view.description.limits))
         return self.cached_limits[1]
 
     def node_count(self) -> int:
@@ -302,7 +302,7 @@
             now_micros = self.clock.now()
             if self.relay.is_active():
                 continue
-            if self.loads.is_changed or (self.loads.own and now_micros - last_sent_micros > USE_REPEAT_MICROS):
+            if self.loads.is_changed or (self.loads.own_loads and now_micros - last_sent_micros > USE_REPEAT_MICROS):
                 last_sent_micros = now_micros
                 self._broadcast_use()
 
@@ -321,7 +321,7 @@
     def _broadcast_use(self) -> None:
         addresses = [r.address for r in self.directory.members("router")]
         if addresses:
-            self.rpc_endpoint.multicast(addresses, "use_note", self.loads.note())
+            self.rpc_endpoint.multicast(addresses, "use_note", self.loads.build_report())
 
     async def _sweep(self) -> None:
         known_addresses: dict[str, str] = {}
--- a/src/pearhead/router/job.py
+++ b/src/pearhead/router/job.py
@@ -46,10 +46,10 @@
 class Placement:
     """The worker chosen for one attempt of a job, and how the prompt's prefix is reused there.
 
-    `salt`: cache salt of the prefix. `keys`: cache keys of the prefix parts. `reused_parts`: leading parts that the
-    worker has cached; `missed_tokens`: tokens that it has to prefill. `fetch_from`: where the worker is to fetch cached
-    parts from, the first `fetch_parts` within `fetch_limit_micros`. `why`: the reason for the choice, for operators.
-    `was_withdrawn`: the attempt was stopped before a byte was sent, and does not count as a retry.
+    `salt`: cache salt of the prefix. `keys`: cache keys of the prefix parts. `cached_part_count`: how many leading
+    parts the worker has cached; `missing_tokens`: tokens that it has to prefill. `fetch_from`: where the worker is to
+    fetch cached parts from, the first `fetch_parts` within `fetch_limit_micros`. `reason`: the reason for the choice,
+    for operators. `was_withdrawn`: the attempt was stopped before a byte was sent, and does not count as a retry.
     """
 
     worker: WorkerRecord
@@ -57,12 +57,12 @@
     weights_revision: int = 0
     salt: str = ""
     keys: list[str] = field(default_factory=list)
-    reused_parts: int = 0
-    missed_tokens: int = 0
+    cached_part_count: int = 0
+    missing_tokens: int = 0
     fetch_from: WorkerRecord | None = None
     fetch_parts: int = 0
     fetch_limit_micros: int = 0
-    why: str = ""
+    reason: str = ""
     was_withdrawn: bool = False
 
 
@@ -86,7 +86,7 @@
     may_have_run: bool = False
     tried_workers: set[str] = field(default_factory=set)
 
-    def left_micros(self, now_micros: int) -> int:
+    def remaining_micros(self, now_micros: int) -> int:
         """Returns the time until the deadline in microseconds; negative after it."""
         return self.deadlineMicros - now_micros
 
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -74,18 +74,18 @@
             )
         if not is_model:
             chosen_worker = min(candidates, key=lambda w: (self.running_counts.get(w.name, 0), w.name))
-            return Ok(Placement(chosen_worker, why="fewest running"))
+            return Ok(Placement(chosen_worker, reason="fewest running"))
         placement = self._place_on_model(view, job, candidates)
-        wait_micros = self.wait_micros(job.entry, placement.worker.name, placement.missed_tokens)
+        wait_micros = self.wait_micros(job.entry, placement.worker.name, placement.missing_tokens)
         # An idle worker is always tried: an estimate that is too high and refused all jobs would never be corrected.
         is_idle = not self.waiting_tokens_of(placement.worker.name) and not self.running_jobs_of(placement.worker.name)
-        if wait_micros > job.left_micros(self.clock.now()) and not is_idle:
+        if wait_micros > job.remaining_micros(self.clock.now()) and not is_idle:
             # Refused before it runs; if it were sent, it would be cut off at its deadline (§8.5).
             return Err(
                 Refusal(
                     ErrorKind.OVERLOADED,
                     "no worker would end it before its deadline",
-                    wait_micros - job.left_micros(self.clock.now()),
+                    wait_micros - job.remaining_micros(self.clock.now()),
                 )
             )
         return Ok(placement)
@@ -110,14 +110,14 @@
         """Whether the service runs a model, so that weights and cached parts matter for placement."""
         return view.role_by_service.get(service) == "model"
 
-    def begin(self, worker: str, missed_tokens: int) -> None:
+    def begin(self, worker: str, missing_tokens: int) -> None:
         """Counts a job sent to a worker, with the prompt tokens that the worker has to prefill for it."""
         self.running_counts[worker] = self.running_counts.get(worker, 0) + 1
-        self.pending_tokens[worker] = self.pending_tokens.get(worker, 0) + missed_tokens
+        self.pending_tokens[worker] = self.pending_tokens.get(worker, 0) + missing_tokens
 
-    def end_prefill(self, worker: str, missed_tokens: int) -> None:
+    def end_prefill(self, worker: str, missing_tokens: int) -> None:
         """Takes a job's prefill, counted by `begin`, off the worker's pending tokens."""
-        remaining_tokens = self.pending_tokens.get(worker, 0) - missed_tokens
+        remaining_tokens = self.pending_tokens.get(worker, 0) - missing_tokens
         if remaining_tokens:
             self.pending_tokens[worker] = remaining_tokens
         else:
@@ -138,11 +138,11 @@
         """Counts a long prefill sent by another node, until the worker's next load report replaces the figure."""
         self.remote_pending_tokens[worker] = self.remote_pending_tokens.get(worker, 0) + tokens
 
-    def wait_micros(self, entry: CapabilityEntry, worker: str, missed_tokens: int) -> int:
+    def wait_micros(self, entry: CapabilityEntry, worker: str, missing_tokens: int) -> int:
         """Estimated time until the job would end: prefills ahead of it, its own prefill, and its stream (§8.5)."""
         prefill_rate = self.costs.prefill_rate(entry.line, worker)
         stream_micros = self.costs.stream_micros(entry.name, worker)
-        return int((self.waiting_tokens_of(worker) + missed_tokens) * prefill_rate + stream_micros)
+        return int((self.waiting_tokens_of(worker) + missing_tokens) * prefill_rate + stream_micros)
 
     def waiting_tokens_of(self, worker: str) -> int:
         """Prompt tokens that the worker has yet to prefill, for jobs of all nodes."""
@@ -247,9 +247,9 @@
         def rank(worker: WorkerRecord) -> tuple[int, int, bytes]:
             name_hash = hashlib.blake2b(f"{hash_subject}/{worker.name}".encode(), digest_size=8).digest()
             if current_keys and self.uses_index:
-                missed_tokens = sum(part_tokens[cached_part_counts[worker.name] :])
+                missing_tokens = sum(part_tokens[cached_part_counts[worker.name] :])
                 return (
-                    self.wait_micros(entry, worker.name, missed_tokens),
+                    self.wait_micros(entry, worker.name, missing_tokens),
                     -cached_part_counts[worker.name],
                     name_hash,
                 )
@@ -269,7 +269,7 @@
             keys,
             cached_part_counts[chosen_worker.name],
             sum(part_tokens[cached_part_counts[chosen_worker.name] :]),
-            why=f"keeps {cached_part_counts[chosen_worker.name]} of {len(parts)} parts",
+            reason=f"keeps {cached_part_counts[chosen_worker.name]} of {len(parts)} parts",
         )
         if chosen_worker in on_current_weights and self.uses_index:
             self._plan_fetch(view, job, placement, on_current_weights)
@@ -307,7 +307,7 @@
         Only current parts of the same owner count, in copies known to be made with the current weights (§8.6).
         """
         assert job.entry is not None
-        best_source, best_count = None, placement.reused_parts
+        best_source, best_count = None, placement.cached_part_count
         for worker in workers:
             if worker.name == placement.worker.name:
                 continue
@@ -321,10 +321,10 @@
                     best_source, best_count = store, cached_part_count
         if best_source is None:
             return
-        tokens = sum(p.tokens for p in job.request.prefix[placement.reused_parts : best_count])
+        tokens = sum(p.tokens for p in job.request.prefix[placement.cached_part_count : best_count])
         fetch_micros = FETCH_OVERHEAD_MICROS + tokens * self.costs.fetch_rate(best_source.name, placement.worker.name)
         prefill_micros = tokens * self.costs.prefill_rate(job.entry.line, placement.worker.name)
         if fetch_micros < prefill_micros:
             placement.fetch_from, placement.fetch_parts = best_source, best_count
             placement.fetch_limit_micros = int(prefill_micros)
-            placement.why += f", fetches to {best_count} from {best_source.name}"
+            placement.reason += f", fetches to {best_count} from {best_source.name}"
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -268,7 +268,7 @@
         view = self.view_replica.view
         return (
             self.view_replica.is_current()
-            and job.left_micros(self.clock.now()) > 0
+            and job.remaining_micros(self.clock.now()) > 0
             and (
                 view is job.view
                 or (
@@ -297,7 +297,7 @@
                 checked = self._check_in_force(job)
                 if isinstance(checked, Err):
                     return checked
-            if job.left_micros(self.clock.now()) <= 0:
+            if job.remaining_micros(self.clock.now()) <= 0:
                 return Err(Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed before it ran"))
             if is_retry and not self.budget.try_withdraw(job.entry.service):
                 return Err(last_refusal)
@@ -333,7 +333,7 @@
             body=job.request.body,
             salt=placement.salt,
             tenant=job.tenant.name,
-            limit_micros=job.left_micros(self.clock.now()),
+            limit_micros=job.remaining_micros(self.clock.now()),
             prefix=[
                 {"tokens": p.tokens, "key": placement.keys[i] if i < len(placement.keys) else ""}
                 for i, p in enumerate(job.request.prefix)
@@ -352,14 +352,14 @@
                 "kind": job.request.kind,
                 "worker": worker.name,
                 "weights": placement.weights_name,
-                "why": placement.why,
+                "why": placement.reason,
                 "try": try_number + 1,
             }
         )
         line_count = 0
         is_prefilling, first_micros = True, 0
-        self.nominator.begin(worker.name, placement.missed_tokens)
-        self.lease_controller.announce_prefill(worker.name, placement.missed_tokens)
+        self.nominator.begin(worker.name, placement.missing_tokens)
+        self.lease_controller.announce_prefill(worker.name, placement.missing_tokens)
         try:
             async with aclosing(
                 self.carrier.send_job(worker.address, upstream_job, lambda: self._may_begin(job, placement))
@@ -367,7 +367,7 @@
                 async for event in events:
                     if is_prefilling:
                         is_prefilling, first_micros = False, self.clock.now()
-                        self.nominator.end_prefill(worker.name, placement.missed_tokens)
+                        self.nominator.end_prefill(worker.name, placement.missing_tokens)
                     if event.get("id") != f"cmpl-{upstream_job.upstream_id}":
                         raise JobTransportError(CUT, "a line of another job")
                     if "usage" in event:
@@ -393,10 +393,10 @@
                 self.nominator.record_failure(worker.name)
                 return Err(Refusal(ErrorKind.NO_WORKER, error.detail))
             job.may_have_run = True
-            if not line_count or job.left_micros(self.clock.now()) > 0:
+            if not line_count or job.remaining_micros(self.clock.now()) > 0:
                 # A worker that sent lines until the deadline is slow, not unhealthy (§7.5).
                 self.nominator.record_failure(worker.name)
-            if job.entry.repeatable and line_count == 0 and job.left_micros(self.clock.now()) > 0:
+            if job.entry.repeatable and line_count == 0 and job.remaining_micros(self.clock.now()) > 0:
                 if try_number + 1 < JOB_ATTEMPT_LIMIT and self._has_retry_budget(job):
                     return Err(Refusal(ErrorKind.NO_WORKER, error.detail))
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, error.detail))
@@ -404,13 +404,13 @@
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, "the caller went away"))
         finally:
             if is_prefilling:
-                self.nominator.end_prefill(worker.name, placement.missed_tokens)
+                self.nominator.end_prefill(worker.name, placement.missing_tokens)
             self.nominator.end(worker.name)
 
     async def _write_line(self, job: Job, writer: LineWriter, line: dict[str, Any]) -> None:
         """Writes a line to the client; one that has not read it by the job's deadline is treated as disconnected."""
         try:
-            async with asyncio.timeout(max(0, job.left_micros(self.clock.now())) / SECOND):
+            async with asyncio.timeout(max(0, job.remaining_micros(self.clock.now())) / SECOND):
                 await writer.write({"job": job.job_id, **line})
         except TimeoutError as error:
             raise ClientDisconnectedError from error
--- a/src/pearhead/router/opaque_request.py
+++ b/src/pearhead/router/opaque_request.py
@@ -57,19 +57,19 @@
 class ForwardingMetadata:
     """What a node tells a worker in addition to the request; empty fields are left out.
 
-    `left_micros` is the time until the deadline, in whole microseconds; `version` that of the requested weights;
-    `salt` the cache salt; `fetch_from` and `save_to` name the source and the target of cached prompt parts;
+    `remaining_micros` is the time until the deadline, in whole microseconds; `version` that of the requested weights;
+    `salt` the cache salt; `fetch_from` and `copy_to` name the source and the target of cached prompt parts;
     `last_event_id` is the event after which a stream is to continue.
     """
 
-    left_micros: int
+    remaining_micros: int
     worker: str
     tenant: str = ""
     urgency: int | None = None
     version: int | None = None
     salt: str = ""
     fetch_from: str = ""
-    save_to: str = ""
+    copy_to: str = ""
     last_event_id: str = ""
 
 
@@ -119,7 +119,7 @@
     def event_version(self, event: bytes) -> int | None:
         """Returns the weights version that a stream event announces, from this event on; None if it announces none."""
 
-    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
+    def format_refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
         """Returns status, headers and body of a refusal; `request` is None if it could not be read."""
 
 
@@ -138,5 +138,5 @@
     def abort(self) -> None:
         """Ends the connection in a way that no client mistakes for a complete response."""
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the caller has closed its connection."""
--- a/src/pearhead/router/prefill_rate.py
+++ b/src/pearhead/router/prefill_rate.py
@@ -22,9 +22,9 @@
 MAX_FACTOR_RISE = 1.1
 
 
-def prefill_read_micros(tokens: int, kept_tokens: int) -> float:
-    """Estimated time to prefill so many tokens after a cached prefix of `kept_tokens`, by the initial values."""
-    return tokens * (MICROS_PER_TOKEN + MICROS_PER_TOKEN_PAIR * (kept_tokens + tokens / 2))
+def estimate_prefill_micros(tokens: int, cached_tokens: int) -> float:
+    """Estimated time to prefill so many tokens after a cached prefix of `cached_tokens`, by the initial values."""
+    return tokens * (MICROS_PER_TOKEN + MICROS_PER_TOKEN_PAIR * (cached_tokens + tokens / 2))
 
 
 @dataclass
@@ -46,7 +46,7 @@
 
 
 class PrefillRates:
-    """Factors by which `prefill_read_micros` is scaled, by service.
+    """Factors by which `estimate_prefill_micros` is scaled, by service.
 
     The shortest of several prefills did not wait for another one, so it shows how fast the engine is; a mean would
     show how busy it is.
@@ -61,8 +61,8 @@
         service_rate = self.service_rates.get(service)
         return 1.0 if service_rate is None else service_rate.factor
 
-    def record_read(self, service: str, tokens: int, kept_tokens: int, seen_micros: int) -> None:
-        """Records a prefill of so many tokens after a cached prefix of `kept_tokens`.
+    def record_prefill(self, service: str, tokens: int, cached_tokens: int, seen_micros: int) -> None:
+        """Records a prefill of so many tokens after a cached prefix of `cached_tokens`.
 
         `seen_micros` is the time from sending the request to its first event. Short prefills are ignored.
         """
@@ -76,7 +76,7 @@
                 _HalfWindow(),
                 now_micros,
             )
-        ratio = max(seen_micros - FIRST_EVENT_MICROS, 0) / prefill_read_micros(tokens, kept_tokens)
+        ratio = max(seen_micros - FIRST_EVENT_MICROS, 0) / estimate_prefill_micros(tokens, cached_tokens)
         service_rate.current.least_ratio = min(service_rate.current.least_ratio, ratio)
         service_rate.current.count += 1
         if service_rate.previous.count + service_rate.current.count >= MIN_PREFILL_SAMPLES:
--- a/src/pearhead/router/prefill_tracker.py
+++ b/src/pearhead/router/prefill_tracker.py
@@ -24,14 +24,14 @@
         self.key = key
         self.note = note
         self.until_micros = until_micros
-        self.is_over = asyncio.Event()
+        self.ended = asyncio.Event()
 
     def end(self, is_kept: bool) -> None:
         """Ends the prefill and tells the other nodes; later calls do nothing.
 
         `is_kept`: the first event has come, so the parts are cached. Otherwise another request has to prefill them.
         """
-        if not self.is_over.is_set():
+        if not self.ended.is_set():
             self.note.is_over, self.note.is_kept = True, is_kept
             self.tracker.close(self)
             self.tracker.broadcast(self.note)
@@ -89,7 +89,7 @@
             del self.prefills[prefill.key]
         if prefill.note.is_kept:
             self.expect_cached(prefill.note.worker, prefill.note.salt, prefill.note.part)
-        prefill.is_over.set()
+        prefill.ended.set()
 
     async def wait_for(self, choice: WorkerChoice, request: OpaqueRequest, limit_micros: int) -> bool:
         """Waits for the end of a prefill of the same parts, within limits.
@@ -104,7 +104,7 @@
         if timeout_micros <= 0:
             return False
         try:
-            await asyncio.wait_for(prefill.is_over.wait(), timeout_micros / SECOND)
+            await asyncio.wait_for(prefill.ended.wait(), timeout_micros / SECOND)
         except TimeoutError:
             pass
         return True
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -109,7 +109,7 @@
         for record in self.directory.members("router"):
             by_zone.setdefault(record.area, []).append(record)
         own_relay = self._relay_of(self.zone, by_zone.get(self.zone, []))
-        self.own_announced_use = self.loads.note()
+        self.own_announced_use = self.loads.build_report()
         if own_relay is not None:
             self._broadcast(
                 [own_relay.address],
--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -134,7 +134,7 @@
     def __init__(
         self,
         clock: Clock,
-        current: ViewProvider,
+        view_provider: ViewProvider,
         selector: WorkerSelector,
         loads: WorkerLoadTracker,
         pool: UpstreamPool,
@@ -149,7 +149,7 @@
         trusts_keys: Callable[[], bool] = lambda: True,
     ) -> None:
         self.clock = clock
-        self.current = current
+        self.view_provider = view_provider
         self.selector = selector
         self.loads = loads
         self.pool = pool
@@ -197,7 +197,7 @@
         self.budget.deposit(resolved.route.splits[0].service, self.node_count())
         last_refusal = Refusal(ErrorKind.NO_WORKER, "no worker took it", in_flight_request.retry_micros)
         while not in_flight_request.is_done:
-            if writer.is_gone():
+            if writer.is_disconnected():
                 return self._count("caller_gone")
             remaining_micros = in_flight_request.deadline_micros - self.clock.now()
             if remaining_micros <= 0:
@@ -232,7 +232,7 @@
         if not 0 < request.wait_micros < CALLER_RETRY_DIVISOR * STALE_VIEW_RETRY_MICROS:
             return
         end_micros = self.clock.now() + min(request.wait_micros // STARTUP_HOLD_DIVISOR, MAX_STARTUP_HOLD_MICROS)
-        while not self._is_outcome_known(request) and self.clock.now() < end_micros and not writer.is_gone():
+        while not self._is_outcome_known(request) and self.clock.now() < end_micros and not writer.is_disconnected():
             await sleep_for(self.clock, STARTUP_HOLD_POLL_MICROS)
 
     def _is_outcome_known(self, request: OpaqueRequest) -> bool:
@@ -248,7 +248,7 @@
     def _resolve_route(self, request: OpaqueRequest) -> Result[ResolvedRoute, Refusal]:
         if not self.drain.may_accept():
             return Err(Refusal(ErrorKind.DRAINING, DRAINING_DETAIL))
-        view = self.current.view()
+        view = self.view_provider.view()
         if view is None:
             retry_after_micros = STALE_VIEW_RETRY_MICROS + _retry_jitter(
                 request.request_id, STALE_VIEW_RETRY_JITTER_MICROS
@@ -306,7 +306,7 @@
         held_tokens = request.prompt_tokens() + request.output_tokens
         reservation = _LoadReservation(self.loads, worker, choice.missing_tokens, held_tokens)
         try:
-            if in_flight_request.writer.is_gone():
+            if in_flight_request.writer.is_disconnected():
                 # `asyncio.wait_for` can lose a cancellation that arrives just as the connection is established.
                 return Refusal(ErrorKind.NO_WORKER, "the caller is gone")
             resolution = self._resolve_route(request)
@@ -319,14 +319,14 @@
                 return Refusal(ErrorKind.NO_WORKER, "what was placed does not stand", DEFAULT_RETRY_AFTER_MICROS)
             tenant = resolution.ok_value.tenant
             metadata = ForwardingMetadata(
-                left_micros=in_flight_request.deadline_micros - self.clock.now(),
+                remaining_micros=in_flight_request.deadline_micros - self.clock.now(),
                 worker=worker,
                 tenant=tenant.name if tenant is not None else "",
                 urgency=_urgency(resolved.route, tenant),
                 version=choice.version,
                 salt=choice.salt,
                 fetch_from=choice.fetch_from,
-                save_to=choice.save_to,
+                copy_to=choice.copy_to,
                 last_event_id=in_flight_request.splitter.last_id,
             )
             headers = self.adapter.outgoing_headers(request, metadata)
@@ -409,7 +409,7 @@
         # The version that the worker reports takes precedence over the requested one.
         in_flight_request.splitter.begin_run(choice.version if head.version is None else head.version)
         async for chunk in call.chunks(lambda: in_flight_request.deadline_micros - self.clock.now()):
-            if writer.is_gone():
+            if writer.is_disconnected():
                 in_flight_request.is_done = True
                 self._count("caller_gone")
                 return Refusal(ErrorKind.OUTCOME_UNKNOWN)
@@ -442,9 +442,11 @@
 
     def _record_prefill_time(self, choice: WorkerChoice, elapsed_micros: int) -> None:
         """Records the time from sending the request to the worker's first event."""
-        self.loads.learn_slowdown(choice.backend.name, choice.missing_tokens, choice.expected_micros, elapsed_micros)
+        self.loads.learn_slowdown(choice.backend.name, choice.missing_tokens, choice.estimated_micros, elapsed_micros)
         if not choice.fetch_from:
-            self.loads.read_rates.record_read(choice.service, choice.missing_tokens, choice.kept_tokens, elapsed_micros)
+            self.loads.prefill_rates.record_prefill(
+                choice.service, choice.missing_tokens, choice.cached_tokens, elapsed_micros
+            )
 
     async def _forward_buffered(
         self, in_flight_request: InFlightRequest, head: ResponseHead, call: UpstreamCall, worker: str
@@ -542,9 +544,9 @@
 
     def _refuse(self, in_flight_request: InFlightRequest, refusal: Refusal) -> None:
         self._count(refusal.kind.value)
-        if in_flight_request.writer.is_gone():
+        if in_flight_request.writer.is_disconnected():
             return
-        status, headers, body = self.adapter.refusal(in_flight_request.request, refusal)
+        status, headers, body = self.adapter.format_refusal(in_flight_request.request, refusal)
         headers["Content-Length"] = str(len(body))
         in_flight_request.is_done = True
         in_flight_request.writer.begin(status, "", headers)
--- a/src/pearhead/router/stats_log.py
+++ b/src/pearhead/router/stats_log.py
@@ -24,14 +24,14 @@
 class ConnectionCounters(Protocol):
     """Upstream connections opened, and requests sent on a reused one."""
 
-    opened: int
-    reused: int
+    opened_count: int
+    reused_count: int
 
 
 class RetryCounters(Protocol):
     """Retries withdrawn from the retry budget."""
 
-    spent: int
+    retry_count: int
 
 
 def processor_micros() -> int:
@@ -83,9 +83,9 @@
 
     def _counts(self) -> dict[str, int]:
         counts = {
-            "retries": self.budget.spent,
-            "opened": self.pool.opened,
-            "reused": self.pool.reused,
+            "retries": self.budget.retry_count,
+            "opened": self.pool.opened_count,
+            "reused": self.pool.reused_count,
             "processor_ms": self.processor() // MILLI,
         }
         counts.update({f"ended_{name}": count for name, count in sorted(self.gate.outcomes.items())})
--- a/src/pearhead/router/upstream_pool.py
+++ b/src/pearhead/router/upstream_pool.py
@@ -63,7 +63,7 @@
         self.chunks: deque[bytes] = deque()
         self.wake = asyncio.Event()
         self.is_whole = False
-        self.is_over = False
+        self.has_ended = False
         self.is_framed = False
 
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
@@ -86,7 +86,7 @@
         self.end()
 
     def end(self) -> None:
-        self.is_over = True
+        self.has_ended = True
         if not self.head.done():
             self.head.set_result(None)
         self.wake.set()
@@ -148,7 +148,7 @@
         while True:
             while delegate.chunks:
                 yield delegate.chunks.popleft()
-            if delegate.is_over or delegate.is_whole:
+            if delegate.has_ended or delegate.is_whole:
                 return
             delegate.wake.clear()
             await asyncio.wait_for(delegate.wake.wait(), max(limit(), 0) / SECOND)
@@ -198,14 +198,14 @@
         self.idle: dict[str, deque[_IdleConnection]] = {}
         self.open: dict[str, set[IOStream]] = {}
         self.early_close_bounds: dict[str, tuple[int, int]] = {}
-        self.opened = 0
-        self.reused = 0
+        self.opened_count = 0
+        self.reused_count = 0
 
     async def call(self, address: str, limits: CallLimits) -> Result[UpstreamCall, str]:
         """Returns a call on a kept connection without unread data, or on a new one. On an error, nothing was sent."""
         kept = self._take_idle(address, limits)
         if kept is not None:
-            self.reused += 1
+            self.reused_count += 1
             return Ok(UpstreamCall(self, address, kept.stream, limits, kept))
         if not self._can_open(address, limits):
             return Err(POOL_EXHAUSTED)
@@ -224,7 +224,7 @@
         except BaseException:
             stream.close()
             raise
-        self.opened += 1
+        self.opened_count += 1
         return Ok(UpstreamCall(self, address, stream, limits))
 
     def _take_idle(self, address: str, limits: CallLimits) -> _IdleConnection | None:
--- a/src/pearhead/router/worker_load_tracker.py
+++ b/src/pearhead/router/worker_load_tracker.py
@@ -34,19 +34,19 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.own: dict[str, WorkerLoad] = {}
+        self.own_loads: dict[str, WorkerLoad] = {}
         self.reports: dict[str, tuple[int, int, dict[str, WorkerUse]]] = {}
         self.backoff_until: dict[str, int] = {}
         self.consecutive_failures: dict[str, int] = {}
         self.slowdowns: dict[str, float] = {}
-        self.read_rates = PrefillRates(clock)
+        self.prefill_rates = PrefillRates(clock)
         self.totals: dict[str, WorkerLoad] = {}
         self.totals_until = 0
         self.is_changed = False
 
     def begin(self, worker: str, waiting_tokens: int, held_tokens: int) -> None:
         """Counts a request sent to a worker."""
-        load = self.own.setdefault(worker, WorkerLoad())
+        load = self.own_loads.setdefault(worker, WorkerLoad())
         load.running += 1
         load.waiting_tokens += waiting_tokens
         load.held_tokens += held_tokens
@@ -54,20 +54,20 @@
 
     def record_first_event(self, worker: str, waiting_tokens: int) -> None:
         """Takes off a request's waiting tokens, as its prefill is done."""
-        self.own[worker].waiting_tokens -= waiting_tokens
+        self.own_loads[worker].waiting_tokens -= waiting_tokens
         self._apply_change(worker, 0, -waiting_tokens, 0)
 
     def end(self, worker: str, waiting_tokens: int, held_tokens: int) -> None:
         """Takes off a request; `waiting_tokens` are those that `record_first_event` has not taken off."""
-        load = self.own[worker]
+        load = self.own_loads[worker]
         load.running -= 1
         load.waiting_tokens -= waiting_tokens
         load.held_tokens -= held_tokens
         if not load.running:
-            del self.own[worker]
+            del self.own_loads[worker]
         self._apply_change(worker, -1, -waiting_tokens, -held_tokens)
 
-    def note(self) -> UseNote:
+    def build_report(self) -> UseNote:
         """This node's own load, to be sent to the other nodes; clears `is_changed`."""
         self.is_changed = False
         return UseNote(
@@ -76,7 +76,7 @@
                 WorkerUse(
                     worker=worker, running=use.running, waiting_tokens=use.waiting_tokens, held_tokens=use.held_tokens
                 )
-                for worker, use in self.own.items()
+                for worker, use in self.own_loads.items()
             ],
         )
 
@@ -100,7 +100,7 @@
 
     def own_running(self) -> int:
         """Requests of this node that are at any worker."""
-        return sum(use.running for use in self.own.values())
+        return sum(use.running for use in self.own_loads.values())
 
     # ---- health and speed, judged by the outcome of requests -----------------------------------
 
@@ -119,14 +119,14 @@
         """Whether a recent failure keeps requests from the worker."""
         return self.backoff_until.get(worker, 0) > self.clock.now()
 
-    def learn_slowdown(self, worker: str, read_tokens: int, expected_micros: int, seen_micros: int) -> None:
+    def learn_slowdown(self, worker: str, prefill_tokens: int, estimated_micros: int, seen_micros: int) -> None:
         """Averages how much longer than estimated a worker's first events take, within bounds.
 
         Requests with few tokens to prefill are ignored: they overtake the requests that wait.
         """
-        if read_tokens < MIN_SLOWDOWN_SAMPLE_TOKENS:
+        if prefill_tokens < MIN_SLOWDOWN_SAMPLE_TOKENS:
             return
-        ratio = min(max(seen_micros / max(expected_micros, 5 * MILLI), MIN_SLOWDOWN), MAX_SLOWDOWN)
+        ratio = min(max(seen_micros / max(estimated_micros, 5 * MILLI), MIN_SLOWDOWN), MAX_SLOWDOWN)
         self.slowdowns[worker] = self.slowdown_of(worker) * (1 - SLOWDOWN_EWMA_WEIGHT) + ratio * SLOWDOWN_EWMA_WEIGHT
 
     def slowdown_of(self, worker: str) -> float:
@@ -144,7 +144,8 @@
         now_micros = self.clock.now()
         self.reports = {reporter: report for reporter, report in self.reports.items() if report[1] > now_micros}
         self.totals = {
-            worker: WorkerLoad(use.running, use.waiting_tokens, use.held_tokens) for worker, use in self.own.items()
+            worker: WorkerLoad(use.running, use.waiting_tokens, use.held_tokens)
+            for worker, use in self.own_loads.items()
         }
         for _, _, reported_uses in self.reports.values():
             for worker, use in reported_uses.items():
--- a/src/pearhead/router/worker_selector.py
+++ b/src/pearhead/router/worker_selector.py
@@ -13,7 +13,7 @@
 from pearhead.router.cache_salt_builder import CacheSalt, CacheSaltBuilder
 from pearhead.router.errors import ErrorKind, Refusal
 from pearhead.router.opaque_request import OpaqueRequest
-from pearhead.router.prefill_rate import FIRST_EVENT_MICROS, MICROS_PER_TOKEN, prefill_read_micros
+from pearhead.router.prefill_rate import FIRST_EVENT_MICROS, MICROS_PER_TOKEN, estimate_prefill_micros
 from pearhead.router.prefix_cache_index import PrefixCacheIndex
 from pearhead.router.roster_merge import Roster
 from pearhead.router.worker_control import Backend
@@ -51,8 +51,8 @@
 class WorkerChoice:
     """The worker chosen for a request, and how the request uses cached parts there.
 
-    `missing_tokens` are prefilled by the worker. `kept_tokens` include what it fetches from the address `fetch_from`.
-    `save_to` is the address of a store that should get a copy of the shared parts. `expected_micros` is the estimated
+    `missing_tokens` are prefilled by the worker. `cached_tokens` include what it fetches from the address `fetch_from`.
+    `copy_to` is the address of a store that should get a copy of the shared parts. `estimated_micros` is the estimated
     time to the first event, before it is scaled by the worker's slowdown factor.
     """
 
@@ -61,11 +61,11 @@
     line: str
     version: int | None
     salt: str
-    kept_tokens: int
+    cached_tokens: int
     missing_tokens: int
     fetch_from: str
-    save_to: str
-    expected_micros: int
+    copy_to: str
+    estimated_micros: int
 
 
 class WorkerSelector:
@@ -261,9 +261,9 @@
         load = self.loads.current_load(backend.name)
         slowdown = self.loads.slowdown_of(backend.name)
         prefill_tokens = missing_tokens - fetched_tokens
-        rate_factor = self.loads.read_rates.factor(service.name)
+        rate_factor = self.loads.prefill_rates.factor(service.name)
         request_micros = (
-            rate_factor * prefill_read_micros(prefill_tokens, cached_tokens + fetched_tokens)
+            rate_factor * estimate_prefill_micros(prefill_tokens, cached_tokens + fetched_tokens)
             + fetch_micros
             + FIRST_EVENT_MICROS
         )
@@ -285,7 +285,7 @@
             placement_penalty_micros += (
                 rate_factor * min(home_worker_rank, 3) * AFFINITY_COST_FRACTION * shared_tokens * MICROS_PER_TOKEN / 3
             )
-        save_to = self._store_for(view, salt.text, request, cached_tokens) if salt.is_fresh else ""
+        copy_to = self._store_for(view, salt.text, request, cached_tokens) if salt.is_fresh else ""
         return estimated_micros * slowdown + placement_penalty_micros, WorkerChoice(
             backend,
             service.name,
@@ -295,7 +295,7 @@
             cached_tokens + fetched_tokens,
             prefill_tokens,
             fetch_from,
-            save_to,
+            copy_to,
             int(estimated_micros),
         )
 
@@ -309,7 +309,7 @@
         if request.prompt_tokens() < LONG_TOKENS:
             return frozenset(), 0.0
         waiting_tokens = sum(self.loads.current_load(backend.name).waiting_tokens for backend in candidates)
-        rate_factor = self.loads.read_rates.factor(service.name)
+        rate_factor = self.loads.prefill_rates.factor(service.name)
         excess_micros = rate_factor * waiting_tokens * MICROS_PER_TOKEN / len(candidates) - RESERVATION_BACKLOG_MICROS
         if excess_micros <= 0:
             return frozenset(), 0.0
@@ -378,9 +378,10 @@
                 continue
             transfer_micros = extra_tokens * service.token_bytes * 8 / min(link_mbps, service.link_mbps or link_mbps)
             transfer_micros = transfer_micros * (1 if zone == backend.zone else 2) + FETCH_OVERHEAD_MICROS
-            rate_factor = self.loads.read_rates.factor(service.name)
+            rate_factor = self.loads.prefill_rates.factor(service.name)
             saved_micros = (
-                RECOMPUTE_COST_WEIGHT * rate_factor * prefill_read_micros(extra_tokens, cached_tokens) - transfer_micros
+                RECOMPUTE_COST_WEIGHT * rate_factor * estimate_prefill_micros(extra_tokens, cached_tokens)
+                - transfer_micros
             )
             if saved_micros > best_saved_micros:
                 best, best_saved_micros = (address, extra_tokens, transfer_micros), saved_micros
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -73,12 +73,12 @@
 class PlainReader:
     """A RequestParser that accepts any request."""
 
-    def read(
+    def parse_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes, arrived_micros: int
     ) -> Result[OpaqueRequest, Refusal]:
         return Ok(OpaqueRequest("", method, target, "h", target, headers, body, arrived_micros, "", 0, "", ()))
 
-    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
+    def format_refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
         return ERROR_TABLE[refusal.kind].status, HTTPHeaders(), refusal.detail.encode()
 
 
@@ -332,7 +332,7 @@
         self.assertEqual(gateway.client_limits(), ClientLimits(), "limits removed from the description")
 
     def test_a_limit_that_is_not_told_keeps_its_default(self) -> None:
-        self.assertEqual(ClientLimits.of(Limits()), ClientLimits())
-        self.assertEqual(ClientLimits.of(Limits(header_micros=-1)), ClientLimits())
+        self.assertEqual(ClientLimits.from_limits(Limits()), ClientLimits())
+        self.assertEqual(ClientLimits.from_limits(Limits(header_micros=-1)), ClientLimits())
         limits = Limits(header_bytes=1, body_bytes=2, header_micros=3, idle_micros=4)
-        self.assertEqual(ClientLimits.of(limits), ClientLimits(1, 2, 3, 4))
+        self.assertEqual(ClientLimits.from_limits(limits), ClientLimits(1, 2, 3, 4))
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -138,7 +138,7 @@
     def event_version(self, event: bytes) -> int | None:
         return None
 
-    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
+    def format_refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
         return ERROR_TABLE[refusal.kind].status, HTTPHeaders(), b"{}"
 
 
@@ -146,9 +146,9 @@
     def __init__(self) -> None:
         self.refusals: list[Refusal] = []
 
-    def refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
+    def format_refusal(self, request: OpaqueRequest | None, refusal: Refusal) -> tuple[int, HTTPHeaders, bytes]:
         self.refusals.append(refusal)
-        return super().refusal(request, refusal)
+        return super().format_refusal(request, refusal)
 
 
 class FakePen:
@@ -171,7 +171,7 @@
     def abort(self) -> None:
         self.end = "cut"
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return False
 
 
@@ -238,7 +238,7 @@
             "id", "POST", path, "h", path, HTTPHeaders(), b"", runtime.now(), hash_key(key), parts=parts
         )
         await self.proxy.serve(request, self.writer)
-        self.assertEqual(self.loads.own, {}, "the load was not released")
+        self.assertEqual(self.loads.own_loads, {}, "the load was not released")
         self.assertTrue(all(call.is_closed for call in self.pool.used))
         return self.writer
 
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -32,7 +32,7 @@
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
-    return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
+    return PlatformDialect().parse_request("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
 class DialectTest(unittest.TestCase):
@@ -43,14 +43,14 @@
         """MIXED: a failure with a worker's seal has the status that this worker gave; our own have no seal."""
         for kind in ErrorKind:
             for request in (None, read({**SENT, SEAL: "3e1b.07.5a2.600.0.c9f2a4d1"})):
-                status, headers, body = PlatformDialect().refusal(request, Refusal(kind))
+                status, headers, body = PlatformDialect().format_refusal(request, Refusal(kind))
                 self.assertEqual(status, ERROR_TABLE[kind].status)
                 self.assertNotIn(SEAL, headers, kind)
                 self.assertGreaterEqual(status, 400, kind)
 
     def test_who_is_asked_to_come_back_is_told_when_and_by_which_request(self) -> None:
         for kind in ErrorKind:
-            status, headers, _ = PlatformDialect().refusal(read(SENT), Refusal(kind, "", 250 * MILLI))
+            status, headers, _ = PlatformDialect().format_refusal(read(SENT), Refusal(kind, "", 250 * MILLI))
             self.assertEqual(headers["X-Request-Id"], "r1")
             self.assertEqual(headers.get("Retry-After"), "0.250" if status in (408, 429, 503) else None, kind)
 
@@ -134,7 +134,7 @@
     async def test_no_request_is_held_past_its_routes_deadline_nor_its_callers(self) -> None:
         for wait_micros, held_micros in ((0, 4 * SECOND), (9 * SECOND, 4 * SECOND), (SECOND, SECOND)):
             waited_micros, metadata = await self.send(wait_micros)
-            self.assertEqual((waited_micros, metadata.left_micros), (held_micros, held_micros))
+            self.assertEqual((waited_micros, metadata.remaining_micros), (held_micros, held_micros))
 
     async def test_a_tenants_rank_goes_before_its_routes(self) -> None:
         ranks = [(t, r, (await self.send(0, t, r))[1].urgency or 0) for t in range(4) for r in (0, 1)]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -119,8 +119,8 @@
 class StatsLogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.gate = SimpleNamespace(outcomes={"done": 5}, open_count=lambda: 2)
-        self.pool = SimpleNamespace(opened=3, reused=40)
-        self.budget = SimpleNamespace(spent=1)
+        self.pool = SimpleNamespace(opened_count=3, reused_count=40)
+        self.budget = SimpleNamespace(retry_count=1)
         self.processor = 7_000
 
     def build(self, clock: Any, every_micros: int) -> StatsLog:
@@ -130,7 +130,7 @@
         stats_log = self.build(None, 0)
         self.assertEqual(stats_log.format_counts(), "retries=1 opened=3 reused=40 processor_ms=7 ended_done=5")
         self.gate.outcomes.update(done=9, no_worker=1)
-        self.pool.reused, self.processor = 44, 9_500
+        self.pool.reused_count, self.processor = 44, 9_500
         self.assertEqual(
             stats_log.format_counts(), "retries=0 opened=0 reused=4 processor_ms=2 ended_done=4 ended_no_worker=1"
         )
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -212,7 +212,7 @@
             ended = await asyncio.wait_for(worker.ended, PATIENCE_SECONDS)
             self.assertEqual(len(worker.heads), 1)
             self.assertLess(ended - closed, ALLOWED_SECONDS, behavior.__name__)
-            self.assertEqual(self.proxy.loads.own, {}, "its load was not released")
+            self.assertEqual(self.proxy.loads.own_loads, {}, "its load was not released")
             worker.server.close()
 
     async def test_a_connection_to_a_worker_that_is_on_its_way_is_given_up(self) -> None:
@@ -229,10 +229,10 @@
     async def test_one_that_waits_at_a_node_that_knows_nothing_yet_reaches_no_worker(self) -> None:
         worker = Worker(stay_silent)
         self.proxy = make_proxy(await worker.open(), False, 60 * SECOND)
-        known, self.proxy.current = self.proxy.current, FakeCurrent(None)
-        self.manager.reader = ImpatientReader()
+        known, self.proxy.view_provider = self.proxy.view_provider, FakeCurrent(None)
+        self.manager.request_parser = ImpatientReader()
         await self.close_after(0.1)
-        self.proxy.current = known
+        self.proxy.view_provider = known
         await asyncio.sleep(ALLOWED_SECONDS)
         self.assertEqual((worker.heads, len(self.ends)), ([], 1))
         worker.server.close()
@@ -241,7 +241,7 @@
 class ImpatientReader(PlainReader):
     """Its clients wait less time than a node needs to learn what is in force."""
 
-    def read(
+    def parse_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes, arrived_micros: int
     ) -> Result[OpaqueRequest, Refusal]:
         return Ok(
@@ -450,7 +450,7 @@
 class ClosingResponseWriter(FakePen):
     is_closed = False
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return self.is_closed
 
 
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -36,7 +36,7 @@
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
-    return PlatformDialect().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
+    return PlatformDialect().parse_request("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
 def outgoing(headers: dict[str, str], metadata: ForwardingMetadata = METADATA) -> HTTPHeaders:
@@ -74,7 +74,7 @@
 
     def test_no_deadline_of_a_client_is_an_exception_or_counts_as_none(self) -> None:
         for text in ("inf", "-inf", "nan", "1e400", "soon"):
-            result = PlatformDialect().read("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
+            result = PlatformDialect().parse_request("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
             self.assertTrue(result.is_err(), text)
             self.assertIs(result.unwrap_err().kind, ErrorKind.MALFORMED, text)
         for text in ("0", "0.0001", "-5"):
@@ -219,7 +219,7 @@
         self.note: Callable[[int], None] = lambda left_micros: None
 
     def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
-        self.note(metadata.left_micros)
+        self.note(metadata.remaining_micros)
         return super().outgoing_headers(request, metadata)
 
 
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -11,7 +11,7 @@
 from pearhead.config.view import View
 from pearhead.router.cache_salt_builder import CacheSalt
 from pearhead.router.opaque_request import OpaqueRequest, PromptPart
-from pearhead.router.prefill_rate import FIRST_EVENT_MICROS, prefill_read_micros
+from pearhead.router.prefill_rate import FIRST_EVENT_MICROS, estimate_prefill_micros
 from pearhead.router.prefix_cache_index import PrefixCacheIndex
 from pearhead.router.roster_merge import Roster
 from pearhead.router.worker_control import Backend
@@ -177,19 +177,19 @@
         for _ in range(4):
             homes.add(home := self.choose(9_000, 500, name="c").backend.name)
             self.loads.begin(home, 90_000, 90_000)
-        self.loads.own.clear()
+        self.loads.own_loads.clear()
         self.loads.totals_until = 0
         holder = min(set(self.backends) - homes)
         self.report_cached(holder, 9_000, name="c")
         self.assertEqual(self.choose(9_000, 500, name="c").backend.name, holder)
 
     def test_what_was_seen_of_an_engine_scales_all_that_is_reckoned_of_it(self) -> None:
-        expected_micros = self.choose(9_000, 500).expected_micros
+        expected_micros = self.choose(9_000, 500).estimated_micros
         for _ in range(4):
-            self.loads.read_rates.record_read(
-                "s", 9_500, 0, round(0.25 * prefill_read_micros(9_500, 0)) + FIRST_EVENT_MICROS
+            self.loads.prefill_rates.record_prefill(
+                "s", 9_500, 0, round(0.25 * estimate_prefill_micros(9_500, 0)) + FIRST_EVENT_MICROS
             )
-        self.assertAlmostEqual(self.choose(9_000, 500).expected_micros, expected_micros / 4, delta=12 * MILLI)
+        self.assertAlmostEqual(self.choose(9_000, 500).estimated_micros, expected_micros / 4, delta=12 * MILLI)
         for name in self.backends:
             self.loads.begin(name, 20_000, 20_000)
         chosen = {self.choose(9_000, 500, name=f"m{n}-").backend.name for n in range(200)}
@@ -197,10 +197,10 @@
 
     def test_the_reckoning_does_not_hold_the_pace_that_it_teaches(self) -> None:
         choice = self.choose(9_000, 500)
-        self.assertAlmostEqual(choice.expected_micros, prefill_read_micros(9_500, 0) + 12 * MILLI, delta=MILLI)
+        self.assertAlmostEqual(choice.estimated_micros, estimate_prefill_micros(9_500, 0) + 12 * MILLI, delta=MILLI)
         for name in self.backends:
             for _ in range(100):
-                self.loads.learn_slowdown(name, 9_500, choice.expected_micros, 2 * choice.expected_micros)
+                self.loads.learn_slowdown(name, 9_500, choice.estimated_micros, 2 * choice.estimated_micros)
             self.assertAlmostEqual(self.loads.slowdown_of(name), 2.0, places=2)
         self.runtime.now_micros += 10 * SECOND
-        self.assertEqual(self.choose(9_000, 500).expected_micros, choice.expected_micros)
+        self.assertEqual(self.choose(9_000, 500).estimated_micros, choice.estimated_micros)
--- a/tests/test_purge_on_the_way.py
+++ b/tests/test_purge_on_the_way.py
@@ -125,7 +125,7 @@
                 self.runtime.now() + 9 * SECOND,
                 expected_version=choice.version or 0,
                 source=choice.fetch_from,
-                target=choice.save_to,
+                target=choice.copy_to,
             ),
         )
         self._advance(engine)
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -9,7 +9,7 @@
     HALF_WINDOW_MICROS,
     MIN_PREFILL_SAMPLES,
     PrefillRates,
-    prefill_read_micros,
+    estimate_prefill_micros,
 )
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
@@ -24,8 +24,8 @@
 
     def record_prefills(self, factor: float, waited_micros: int = 0, count: int = 1, tokens: int = TOKENS) -> None:
         for _ in range(count):
-            seen_micros = FIRST_EVENT_MICROS + round(factor * prefill_read_micros(tokens, 0)) + waited_micros
-            self.rates.record_read("s", tokens, 0, seen_micros)
+            seen_micros = FIRST_EVENT_MICROS + round(factor * estimate_prefill_micros(tokens, 0)) + waited_micros
+            self.rates.record_prefill("s", tokens, 0, seen_micros)
 
     def test_the_starting_values_count_until_enough_was_seen(self) -> None:
         self.record_prefills(0.4, count=MIN_PREFILL_SAMPLES - 1)
@@ -54,7 +54,7 @@
         self.assertAlmostEqual(self.rates.factor("s"), 0.4, places=3)
 
     def test_no_figure_leads_out_of_its_bounds(self) -> None:
-        self.rates.record_read("s", TOKENS, 0, 0)
+        self.rates.record_prefill("s", TOKENS, 0, 0)
         self.record_prefills(0.0, count=MIN_PREFILL_SAMPLES)
         self.assertEqual(self.rates.factor("s"), 0.05)
         for _ in range(200):
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -157,7 +157,7 @@
     def abort(self) -> None:
         self.end = "cut"
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return False
 
 
@@ -293,7 +293,7 @@
 
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
         """Statuses that promise that the request did not run, and a success, count only with the id of this request."""
-        request = PlatformDialect().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
+        request = PlatformDialect().parse_request("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
         metadata = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
             headers = HTTPHeaders({"X-Request-Id": "one", **more})
@@ -353,7 +353,7 @@
                     response = await fixture.ask("one", body, deadline_micros=300 * MILLI)
                     self.assertEqual((response.status, response.end), (502, "whole"), step)
                     self.assertEqual(fixture.seen(), [*before, "one"], step)
-                    self.assertEqual(fixture.budget.spent, 0)
+                    self.assertEqual(fixture.budget.retry_count, 0)
 
     async def test_a_port_that_is_dead_took_no_byte_so_another_worker_gets_it(self) -> None:
         async with NodeFixture(Worker(), Worker()) as fixture:
@@ -393,7 +393,7 @@
             await fixture.ask("one")
             fixture.runtime.now_micros += 3 * SECOND
             self.assertEqual(response_summary(await fixture.ask("two")), (200, "whole", b"for two"))
-            self.assertEqual((fixture.workers[0].connections, fixture.pool.reused), (2, 0))
+            self.assertEqual((fixture.workers[0].connections, fixture.pool.reused_count), (2, 0))
 
     async def test_one_that_rested_little_or_that_may_be_lost_is_used(self) -> None:
         for rested_micros, fields in ((1_900 * MILLI, {}), (3 * SECOND, REPEATABLE)):
@@ -401,7 +401,7 @@
                 await fixture.ask("one")
                 fixture.runtime.now_micros += rested_micros
                 self.assertEqual((await fixture.ask("two", **fields)).status, 200)
-                self.assertEqual((fixture.workers[0].connections, fixture.pool.reused), (1, 1))
+                self.assertEqual((fixture.workers[0].connections, fixture.pool.reused_count), (1, 1))
 
     async def test_a_worker_that_forgot_one_costs_one_and_no_more_for_a_while(self) -> None:
         async with NodeFixture(Worker(drops_idle=True)) as fixture:
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -68,7 +68,7 @@
 
     def test_the_keeper_is_chosen_until_its_wait_outgrows_the_prefill(self) -> None:
         self.report_cached("w2")
-        self.assertEqual((self.place().worker.name, self.place().reused_parts), ("w2", 2))
+        self.assertEqual((self.place().worker.name, self.place().cached_part_count), ("w2", 2))
         self.scheduler.record_load_report("w2", 0, 1_400)
         self.assertEqual(self.place().worker.name, "w2")
         self.scheduler.record_load_report("w2", 0, 1_600)
@@ -92,12 +92,12 @@
         self.listener.revision_of("tenant:other", "l", 1)
         self.listener.volumes["tenant:other", "l"].expiry_micros = 2**60
         placement = self.place(self.job(other))
-        self.assertEqual((placement.reused_parts, placement.fetch_from), (0, None), "another tenant's")
+        self.assertEqual((placement.cached_part_count, placement.fetch_from), (0, None), "another tenant's")
         self.index.copies.clear()
         self.report_cached("w2", weights_revision=4)
-        self.assertEqual((self.place().reused_parts, self.place().fetch_from), (0, None), "other weights")
+        self.assertEqual((self.place().cached_part_count, self.place().fetch_from), (0, None), "other weights")
         self.report_cached("w2", life="another")
-        self.assertEqual((self.place().reused_parts, self.place().fetch_from), (0, None), "another life")
+        self.assertEqual((self.place().cached_part_count, self.place().fetch_from), (0, None), "another life")
 
     def test_a_fetch_is_planned_only_where_it_is_quicker(self) -> None:
         self.report_cached("w2")
--- a/tests/test_stop_signal.py
+++ b/tests/test_stop_signal.py
@@ -25,7 +25,7 @@
 
 async def drain():
     state.begin()
-    print(state.begun_micros, flush=True)
+    print(state.started_micros, flush=True)
 
 async def work():
     while True:
