--- a/src/pearhead/router/cache_salt_builder.py
+++ b/src/pearhead/router/cache_salt_builder.py
@@ -25,8 +25,8 @@
 class CacheSaltBuilder:
     """Hashes owner, line, weights version, and the revisions of parts that have changed since the first one."""
 
-    def __init__(self, listener: RevisionListener) -> None:
-        self.listener = listener
+    def __init__(self, revision_listener: RevisionListener) -> None:
+        self.revision_listener = revision_listener
         self.owners: tuple[View | None, dict[str, str]] = (None, {})
 
     def salt(
@@ -42,10 +42,10 @@
         is_fresh = True
         for part in parts[:-1]:
             number = part_number(part.part)
-            revision = self.listener.revision_of(owner, line, number)
+            revision = self.revision_listener.revision_of(owner, line, number)
             if revision is None:
                 is_fresh = False
-                revision = self.listener.last_revision_of(owner, line, number)
+                revision = self.revision_listener.last_revision_of(owner, line, number)
             if revision != 1:
                 changed_revisions.append(f"{number}.{revision}")
         text = f"{owner}\0{line}\0{version}\0{'/'.join(changed_revisions)}"
--- a/src/pearhead/router/gateway.py
+++ b/src/pearhead/router/gateway.py
@@ -85,7 +85,7 @@
         clock: Clock,
         net: Net,
         control: WorkerControl,
-        dialect: ProtocolAdapter,
+        protocol_adapter: ProtocolAdapter,
         chance: random.Random,
     ) -> None:
         self.startup = startup
@@ -108,15 +108,15 @@
         self.view_replica = ViewReplica(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros
         )
-        self.listener = RevisionListener(
+        self.revision_listener = RevisionListener(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
         )
         self.node_count_tracker = NodeCountTracker(clock, settings.max_view_age_micros)
-        self.loads = WorkerLoadTracker(clock)
-        self.index = PrefixCacheIndex()
+        self.load_tracker = WorkerLoadTracker(clock)
+        self.prefix_cache_index = PrefixCacheIndex()
         self.version_table = WorkerVersionTable(clock)
         self.weights_grace_period = WeightsGracePeriod(clock, self.view_replica, startup.oldWeightsMicros)
-        self.rosters = RosterSynchronizer(
+        self.roster_synchronizer = RosterSynchronizer(
             self.identity,
             self.rpc_endpoint,
             self.directory,
@@ -127,7 +127,7 @@
             settings.list_interval_micros,
             self.invariants,
         )
-        self.rosters.watchers.append(self.version_table.apply_roster)
+        self.roster_synchronizer.roster_observers.append(self.version_table.apply_roster)
         self.cache_poller = PrefixCachePoller(
             self.identity,
             self.rpc_endpoint,
@@ -135,9 +135,9 @@
             clock,
             self.task_group,
             control,
-            self.rosters,
+            self.roster_synchronizer,
             self.view_replica,
-            self.index,
+            self.prefix_cache_index,
             relay_callback=self._relay_cache_note,
             min_part_tokens=settings.min_cached_part_tokens,
         )
@@ -147,58 +147,58 @@
             self.rpc_endpoint,
             self.directory,
             clock,
-            self.loads,
+            self.load_tracker,
             self.cache_poller.apply_note,
         )
         command_client = CoreCommandClient(self.view_replica, self.rpc_endpoint, chance)
-        self.publisher = RosterPublisher(self.rosters, self.view_replica, command_client, clock)
-        self.roll_out = WeightsRollout(
+        self.roster_publisher = RosterPublisher(self.roster_synchronizer, self.view_replica, command_client, clock)
+        self.weights_rollout = WeightsRollout(
             self.identity,
             self.rpc_endpoint,
             self.directory,
             clock,
             self.task_group,
             control,
-            self.rosters,
+            self.roster_synchronizer,
             self.view_replica,
             command_client,
             self.version_table,
             startup.holdMicros,
         )
         self.pool = UpstreamPool(clock)
-        self.placer = WorkerSelector(
+        self.worker_selector = WorkerSelector(
             clock,
             startup.area,
-            lambda: self.rosters.roster,
+            lambda: self.roster_synchronizer.roster,
             self.version_table,
-            self.index,
-            self.loads,
-            CacheSaltBuilder(self.listener),
+            self.prefix_cache_index,
+            self.load_tracker,
+            CacheSaltBuilder(self.revision_listener),
             self.weights_grace_period.may_use,
             self._sample_candidates,
             self.relay.is_active,
         )
         budget = FleetRetryBudget(clock, settings.retry_ratio, settings.retry_slack, settings.retry_window_micros)
-        self.reads = PrefillTracker(clock, self.placer.expect_cached, self._announce_prefill)
+        self.prefill_tracker = PrefillTracker(clock, self.worker_selector.expect_cached, self._announce_prefill)
         self.rpc_endpoint.on_message("read_note", self._handle_read_note)
         self.drain = DrainState(clock, settings.drain_schedule, self._record_drain_violation)
-        self.gate = RequestProxy(
+        self.request_proxy = RequestProxy(
             clock,
             self,
-            self.placer,
-            self.loads,
+            self.worker_selector,
+            self.load_tracker,
             self.pool,
             budget,
-            dialect,
+            protocol_adapter,
             self.node_count,
             self._record_versions,
-            self.reads,
+            self.prefill_tracker,
             self.drain,
             check_send=self._check_roster,
             trusts_keys=self.trusts_keys,
         )
-        self.stats_log = StatsLog(clock, self.gate, self.pool, budget, settings.log_stats_micros)
-        self.taken_before_drain = 0
+        self.stats_log = StatsLog(clock, self.request_proxy, self.pool, budget, settings.log_stats_micros)
+        self.accepted_before_drain = 0
         self.cached_limits: tuple[bytes | None, ClientLimits] = (None, ClientLimits())
         self.rpc_endpoint.on_message("use_note", self._handle_use_note)
 
@@ -207,11 +207,11 @@
         for coroutine in (
             self.directory.run(),
             self.view_replica.run(),
-            self.listener.run(),
-            self.rosters.run(),
-            self.publisher.run(),
+            self.revision_listener.run(),
+            self.roster_synchronizer.run(),
+            self.roster_publisher.run(),
             self.cache_poller.run(),
-            self.roll_out.run(),
+            self.weights_rollout.run(),
             self._announce_use(),
             self.relay.run(),
             self._sweep(),
@@ -227,17 +227,19 @@
 
     def begin_drain(self) -> None:
         """Makes the node report not ready, and stops it from ordering weight loads at workers."""
-        self.roll_out.is_draining = True
-        self.taken_before_drain = self.gate.accepted_count
+        self.weights_rollout.is_draining = True
+        self.accepted_before_drain = self.request_proxy.accepted_count
         self.drain.begin()
 
-    def taken_while_draining(self) -> int:
+    def accepted_while_draining(self) -> int:
         """Requests accepted since the drain began; 0 before that."""
-        return self.gate.accepted_count - self.taken_before_drain if self.drain.is_draining() else 0
+        return self.request_proxy.accepted_count - self.accepted_before_drain if self.drain.is_draining() else 0
 
     def is_ready(self) -> bool:
         """Whether the node can serve new connections: it has a usable view, knows a worker and is not draining."""
-        return not self.drain.is_draining() and self.view() is not None and bool(self.rosters.roster.backends)
+        return (
+            not self.drain.is_draining() and self.view() is not None and bool(self.roster_synchronizer.roster.backends)
+        )
 
     def view(self) -> View | None:
         """The last known view, or None while there is none or it was not confirmed for `max_view_age_micros` (§5.5).
@@ -247,13 +249,13 @@
         view_replica = self.view_replica
         if not view_replica.has_view or view_replica.view.number == 0:
             return None
-        is_fresh = self.clock.now() - view_replica.current_at <= self.settings.max_view_age_micros
+        is_fresh = self.clock.now() - view_replica.confirmed_micros <= self.settings.max_view_age_micros
         return view_replica.view if is_fresh else None
 
     def trusts_keys(self) -> bool:
         """Whether the view was confirmed recently enough for its keys to be accepted (`key_trust_micros`)."""
         bound_micros = self.settings.key_trust_micros
-        return not bound_micros or self.clock.now() - self.view_replica.current_at <= bound_micros
+        return not bound_micros or self.clock.now() - self.view_replica.confirmed_micros <= bound_micros
 
     def client_limits(self) -> ClientLimits:
         """The client limits of the last known description, parsed again only when the description changes."""
@@ -268,10 +270,10 @@
 
     def _record_versions(self, worker: str, head: ResponseHead) -> None:
         for line, version in head.versions.items():
-            self.roll_out.record_version(worker, line, version)
+            self.weights_rollout.record_version(worker, line, version)
 
     def _handle_use_note(self, identity: str, address: str, note: UseNote) -> None:
-        self.loads.apply_report(identity, note)
+        self.load_tracker.apply_report(identity, note)
 
     def _record_drain_violation(self, detail: str) -> None:
         self.invariants.check(Invariant.DRAIN_FINISHES, False, detail)
@@ -279,8 +281,8 @@
     def _check_roster(self) -> None:
         """Called as a request is sent: the list used for its placement must be fresh enough to show leaving workers."""
         bound_micros = max(self.settings.leaving_micros - REQUEST_TRANSIT_MICROS, SECOND)
-        is_fresh = self.rosters.is_fresh_within(bound_micros)
-        self.invariants.check(Invariant.ROSTER_IS_FRESH, is_fresh, self.rosters.age_micros())
+        is_fresh = self.roster_synchronizer.is_fresh_within(bound_micros)
+        self.invariants.check(Invariant.ROSTER_IS_FRESH, is_fresh, self.roster_synchronizer.age_micros())
 
     def _sample_candidates(self, backends: list[Backend]) -> list[Backend]:
         """Picks a few workers at random to choose from, while load reports go through relays (§8.8).
@@ -302,7 +304,9 @@
             now_micros = self.clock.now()
             if self.relay.is_active():
                 continue
-            if self.loads.is_changed or (self.loads.own_loads and now_micros - last_sent_micros > USE_REPEAT_MICROS):
+            if self.load_tracker.is_changed or (
+                self.load_tracker.own_loads and now_micros - last_sent_micros > USE_REPEAT_MICROS
+            ):
                 last_sent_micros = now_micros
                 self._broadcast_use()
 
@@ -316,22 +320,22 @@
             self.rpc_endpoint.multicast([r.address for r in self.directory.members("router")], "read_note", note)
 
     def _handle_read_note(self, identity: str, address: str, note: ReadNote) -> None:
-        self.reads.apply_note(note)
+        self.prefill_tracker.apply_note(note)
 
     def _broadcast_use(self) -> None:
         addresses = [r.address for r in self.directory.members("router")]
         if addresses:
-            self.rpc_endpoint.multicast(addresses, "use_note", self.loads.build_report())
+            self.rpc_endpoint.multicast(addresses, "use_note", self.load_tracker.build_report())
 
     async def _sweep(self) -> None:
         known_addresses: dict[str, str] = {}
         while True:
             await sleep_for(self.clock, SWEEP_MICROS)
             self.pool.sweep()
-            backends = self.rosters.roster.backends
+            backends = self.roster_synchronizer.roster.backends
             current_addresses = {name: backend.address for name, backend in backends.items()}
             for name, address in known_addresses.items():
                 if name not in current_addresses:
-                    self.pool.forget(address)
-                    self.index.forget(name)
+                    self.pool.remove_address(address)
+                    self.prefix_cache_index.clear_location(name)
             known_addresses = current_addresses
--- a/src/pearhead/router/job_api.py
+++ b/src/pearhead/router/job_api.py
@@ -125,7 +125,7 @@
         await self.handler.write_line(line)
 
 
-class SoundnessHandler(RequestHandler):
+class StatusHandler(RequestHandler):
     """`GET /soundness`: the node's state and counters as JSON."""
 
     def initialize(self, node: NodeProcess) -> None:
@@ -133,8 +133,8 @@
         self.node = node
 
     def get(self) -> None:
-        """Answers with `NodeProcess.soundness`."""
-        self.finish(self.node.soundness())
+        """Answers with `NodeProcess.status`."""
+        self.finish(self.node.status())
 
 
 class InspectHandler(RequestHandler):
@@ -169,7 +169,7 @@
         [
             ("/v1/jobs", JobHandler, {"node": node, "startup": startup}),
             ("/inspect", InspectHandler, {"node": node, "startup": startup}),
-            ("/soundness", SoundnessHandler, {"node": node}),
+            ("/soundness", StatusHandler, {"node": node}),
             *(metrics_routes(registry) if registry is not None else []),
         ],
         default_handler_class=NoSuchPathHandler,
--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -34,14 +34,14 @@
     def __init__(
         self,
         view_replica: ViewReplica,
-        listener: RevisionListener,
-        index: CopyIndex,
+        revision_listener: RevisionListener,
+        copy_index: CopyIndex,
         clock: Clock,
         old_weights_micros: int,
     ) -> None:
         self.view_replica = view_replica
-        self.listener = listener
-        self.index = index
+        self.revision_listener = revision_listener
+        self.copy_index = copy_index
         self.clock = clock
         self.old_weights_micros = old_weights_micros
         self.running_counts: dict[str, int] = {}
@@ -217,7 +217,7 @@
         parts = [p.part for p in job.request.prefix]
         revisions: list[int] = []
         for part in parts:
-            revision = self.listener.revision_of(owner, line, part)
+            revision = self.revision_listener.revision_of(owner, line, part)
             if revision is None:
                 break
             revisions.append(revision)
@@ -228,7 +228,7 @@
 
         current_keys = keys_for_weights(current.revision)
         cached_part_counts = {
-            w.name: self.index.longest_cached_prefix(
+            w.name: self.copy_index.longest_cached_prefix(
                 w.name,
                 view.loads[w.name],
                 current_keys if w in on_current_weights else keys_for_weights(view.loads[w.name].weights_revision),
@@ -258,7 +258,7 @@
         chosen_worker = min(under_limit, key=rank)
         chosen_load = view.loads[chosen_worker.name]
         keys = keys_for_weights(chosen_load.weights_revision)
-        self.index.record_parts(owner, line, [p for p, _ in known_parts], keys)
+        self.copy_index.record_parts(owner, line, [p for p, _ in known_parts], keys)
         # If no part's revision is known, the salt is unique to the job, so that nothing is reused.
         salt = cache_salt(owner, line, chosen_load.weights_revision) if keys else f"job:{job.job_id}"
         placement = Placement(
@@ -286,7 +286,7 @@
         # Workers of the first wave get no jobs while other workers on the old weights remain. Those keep serving until
         # the whole wave serves; otherwise its first worker to finish loading would get all jobs (§7.3).
         later_workers = [w for w in candidates if w not in on_current_weights and w.name not in wave_workers]
-        seen_micros = self.view_replica.first_seen.get((line, current.revision), 0)
+        seen_micros = self.view_replica.first_seen_micros.get((line, current.revision), 0)
         is_wave_finished = (line, current.revision) in self.finished_waves or (
             is_wave_serving(view, job.entry.service, current.revision)
             # The remaining workers begin to load now, even if some of the wave are late.
@@ -311,12 +311,14 @@
         for worker in workers:
             if worker.name == placement.worker.name:
                 continue
-            cached_part_count = self.index.longest_cached_prefix(worker.name, view.loads[worker.name], placement.keys)
+            cached_part_count = self.copy_index.longest_cached_prefix(
+                worker.name, view.loads[worker.name], placement.keys
+            )
             if cached_part_count > best_count:
                 best_source, best_count = worker, cached_part_count
         for _, store in sorted(view.workers.items()):
             if view.role_by_service.get(store.service) == "store" and not store.leaving:
-                cached_part_count = self.index.longest_stored_prefix(store.name, placement.keys)
+                cached_part_count = self.copy_index.longest_stored_prefix(store.name, placement.keys)
                 if cached_part_count > best_count:
                     best_source, best_count = store, cached_part_count
         if best_source is None:
--- a/src/pearhead/router/metrics.py
+++ b/src/pearhead/router/metrics.py
@@ -11,7 +11,7 @@
 from pearhead.router.gateway import GatewayProcess
 from pearhead.router.node_process import NodeProcess
 from pearhead.router.roster_synchronizer import RosterSynchronizer
-from pearhead.router.view_replica import NEVER, ViewReplica
+from pearhead.router.view_replica import NEVER_CONFIRMED, ViewReplica
 from pearhead.rpc.metrics import MessageCollector
 from pearhead.runtime.clock import SECOND
 from pearhead.runtime.collectors import InvariantCollector, LinkCollector, LoopLagCollector
@@ -35,26 +35,28 @@
     def _age_seconds(self) -> float | None:
         view_replica = self.view_replica
         return (
-            None if view_replica.current_at == NEVER else (view_replica.clock.now() - view_replica.current_at) / SECOND
+            None
+            if view_replica.confirmed_micros == NEVER_CONFIRMED
+            else (view_replica.clock.now() - view_replica.confirmed_micros) / SECOND
         )
 
 
 class RosterCollector(Collector):
     """Workers known to the node and the age of that knowledge."""
 
-    def __init__(self, rosters: RosterSynchronizer) -> None:
-        self.rosters = rosters
+    def __init__(self, synchronizer: RosterSynchronizer) -> None:
+        self.synchronizer = synchronizer
 
     def collect(self) -> Iterable[Metric]:
         """Yields the roster's metrics, and whether this node polls the worker list for the fleet."""
-        rosters = self.rosters
-        backends = rosters.roster.backends
+        synchronizer = self.synchronizer
+        backends = synchronizer.roster.backends
         leaving_count = sum(backend.is_leaving for backend in backends.values())
-        age_micros = rosters.age_micros()
+        age_micros = synchronizer.age_micros()
         age_seconds = None if age_micros is None else age_micros / SECOND
         yield gauge("roster_age_seconds", "Time since the list behind the roster was asked.", age_seconds)
-        yield gauge("roster_asker", "1 while this node asks the list for the fleet.", rosters.is_asker)
-        yield counter("roster_list_requests", "Times that this node asked the list.", rosters.list_request_count)
+        yield gauge("roster_asker", "1 while this node asks the list for the fleet.", synchronizer.is_asker)
+        yield counter("roster_list_requests", "Times that this node asked the list.", synchronizer.list_request_count)
         yield labelled_gauge(
             "workers",
             "Workers known, by state.",
@@ -66,22 +68,22 @@
 class GatewayCollector(Collector):
     """Requests and connections of a gateway, the router node for opaque requests."""
 
-    def __init__(self, gateway: GatewayProcess, edge: ClientConnectionManager) -> None:
+    def __init__(self, gateway: GatewayProcess, connection_manager: ClientConnectionManager) -> None:
         self.gateway = gateway
-        self.edge = edge
+        self.connection_manager = connection_manager
 
     def collect(self) -> Iterable[Metric]:
         """Yields the metrics of the request proxy, client connections, upstream pool and relay."""
-        gateway, gate, relay = self.gateway, self.gateway.gate, self.gateway.relay
-        worker_connections = sum(len(streams) for streams in gateway.pool.open.values())
+        gateway, request_proxy, relay = self.gateway, self.gateway.request_proxy, self.gateway.relay
+        worker_connections = sum(len(streams) for streams in gateway.pool.open_streams.values())
         yield gauge("draining", "1 once SIGTERM came.", gateway.drain.is_draining())
-        yield gauge("open_requests", "Requests under way.", gate.open_count())
-        yield counter("requests_taken", "Requests read whole.", gate.accepted_count)
+        yield gauge("open_requests", "Requests under way.", request_proxy.open_count())
+        yield counter("requests_taken", "Requests read whole.", request_proxy.accepted_count)
         yield counter(
-            "requests_taken_draining", "Requests read whole since the drain began.", gateway.taken_while_draining()
+            "requests_taken_draining", "Requests read whole since the drain began.", gateway.accepted_while_draining()
         )
-        yield labelled_counter("requests_ended", "Requests by outcome.", "outcome", gate.outcomes)
-        yield gauge("client_connections", "Callers' connections open.", len(self.edge.streams))
+        yield labelled_counter("requests_ended", "Requests by outcome.", "outcome", request_proxy.outcomes)
+        yield gauge("client_connections", "Callers' connections open.", len(self.connection_manager.streams))
         yield gauge("worker_connections", "Connections to workers, in use and kept.", worker_connections)
         yield counter("worker_connections_opened", "Connections to workers opened.", gateway.pool.opened_count)
         yield counter("worker_connections_reused", "Requests sent on a kept connection.", gateway.pool.reused_count)
@@ -103,12 +105,14 @@
         yield labelled_counter("requests_ended", "Jobs by outcome.", "outcome", self.node.outcome_counts)
 
 
-def build_gateway_registry(gateway: GatewayProcess, edge: ClientConnectionManager, net: SocketNet) -> CollectorRegistry:
+def build_gateway_registry(
+    gateway: GatewayProcess, connection_manager: ClientConnectionManager, net: SocketNet
+) -> CollectorRegistry:
     """Registry with all metrics of a gateway."""
     return build_registry(
         [
-            RosterCollector(gateway.rosters),
-            GatewayCollector(gateway, edge),
+            RosterCollector(gateway.roster_synchronizer),
+            GatewayCollector(gateway, connection_manager),
             ViewCollector(gateway.view_replica),
             MessageCollector(gateway.rpc_endpoint),
             LinkCollector(net),
--- a/src/pearhead/router/node_process.py
+++ b/src/pearhead/router/node_process.py
@@ -57,13 +57,13 @@
         startup: StartupConfig,
         clock: Clock,
         net: Net,
-        carrier: JobTransport,
+        transport: JobTransport,
         link: WorkerLink,
         chance: random.Random,
     ) -> None:
         self.startup = startup
         self.clock = clock
-        self.carrier = carrier
+        self.transport = transport
         self.chance = chance
         self.task_group = BackgroundTaskGroup("router")
         self.identity = chance.randbytes(12).hex()
@@ -79,18 +79,20 @@
         self.view_replica = ViewReplica(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.termMicros
         )
-        self.listener = RevisionListener(
+        self.revision_listener = RevisionListener(
             self.rpc_endpoint, self.directory, clock, chance, self.task_group, startup.tableLifetimeMicros
         )
-        self.index = CopyIndex()
-        self.nominator = JobScheduler(self.view_replica, self.listener, self.index, clock, startup.oldWeightsMicros)
+        self.copy_index = CopyIndex()
+        self.scheduler = JobScheduler(
+            self.view_replica, self.revision_listener, self.copy_index, clock, startup.oldWeightsMicros
+        )
         self.admission = AdmissionController(clock)
-        self.budget = RetryBudget()
+        self.retry_budget = RetryBudget()
         self.lease_controller = WorkerLeaseController(
             self.identity,
             self.view_replica,
-            self.listener,
-            self.index,
+            self.revision_listener,
+            self.copy_index,
             link,
             self.rpc_endpoint,
             self.directory,
@@ -99,10 +101,10 @@
             self.task_group,
             startup.holdMicros,
         )
-        self.lease_controller.load_callback = self.nominator.record_load_report
-        self.lease_controller.prefill_start_callback = self.nominator.record_remote_start
-        self.lease_controller.may_serve = self.nominator.weights_allowed
-        self.lease_controller.unsound_callback = self.nominator.record_reported_unhealthy
+        self.lease_controller.load_callback = self.scheduler.record_load_report
+        self.lease_controller.prefill_start_callback = self.scheduler.record_remote_start
+        self.lease_controller.may_serve = self.scheduler.weights_allowed
+        self.lease_controller.unhealthy_callback = self.scheduler.record_reported_unhealthy
         self.is_draining = False
         self.is_open = False
         self.open_jobs = 0
@@ -116,7 +118,7 @@
         for coroutine in (
             self.directory.run(),
             self.view_replica.run(),
-            self.listener.run(),
+            self.revision_listener.run(),
             self.lease_controller.run(),
             self._review_queues(),
         ):
@@ -136,9 +138,9 @@
     def _can_place(self) -> bool:
         view = self.view_replica.view
         return self.view_replica.is_current() and all(
-            any(self.nominator.weights_allowed(view, e.line, w) for w in view.workers)
+            any(self.scheduler.weights_allowed(view, e.line, w) for w in view.workers)
             for e in view.description.entries
-            if self.nominator.is_model(view, e.service)
+            if self.scheduler.is_model(view, e.service)
         )
 
     def stop(self) -> None:
@@ -175,7 +177,7 @@
         if self.is_draining:
             return Err(Refusal(ErrorKind.DRAINING, "this node takes no new jobs"))
         job.key_hash = hashlib.sha256(key_text.encode()).hexdigest()
-        checked = self._check_in_force(job)
+        checked = self._check_against_view(job)
         while not isinstance(checked, Err):
             # The job now waits in its queue, and a drain waits for it. It is checked again once admitted (§8.3).
             assert job.entry is not None and job.tenant is not None
@@ -186,17 +188,17 @@
             if admitted.ok_value:
                 admitted_micros = self.clock.now()
                 try:
-                    checked = self._check_in_force(job)
+                    checked = self._check_against_view(job)
                     if isinstance(checked, Err) or job.entry.name == admitted_entry.name:
                         return checked if isinstance(checked, Err) else await self._place_and_forward(job, writer)
                 finally:
                     held_micros = self.clock.now() - admitted_micros
                     self.admission.release_slot(admitted_entry, admitted_tenant.name, held_micros)
             # The job matches another entry than when it was queued: queue it for that one.
-            checked = self._check_in_force(job)
+            checked = self._check_against_view(job)
         return checked
 
-    def _check_in_force(self, job: Job) -> Result[None, Refusal]:
+    def _check_against_view(self, job: Job) -> Result[None, Refusal]:
         """Checks that the view is current, the key and the entry; repeated after each wait (§5.3, §8.1)."""
         current = self._check_current(job)
         if isinstance(current, Err):
@@ -257,10 +259,10 @@
     def _recheck_waiting(self, job: Job) -> AdmissionResult:
         assert job.entry is not None
         queued_name = job.entry.name
-        checked = self._check_in_force(job)
+        checked = self._check_against_view(job)
         return checked if isinstance(checked, Err) else Ok(job.entry.name == queued_name)
 
-    def _may_begin(self, job: Job, placement: Placement) -> bool:
+    def _may_send(self, job: Job, placement: Placement) -> bool:
         """Whether the job may still be sent as placed: the view, key, entry and placement must still be valid (§8.4).
 
         The transport calls this directly before it writes the first byte, without giving up control in between.
@@ -277,7 +279,7 @@
                     and view.match(job.request.model, job.tenant.name, job.request.kind) == job.entry
                 )
             )
-            and self.nominator.is_still_valid(job, placement)
+            and self.scheduler.is_still_valid(job, placement)
         )
 
     async def _place_and_forward(self, job: Job, writer: LineWriter) -> Result[None, Refusal]:
@@ -289,19 +291,19 @@
 
     async def _attempt_workers(self, job: Job, writer: LineWriter) -> Result[None, Refusal]:
         assert job.entry is not None
-        self.budget.deposit(job.entry.service, job.view.description.limits.retryShare)
+        self.retry_budget.deposit(job.entry.service, job.view.description.limits.retryShare)
         last_refusal = Refusal(ErrorKind.NO_WORKER, "no worker took the job")
         is_retry = False
         for try_number in range(JOB_ATTEMPT_LIMIT):
             if try_number:
-                checked = self._check_in_force(job)
+                checked = self._check_against_view(job)
                 if isinstance(checked, Err):
                     return checked
             if job.remaining_micros(self.clock.now()) <= 0:
                 return Err(Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed before it ran"))
-            if is_retry and not self.budget.try_withdraw(job.entry.service):
+            if is_retry and not self.retry_budget.try_withdraw(job.entry.service):
                 return Err(last_refusal)
-            scheduled = self.nominator.schedule_job(job)
+            scheduled = self.scheduler.schedule_job(job)
             if isinstance(scheduled, Err):
                 return Err(last_refusal if is_retry else scheduled.err_value)
             placement = scheduled.ok_value
@@ -358,25 +360,25 @@
         )
         line_count = 0
         is_prefilling, first_micros = True, 0
-        self.nominator.begin(worker.name, placement.missing_tokens)
+        self.scheduler.begin(worker.name, placement.missing_tokens)
         self.lease_controller.announce_prefill(worker.name, placement.missing_tokens)
         try:
             async with aclosing(
-                self.carrier.send_job(worker.address, upstream_job, lambda: self._may_begin(job, placement))
+                self.transport.send_job(worker.address, upstream_job, lambda: self._may_send(job, placement))
             ) as events:
                 async for event in events:
                     if is_prefilling:
                         is_prefilling, first_micros = False, self.clock.now()
-                        self.nominator.end_prefill(worker.name, placement.missing_tokens)
+                        self.scheduler.end_prefill(worker.name, placement.missing_tokens)
                     if event.get("id") != f"cmpl-{upstream_job.upstream_id}":
                         raise JobTransportError(CUT, "a line of another job")
                     if "usage" in event:
                         stream_micros = self.clock.now() - first_micros
                         if stream_micros < job.entry.deadlineMicros:
                             # A longer stream was delayed by this process or by a slow client, not by the worker.
-                            self.nominator.costs.record_stream(job.entry.name, worker.name, stream_micros)
+                            self.scheduler.costs.record_stream(job.entry.name, worker.name, stream_micros)
                         self._record_usage(job, placement, event)
-                        self.nominator.record_success(worker.name)
+                        self.scheduler.record_success(worker.name)
                         await self._write_line(job, writer, {"end": True, "lines": line_count, "usage": event["usage"]})
                         return Ok(None)
                     await self._write_line(job, writer, {"line": line_count, "text": self._read_text(event)})
@@ -390,12 +392,12 @@
                 placement.was_withdrawn = True
                 return Err(Refusal(ErrorKind.NO_WORKER, error.detail))
             if error.stage != CUT:
-                self.nominator.record_failure(worker.name)
+                self.scheduler.record_failure(worker.name)
                 return Err(Refusal(ErrorKind.NO_WORKER, error.detail))
             job.may_have_run = True
             if not line_count or job.remaining_micros(self.clock.now()) > 0:
                 # A worker that sent lines until the deadline is slow, not unhealthy (§7.5).
-                self.nominator.record_failure(worker.name)
+                self.scheduler.record_failure(worker.name)
             if job.entry.repeatable and line_count == 0 and job.remaining_micros(self.clock.now()) > 0:
                 if try_number + 1 < JOB_ATTEMPT_LIMIT and self._has_retry_budget(job):
                     return Err(Refusal(ErrorKind.NO_WORKER, error.detail))
@@ -404,8 +406,8 @@
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, "the caller went away"))
         finally:
             if is_prefilling:
-                self.nominator.end_prefill(worker.name, placement.missing_tokens)
-            self.nominator.end(worker.name)
+                self.scheduler.end_prefill(worker.name, placement.missing_tokens)
+            self.scheduler.end(worker.name)
 
     async def _write_line(self, job: Job, writer: LineWriter, line: dict[str, Any]) -> None:
         """Writes a line to the client; one that has not read it by the job's deadline is treated as disconnected."""
@@ -423,14 +425,14 @@
 
     def _has_retry_budget(self, job: Job) -> bool:
         assert job.entry is not None
-        return self.budget.tokens.get(job.entry.service, 0.0) >= 1.0
+        return self.retry_budget.tokens.get(job.entry.service, 0.0) >= 1.0
 
     def _record_usage(self, job: Job, placement: Placement, event: dict[str, Any]) -> None:
         """Feeds the worker's usage figures to the cost estimates; missing or malformed timings are ignored."""
         assert job.entry is not None
         usage, timings = event["usage"], event.get("timings") or {}
         with contextlib.suppress(TypeError, ValueError, AttributeError):
-            self.nominator.costs.record_prefill(
+            self.scheduler.costs.record_prefill(
                 job.entry.line,
                 placement.worker.name,
                 int(timings.get("prompt_n", 0)),
@@ -439,7 +441,7 @@
         self.prefix_tokens += sum(p.tokens for p in job.request.prefix)
         self.reused_tokens += int(usage.get("prompt_tokens_details", {}).get("cached_tokens", 0))
         if placement.fetch_from is not None and usage.get("fetch_micros"):
-            self.nominator.costs.record_fetch(
+            self.scheduler.costs.record_fetch(
                 placement.fetch_from.name,
                 placement.worker.name,
                 int(usage["fetch_tokens"]),
@@ -447,15 +449,15 @@
             )
 
     def inspect(self) -> dict[str, Any]:
-        """The node's state for `/inspect`: `soundness`, recent placements, volumes, worker copies and directory."""
+        """The node's state for `/inspect`: `status`, recent placements, volumes, worker copies and directory."""
         now_micros = self.clock.now()
         view = self.view_replica.view
         return {
-            **self.soundness(),
+            **self.status(),
             "kind": "node",
-            "knownMicros": now_micros - self.view_replica.current_at,
+            "knownMicros": now_micros - self.view_replica.confirmed_micros,
             "placements": list(self.placements),
-            "unsound": sorted(w for w, end in self.nominator.unhealthy_until.items() if end > now_micros),
+            "unsound": sorted(w for w, end in self.scheduler.unhealthy_until.items() if end > now_micros),
             "volumes": [
                 {
                     "owner": owner,
@@ -466,7 +468,7 @@
                     "changing": len(state.changing),
                     "bumped": len(state.table_revisions) + len(state.newer_revisions),
                 }
-                for (owner, line), state in sorted(self.listener.volumes.items())
+                for (owner, line), state in sorted(self.revision_listener.volumes.items())
             ],
             "copies": [
                 {
@@ -476,12 +478,12 @@
                     "keys": len(worker_copies.keys),
                     "tied": worker in view.loads and view.loads[worker].life == worker_copies.life,
                 }
-                for worker, worker_copies in sorted(self.index.copies.items())
+                for worker, worker_copies in sorted(self.copy_index.copies.items())
             ],
             "directory": self.directory.rows(),
         }
 
-    def soundness(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """The node's identity, view revisions, counters and worker leases, for `/soundness`."""
         view = self.view_replica.view
         return {
@@ -494,8 +496,8 @@
             "openJobs": self.open_jobs,
             "draining": self.is_draining,
             "outcomes": self.outcome_counts,
-            "jobs": self.budget.job_count,
-            "retries": self.budget.retry_count,
+            "jobs": self.retry_budget.job_count,
+            "retries": self.retry_budget.retry_count,
             "prefixTokens": self.prefix_tokens,
             "reusedTokens": self.reused_tokens,
             "holds": {n: h.fence for n, h in self.lease_controller.leases.items()},
--- a/src/pearhead/router/prefix_cache_index.py
+++ b/src/pearhead/router/prefix_cache_index.py
@@ -31,7 +31,7 @@
         """
         life, sequence = self.sequences.get(note.worker, ("", 0))
         if note.whole or life != note.life:
-            self.forget(note.worker)
+            self.clear_location(note.worker)
         elif note.sequence <= sequence:
             return
         self.sequences[note.worker] = (note.life, note.sequence)
@@ -48,7 +48,7 @@
             elif cached_tokens.pop(key, None) is not None:
                 self._remove_location(key, note.worker)
 
-    def forget(self, location: str) -> None:
+    def clear_location(self, location: str) -> None:
         """Removes all entries of a location."""
         for key in self.parts.pop(location, ()):
             self._remove_location(key, location)
--- a/src/pearhead/router/prefix_cache_poller.py
+++ b/src/pearhead/router/prefix_cache_poller.py
@@ -159,7 +159,7 @@
         clock: Clock,
         task_group: BackgroundTaskGroup,
         control: WorkerControl,
-        rosters: RosterProvider,
+        roster_provider: RosterProvider,
         view_source: ViewSource,
         sink: PrefixCacheSink,
         pause_micros: int = PAUSE_MICROS,
@@ -172,7 +172,7 @@
         self.clock = clock
         self.task_group = task_group
         self.control = control
-        self.rosters = rosters
+        self.roster_provider = roster_provider
         self.view_source = view_source
         self.sink = sink
         self.pause_micros = pause_micros
@@ -213,7 +213,7 @@
             for service in view.description.services
             if service.role == "store" and service.store_address
         }
-        for name, backend in self.rosters.roster.backends.items():
+        for name, backend in self.roster_provider.roster.backends.items():
             if view.role_by_service.get(backend.service) == "model":
                 targets[name] = backend.address
         return targets
@@ -223,7 +223,7 @@
         while True:
             started_micros = self.clock.now()
             cursor = self.cursors.get(name, INITIAL_CURSOR)
-            events_result = await self.control.kept_events(address, cursor.sequence, WAIT_MICROS, CALL_TIMEOUT_MICROS)
+            events_result = await self.control.cache_events(address, cursor.sequence, WAIT_MICROS, CALL_TIMEOUT_MICROS)
             if isinstance(events_result, Err):
                 await sleep_for(self.clock, backoff_micros)
                 backoff_micros = min(2 * backoff_micros, MAX_POLL_BACKOFF_MICROS)
--- a/src/pearhead/router/relay.py
+++ b/src/pearhead/router/relay.py
@@ -58,7 +58,7 @@
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
         clock: Clock,
-        loads: WorkerLoadTracker,
+        load_tracker: WorkerLoadTracker,
         handle_cache_note: Callable[[str, str, KeptNote], None],
         direct_limit: int = DIRECT_LIMIT,
     ) -> None:
@@ -67,7 +67,7 @@
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
         self.clock = clock
-        self.loads = loads
+        self.load_tracker = load_tracker
         self.handle_cache_note = handle_cache_note
         self.direct_limit = direct_limit
         self.avoided_until: dict[str, int] = {}
@@ -109,7 +109,7 @@
         for record in self.directory.members("router"):
             by_zone.setdefault(record.area, []).append(record)
         own_relay = self._relay_of(self.zone, by_zone.get(self.zone, []))
-        self.own_announced_use = self.loads.build_report()
+        self.own_announced_use = self.load_tracker.build_report()
         if own_relay is not None:
             self._broadcast(
                 [own_relay.address],
@@ -259,7 +259,7 @@
                     held_tokens=max(0, use.held_tokens - own_use.held_tokens),
                 )
             )
-        self.loads.apply_report(FLEET_SENDER, others)
+        self.load_tracker.apply_report(FLEET_SENDER, others)
 
 
 def sum_use_notes(notes: list[UseNote], serial: int) -> UseNote:
--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -136,13 +136,13 @@
         clock: Clock,
         view_provider: ViewProvider,
         selector: WorkerSelector,
-        loads: WorkerLoadTracker,
+        load_tracker: WorkerLoadTracker,
         pool: UpstreamPool,
-        budget: FleetRetryBudget,
+        retry_budget: FleetRetryBudget,
         adapter: ProtocolAdapter,
         node_count: Callable[[], int],
         record_weight_versions: Callable[[str, ResponseHead], None],
-        prefills: PrefillTracker | None = None,
+        prefill_tracker: PrefillTracker | None = None,
         drain: DrainState | None = None,
         on_violation: Callable[[str], None] = lambda name: None,
         check_send: Callable[[], None] = lambda: None,
@@ -151,13 +151,13 @@
         self.clock = clock
         self.view_provider = view_provider
         self.selector = selector
-        self.loads = loads
+        self.load_tracker = load_tracker
         self.pool = pool
-        self.budget = budget
+        self.retry_budget = retry_budget
         self.adapter = adapter
         self.node_count = node_count
         self.record_weight_versions = record_weight_versions
-        self.prefills = prefills or PrefillTracker(clock, selector.expect_cached, lambda note: None)
+        self.prefill_tracker = prefill_tracker or PrefillTracker(clock, selector.expect_cached, lambda note: None)
         self.accepted_count = 0
         self.drain = drain or DrainState(clock, DrainSchedule.for_grace_period(SECOND))
         self.in_flight_requests: set[InFlightRequest] = set()
@@ -194,7 +194,7 @@
         resolved = resolution.ok_value
         wait_micros = min(request.wait_micros or resolved.route.deadline_micros, resolved.route.deadline_micros)
         in_flight_request.deadline_micros = request.arrived_micros + wait_micros
-        self.budget.deposit(resolved.route.splits[0].service, self.node_count())
+        self.retry_budget.deposit(resolved.route.splits[0].service, self.node_count())
         last_refusal = Refusal(ErrorKind.NO_WORKER, "no worker took it", in_flight_request.retry_micros)
         while not in_flight_request.is_done:
             if writer.is_disconnected():
@@ -217,7 +217,9 @@
                 last_refusal = chosen.err_value
                 break
             choice = chosen.ok_value
-            if in_flight_request.is_fresh and await self.prefills.wait_for(choice, request, remaining_micros // 4):
+            if in_flight_request.is_fresh and await self.prefill_tracker.wait_for(
+                choice, request, remaining_micros // 4
+            ):
                 in_flight_request.is_fresh = False
                 continue
             in_flight_request.is_fresh = False
@@ -278,7 +280,7 @@
             return False
         if in_flight_request.has_response_started and not _may_continue(in_flight_request, route):
             return False
-        return self.budget.try_withdraw(route.splits[0].service, self.node_count())
+        return self.retry_budget.try_withdraw(route.splits[0].service, self.node_count())
 
     # ---- one try at one worker --------------------------------------------------------------------------------
 
@@ -300,11 +302,11 @@
         if isinstance(call_result, Err):
             in_flight_request.tried.add(worker)
             if call_result.err_value != POOL_EXHAUSTED:
-                self.loads.record_failure(worker)
+                self.load_tracker.record_failure(worker)
             return Refusal(ErrorKind.NO_WORKER, "a worker could not be reached", in_flight_request.retry_micros)
         call = call_result.ok_value
         held_tokens = request.prompt_tokens() + request.output_tokens
-        reservation = _LoadReservation(self.loads, worker, choice.missing_tokens, held_tokens)
+        reservation = _LoadReservation(self.load_tracker, worker, choice.missing_tokens, held_tokens)
         try:
             if in_flight_request.writer.is_disconnected():
                 # `asyncio.wait_for` can lose a cancellation that arrives just as the connection is established.
@@ -339,7 +341,7 @@
             self.drain.check_send(request.request_id)
             self.check_send()
             call.send(request.method, request.target, headers, request.body)
-            reservation.prefill = self.prefills.begin(choice, request)
+            reservation.prefill = self.prefill_tracker.begin(choice, request)
             return await self._relay(in_flight_request, resolved, choice, metadata, call, reservation, sent_micros)
         except TimeoutError:
             return Refusal(ErrorKind.DEADLINE_PASSED, "its deadline passed")
@@ -372,7 +374,7 @@
         request, worker = in_flight_request.request, choice.backend.name
         raw_head = await call.head(in_flight_request.deadline_micros - self.clock.now())
         if raw_head is None:
-            self.loads.record_failure(worker)
+            self.load_tracker.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the worker broke off")
         head = self.adapter.read_head(request, metadata, *raw_head)
         if head.verdict is not ResponseVerdict.UNRECOGNIZED:
@@ -381,13 +383,13 @@
             # This worker did not run the request; one tried earlier may have.
             in_flight_request.may_have_run = in_flight_request.may_have_run_before
             if head.verdict is ResponseVerdict.OTHER_WORKER:
-                self.loads.record_failure(worker)
+                self.load_tracker.record_failure(worker)
             return Refusal(
                 ErrorKind.NO_WORKER, f"a worker turned it away with {head.status}", in_flight_request.retry_micros
             )
         if head.verdict is ResponseVerdict.UNRECOGNIZED:
             call.headers = None  # Closes the connection instead of keeping it: nothing more is read on it (§8.9).
-            self.loads.record_failure(worker)
+            self.load_tracker.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the worker answered something else")
         if head.verdict is ResponseVerdict.FAILURE:
             return await self._forward_failure(in_flight_request, resolved, head, call, worker)
@@ -429,22 +431,24 @@
                 break
         if not call.is_whole() or not in_flight_request.splitter.end_run():
             self._record_violation(in_flight_request.splitter.violation)
-            self.loads.record_failure(worker)
+            self.load_tracker.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the stream was cut")
         if not in_flight_request.has_response_started:
             in_flight_request.has_response_started = True
             writer.begin(head.status, head.reason, _forwardable_headers(head.headers))
         writer.finish()
         in_flight_request.is_done = True
-        self.loads.record_success(worker)
+        self.load_tracker.record_success(worker)
         self._count("done")
         return Refusal(ErrorKind.OUTCOME_UNKNOWN)
 
     def _record_prefill_time(self, choice: WorkerChoice, elapsed_micros: int) -> None:
         """Records the time from sending the request to the worker's first event."""
-        self.loads.learn_slowdown(choice.backend.name, choice.missing_tokens, choice.estimated_micros, elapsed_micros)
+        self.load_tracker.learn_slowdown(
+            choice.backend.name, choice.missing_tokens, choice.estimated_micros, elapsed_micros
+        )
         if not choice.fetch_from:
-            self.loads.prefill_rates.record_prefill(
+            self.load_tracker.prefill_rates.record_prefill(
                 choice.service, choice.missing_tokens, choice.cached_tokens, elapsed_micros
             )
 
@@ -454,10 +458,10 @@
         """Buffers the whole response first, so that a truncated one can still be retried or reported as an error."""
         buffered_body = await self._buffer_body(in_flight_request, call)
         if buffered_body is None:
-            self.loads.record_failure(worker)
+            self.load_tracker.record_failure(worker)
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, "the answer was cut")
         self._write_buffered(in_flight_request, head, buffered_body)
-        self.loads.record_success(worker)
+        self.load_tracker.record_success(worker)
         self._count("done")
         return Refusal(ErrorKind.OUTCOME_UNKNOWN)
 
@@ -475,7 +479,7 @@
         status would promise the caller that the request did not run.
         """
         if head.status >= 500:
-            self.loads.record_failure(worker)
+            self.load_tracker.record_failure(worker)
         buffered_body = await self._buffer_body(in_flight_request, call)
         if (
             in_flight_request.has_response_started
@@ -566,8 +570,8 @@
 class _LoadReservation:
     """The load that one request adds to a worker in the load tracker; `end` must always be called to remove it."""
 
-    def __init__(self, loads: WorkerLoadTracker, worker: str, missing_tokens: int, held_tokens: int) -> None:
-        self.loads = loads
+    def __init__(self, load_tracker: WorkerLoadTracker, worker: str, missing_tokens: int, held_tokens: int) -> None:
+        self.load_tracker = load_tracker
         self.worker = worker
         self.missing_tokens = missing_tokens
         self.held_tokens = held_tokens
@@ -577,20 +581,22 @@
 
     def begin(self) -> None:
         self.is_awaiting_first_event = self.is_running = True
-        self.loads.begin(self.worker, self.missing_tokens, self.held_tokens)
+        self.load_tracker.begin(self.worker, self.missing_tokens, self.held_tokens)
 
     def record_first_event(self) -> None:
         self.is_awaiting_first_event = False
         if self.prefill is not None:
             self.prefill.end(True)
-        self.loads.record_first_event(self.worker, self.missing_tokens)
+        self.load_tracker.record_first_event(self.worker, self.missing_tokens)
 
     def end(self) -> None:
         if self.prefill is not None:
             self.prefill.end(False)
         if self.is_running:
             self.is_running = False
-            self.loads.end(self.worker, self.missing_tokens if self.is_awaiting_first_event else 0, self.held_tokens)
+            self.load_tracker.end(
+                self.worker, self.missing_tokens if self.is_awaiting_first_event else 0, self.held_tokens
+            )
 
 
 def hash_key(key: str) -> str:
--- a/src/pearhead/router/roster_merge.py
+++ b/src/pearhead/router/roster_merge.py
@@ -15,18 +15,18 @@
 # A removed worker is not added again for this long.
 ROSTER_EXCLUSION_MICROS = 60 * SECOND
 # Stands for a time before any list was read.
-LONG_AGO = -(10**12)
+DISTANT_PAST_MICROS = -(10**12)
 
 
 @dataclass(frozen=True)
 class Roster:
     """An immutable set of workers by name, replaced as a whole.
 
-    `at_micros` is when the list behind it was requested, by this node's clock.
+    `requested_micros` is when the list behind it was requested, by this node's clock.
     """
 
     backends: Mapping[str, Backend] = field(default_factory=dict)
-    at_micros: int = LONG_AGO
+    requested_micros: int = DISTANT_PAST_MICROS
 
 
 def pack_backend(backend: Backend) -> ListedWorker:
@@ -68,18 +68,18 @@
 
     def __init__(self) -> None:
         self.roster = Roster()
-        self.leaving: set[str] = set()
+        self.leaving_names: set[str] = set()
         self.absent_since: dict[str, int] = {}
         self.excluded_until: dict[str, int] = {}
 
-    def merge_list(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> bool:
+    def merge_list(self, listed: Iterable[Backend], requested_micros: int, now_micros: int) -> bool:
         """Merges a list and returns whether it was newer than the roster.
 
         From an older list only the marks of leaving workers are taken.
         """
         listed_by_name = {backend.name: backend for backend in listed}
-        self.leaving |= {name for name, backend in listed_by_name.items() if backend.is_leaving}
-        is_newer = bool(listed_by_name) and at_micros > self.roster.at_micros
+        self.leaving_names |= {name for name, backend in listed_by_name.items() if backend.is_leaving}
+        is_newer = bool(listed_by_name) and requested_micros > self.roster.requested_micros
         merged = dict(self.roster.backends)
         if is_newer:
             self.excluded_until = {name: end for name, end in self.excluded_until.items() if end > now_micros}
@@ -87,28 +87,28 @@
             for name, backend in self.roster.backends.items():
                 if name in listed_by_name:
                     self.absent_since.pop(name, None)
-                elif at_micros - self.absent_since.setdefault(name, at_micros) >= ABSENT_MICROS:
+                elif requested_micros - self.absent_since.setdefault(name, requested_micros) >= ABSENT_MICROS:
                     self.absent_since.pop(name)
                     self.excluded_until[name] = now_micros + ROSTER_EXCLUSION_MICROS
                 else:
                     merged[name] = backend
-            self.leaving &= set(merged) | set(listed_by_name)
-        for name in self.leaving & set(merged):
+            self.leaving_names &= set(merged) | set(listed_by_name)
+        for name in self.leaving_names & set(merged):
             if not merged[name].is_leaving:
                 merged[name] = dataclasses.replace(merged[name], is_leaving=True)
-        self.roster = Roster(merged, at_micros if is_newer else self.roster.at_micros)
+        self.roster = Roster(merged, requested_micros if is_newer else self.roster.requested_micros)
         return is_newer
 
-    def add_from_peer(self, listed: Iterable[Backend], at_micros: int, now_micros: int) -> None:
+    def add_from_peer(self, listed: Iterable[Backend], requested_micros: int, now_micros: int) -> None:
         """Adds the workers of a peer's roster that this node does not know; removes none."""
         peer_backends = list(listed)
         if not self.roster.backends:
-            self.merge_list(peer_backends, at_micros, now_micros)
+            self.merge_list(peer_backends, requested_micros, now_micros)
             return
-        self.leaving |= {backend.name for backend in peer_backends if backend.is_leaving}
+        self.leaving_names |= {backend.name for backend in peer_backends if backend.is_leaving}
         added = {
             b.name: b
             for b in peer_backends
             if b.name not in self.roster.backends and self.excluded_until.get(b.name, now_micros) <= now_micros
         }
-        self.roster = Roster({**self.roster.backends, **added}, self.roster.at_micros)
+        self.roster = Roster({**self.roster.backends, **added}, self.roster.requested_micros)
--- a/src/pearhead/router/roster_publisher.py
+++ b/src/pearhead/router/roster_publisher.py
@@ -25,7 +25,7 @@
     def roster(self) -> Roster:
         """The current roster."""
 
-    def is_first(self) -> bool:
+    def acts_for_fleet(self) -> bool:
         """Whether this node acts for the fleet; only that node publishes."""
 
 
@@ -47,7 +47,7 @@
         """Compares the roster with the view in rounds, and sends the core the difference."""
         while True:
             await sleep_for(self.clock, ROUND_MICROS)
-            if not (self.view_source.is_current() and self.source.is_first() and self.source.roster.backends):
+            if not (self.view_source.is_current() and self.source.acts_for_fleet() and self.source.roster.backends):
                 continue
             change = find_roster_change(self.source.roster, self.view_source.view)
             if change is None:
--- a/src/pearhead/router/roster_synchronizer.py
+++ b/src/pearhead/router/roster_synchronizer.py
@@ -18,7 +18,7 @@
 from pearhead.router.paced_broadcaster import PacedBroadcaster
 from pearhead.router.rendezvous import RankCache, rendezvous_score
 from pearhead.router.roster_age_monitor import RosterAgeMonitor
-from pearhead.router.roster_merge import LONG_AGO, Roster, RosterMerge, pack_backend, unpack_backend
+from pearhead.router.roster_merge import DISTANT_PAST_MICROS, Roster, RosterMerge, pack_backend, unpack_backend
 from pearhead.router.worker_control import Backend, WorkerControl
 from pearhead.rpc.rpc_endpoint import RpcEndpoint
 from pearhead.rpc.wire_pb2 import ListedWorker, RosterNote
@@ -97,22 +97,22 @@
         self.ranks = RankCache(identity)
         self.age_monitor = RosterAgeMonitor()
         self.list_request_count = 0
-        self.watchers: list[Callable[[Roster], None]] = []
+        self.roster_observers: list[Callable[[Roster], None]] = []
         self.merge = RosterMerge()
-        self.first_micros = 0
+        self.earliest_request_micros = 0
         self.is_asker = False
-        self.asked_micros = LONG_AGO
-        self.heard_micros = LONG_AGO
-        self.attempt_micros = LONG_AGO
-        self.full_note_micros = LONG_AGO
+        self.last_request_micros = DISTANT_PAST_MICROS
+        self.last_list_micros = DISTANT_PAST_MICROS
+        self.last_attempt_micros = DISTANT_PAST_MICROS
+        self.last_full_note_micros = DISTANT_PAST_MICROS
         self.notified_identities: set[str] = set()
         self.announced_backends: dict[str, Backend] = {}
         self.changed_micros: dict[str, int] = {}
         self.is_merging_from_peer = False
         self.failure_count = 0
         self.is_asking = False
-        self.ticked_micros = 0
-        self.resumed_micros = LONG_AGO
+        self.last_tick_micros = 0
+        self.resumed_micros = DISTANT_PAST_MICROS
         node_random = random.Random(identity)
         self.stale_jitter_micros = node_random.randrange(STALE_JITTER_MICROS)
         self.note_broadcaster = PacedBroadcaster(clock, node_random)
@@ -126,10 +126,10 @@
 
     def age_micros(self) -> int | None:
         """Time since the list behind the roster was requested; None before the first list."""
-        at_micros = self.roster.at_micros
-        return None if at_micros == LONG_AGO else self.clock.now() - at_micros
+        requested_micros = self.roster.requested_micros
+        return None if requested_micros == DISTANT_PAST_MICROS else self.clock.now() - requested_micros
 
-    def is_first(self) -> bool:
+    def acts_for_fleet(self) -> bool:
         """Whether this node acts for the fleet: it polls the list, or is ranked first to do so."""
         return self.is_asker or self._rank() == 0
 
@@ -137,20 +137,20 @@
         """Polls the list whenever it is this node's turn, and pulls from peers while the roster is old."""
         # A newly started node knows few peers and would rank itself first, so it waits 0.5 to 1 s to learn of others.
         started_micros = self.clock.now()
-        self.first_micros = started_micros + FRESH_MICROS + self.chance.randrange(FRESH_MICROS)
-        self.heard_micros = self.first_micros - self.list_period_micros - self.list_period_micros // 5
+        self.earliest_request_micros = started_micros + FRESH_MICROS + self.chance.randrange(FRESH_MICROS)
+        self.last_list_micros = self.earliest_request_micros - self.list_period_micros - self.list_period_micros // 5
         self.task_group.start(self._bootstrap_from_peers())
         self.task_group.start(self._pull_while_old())
-        self.ticked_micros = started_micros
+        self.last_tick_micros = started_micros
         while True:
             await sleep_for(self.clock, TICK_MICROS)
             self._observe_age()
             now_micros = self.clock.now()
-            if now_micros - self.ticked_micros > PAUSED_MICROS:
+            if now_micros - self.last_tick_micros > PAUSED_MICROS:
                 self.resumed_micros = now_micros
-            self.ticked_micros = now_micros
+            self.last_tick_micros = now_micros
             is_alone = not self.directory.members() and now_micros < started_micros + ALONE_MICROS
-            if not is_alone and now_micros >= max(self.first_micros, self._due_micros()):
+            if not is_alone and now_micros >= max(self.earliest_request_micros, self._due_micros()):
                 await self._ask_list()
 
     # ---- election of the polling node ------------------------------------------------------------
@@ -169,18 +169,18 @@
         now_micros = self.clock.now()
         if self.is_asker or self._rank() == 0:
             # Polls at a fifth of the rate while its own requests fail but another node gets answers.
-            is_backing_off = self.failure_count > 1 and now_micros - self.heard_micros < 2 * self.list_period_micros
-            return self.asked_micros + self.list_period_micros * (5 if is_backing_off else 1)
+            is_backing_off = self.failure_count > 1 and now_micros - self.last_list_micros < 2 * self.list_period_micros
+            return self.last_request_micros + self.list_period_micros * (5 if is_backing_off else 1)
         gap_micros = ATTEMPT_GAP_MICROS + FAILED_ATTEMPT_RANK_MICROS * min(self._rank(), 10)
-        due_micros = self.heard_micros + self._silence_micros()
+        due_micros = self.last_list_micros + self._silence_micros()
         if self.roster.backends:
             # No notes reach this node: it polls for itself, but not while others announce failed attempts.
-            due_micros = min(due_micros, self.roster.at_micros + STALE_MICROS + self.stale_jitter_micros)
-        return max(due_micros, self.attempt_micros + gap_micros)
+            due_micros = min(due_micros, self.roster.requested_micros + STALE_MICROS + self.stale_jitter_micros)
+        return max(due_micros, self.last_attempt_micros + gap_micros)
 
     async def _ask_list(self) -> None:
         requested_micros = self.clock.now()
-        self.asked_micros = self.attempt_micros = requested_micros
+        self.last_request_micros = self.last_attempt_micros = requested_micros
         if not self.is_asker:
             # The other nodes hold back their own attempts on receiving this, whether or not it succeeds.
             self._announce_attempt(requested_micros)
@@ -201,7 +201,7 @@
             return
         self.failure_count = 0
         self._begin_asking()
-        self.heard_micros = self.clock.now()
+        self.last_list_micros = self.clock.now()
         self._merge(listed, requested_micros, LIST_SOURCE)
         await self._announce_roster({b.name: b for b in listed}, requested_micros)
 
@@ -209,7 +209,7 @@
 
     def _roster_age(self) -> int:
         """Like `age_micros`, but a very large value before the first list."""
-        return self.clock.now() - self.roster.at_micros
+        return self.clock.now() - self.roster.requested_micros
 
     def is_fresh_within(self, bound_micros: int) -> bool:
         """Whether the roster is no older than `bound_micros`, or this node is excused from keeping it so.
@@ -218,7 +218,7 @@
         suspended.
         """
         now_micros = self.clock.now()
-        was_paused = now_micros - self.ticked_micros > PAUSED_MICROS
+        was_paused = now_micros - self.last_tick_micros > PAUSED_MICROS
         has_resumed = now_micros - self.resumed_micros <= PAUSED_MICROS
         is_unanswered = self.is_asking or self.failure_count > 0
         return self._roster_age() <= bound_micros or is_unanswered or was_paused or has_resumed
@@ -241,7 +241,7 @@
         peer_roster = await self._ask_peer(address, RosterNote(age_micros=self._roster_age()))
         if peer_roster is None:
             return False
-        self._apply_list(peer_roster.backends.values(), peer_roster.at_micros, address)
+        self._apply_list(peer_roster.backends.values(), peer_roster.requested_micros, address)
         return True
 
     async def _ask_peer(self, address: str, note: RosterNote) -> Roster | None:
@@ -256,10 +256,10 @@
         backends = [unpack_backend(worker) for worker in reply.ok_value.worker]
         return Roster({backend.name: backend for backend in backends}, requested_micros - reply.ok_value.age_micros)
 
-    def _apply_list(self, listed: Iterable[Backend], at_micros: int, source: str) -> None:
-        if at_micros > self.roster.at_micros:
-            self.heard_micros = max(self.heard_micros, self.clock.now())
-        self._merge(listed, at_micros, source)
+    def _apply_list(self, listed: Iterable[Backend], requested_micros: int, source: str) -> None:
+        if requested_micros > self.roster.requested_micros:
+            self.last_list_micros = max(self.last_list_micros, self.clock.now())
+        self._merge(listed, requested_micros, source)
 
     def _begin_asking(self) -> None:
         if not self.is_asker:
@@ -293,9 +293,9 @@
             n: m for n, m in self.changed_micros.items() if n in listed and now_micros - m < RECENT_CHANGE_MICROS
         }
         records = self.directory.members("router")
-        if now_micros - self.full_note_micros >= FULL_NOTE_PERIOD_MICROS:
+        if now_micros - self.last_full_note_micros >= FULL_NOTE_PERIOD_MICROS:
             self.notified_identities.clear()
-            self.full_note_micros = now_micros
+            self.last_full_note_micros = now_micros
         full_note = RosterNote(worker=[pack_backend(b) for b in listed.values()])
         brief_note = RosterNote(
             worker=[
@@ -322,9 +322,9 @@
 
     def _handle_note(self, identity: str, address: str, note: RosterNote) -> None:
         now_micros = self.clock.now()
-        at_micros = now_micros - note.age_micros
+        requested_micros = now_micros - note.age_micros
         if not note.worker:
-            self.attempt_micros = max(self.attempt_micros, at_micros)
+            self.last_attempt_micros = max(self.last_attempt_micros, requested_micros)
             return
         if self.is_asker and rendezvous_score(identity, ROSTER_RENDEZVOUS_SUBJECT) > rendezvous_score(
             self.identity, ROSTER_RENDEZVOUS_SUBJECT
@@ -338,32 +338,32 @@
             elif worker.name in self.roster.backends:
                 known_backend = self.roster.backends[worker.name]
                 listed.append(dataclasses.replace(known_backend, is_leaving=known_backend.is_leaving or worker.leaving))
-        self._apply_list(listed, at_micros, address)
+        self._apply_list(listed, requested_micros, address)
         if any(name not in self.merge.excluded_until for name in unknown_names) and not self.is_merging_from_peer:
             self.task_group.start(self._merge_from_peer(address))
 
     def _merge(
-        self, listed: Iterable[Backend], at_micros: int, source: str = LIST_SOURCE, adds_only: bool = False
+        self, listed: Iterable[Backend], requested_micros: int, source: str = LIST_SOURCE, adds_only: bool = False
     ) -> None:
         before = self.roster
-        leaving_before = set(self.merge.leaving)
+        leaving_before = set(self.merge.leaving_names)
         self._observe_age()
         if adds_only:
-            self.merge.add_from_peer(listed, at_micros, self.clock.now())
+            self.merge.add_from_peer(listed, requested_micros, self.clock.now())
         else:
-            self.merge.merge_list(listed, at_micros, self.clock.now())
+            self.merge.merge_list(listed, requested_micros, self.clock.now())
         for name in before.backends.keys() - self.roster.backends.keys():
             LOGGER.info("router: A worker was removed from the roster. worker=%s", name)
-        self._log_leaving(leaving_before, at_micros, source)
+        self._log_leaving(leaving_before, requested_micros, source)
         self._observe_age()
         self._check_merged(before)
         if self.roster is not before:
-            for watcher in self.watchers:
-                watcher(self.roster)
+            for observer in self.roster_observers:
+                observer(self.roster)
 
-    def _log_leaving(self, leaving_before: set[str], at_micros: int, source: str) -> None:
-        age_millis = (self.clock.now() - at_micros) // MILLI
-        for name in sorted(self.merge.leaving - leaving_before - self.merge.excluded_until.keys()):
+    def _log_leaving(self, leaving_before: set[str], requested_micros: int, source: str) -> None:
+        age_millis = (self.clock.now() - requested_micros) // MILLI
+        for name in sorted(self.merge.leaving_names - leaving_before - self.merge.excluded_until.keys()):
             LOGGER.info("router: A worker leaves. worker=%s source=%s age_ms=%d", name, source, age_millis)
 
     def _observe_age(self) -> None:
@@ -378,8 +378,10 @@
         leaving_names = [name for name, backend in before.backends.items() if backend.is_leaving]
         returned_names = [name for name in leaving_names if name in backends and not backends[name].is_leaving]
         self.invariants.check(Invariant.LEAVING_IS_FINAL, not returned_names, returned_names)
-        advances = self.roster.at_micros >= before.at_micros
-        self.invariants.check(Invariant.ROSTER_TIME_ADVANCES, advances, (before.at_micros, self.roster.at_micros))
+        advances = self.roster.requested_micros >= before.requested_micros
+        self.invariants.check(
+            Invariant.ROSTER_TIME_ADVANCES, advances, (before.requested_micros, self.roster.requested_micros)
+        )
 
     async def _answer_roster_ask(self, identity: str, address: str, note: RosterNote) -> RosterNote:
         """Answers a peer: with all workers if it has no roster or an older one, as told by the age in its note."""
@@ -395,7 +397,7 @@
         try:
             peer_roster = await self._ask_peer(address, RosterNote())
             if peer_roster is not None:
-                self._merge(peer_roster.backends.values(), peer_roster.at_micros, address, adds_only=True)
+                self._merge(peer_roster.backends.values(), peer_roster.requested_micros, address, adds_only=True)
         finally:
             self.is_merging_from_peer = False
 
--- a/src/pearhead/router/stats_log.py
+++ b/src/pearhead/router/stats_log.py
@@ -49,18 +49,18 @@
     def __init__(
         self,
         clock: Clock,
-        gate: OutcomeCounters,
-        pool: ConnectionCounters,
-        budget: RetryCounters,
+        outcome_counters: OutcomeCounters,
+        connection_counters: ConnectionCounters,
+        retry_counters: RetryCounters,
         every_micros: int,
-        processor: Callable[[], int] = processor_micros,
+        read_processor_micros: Callable[[], int] = processor_micros,
     ) -> None:
         self.clock = clock
-        self.gate = gate
-        self.pool = pool
-        self.budget = budget
+        self.outcome_counters = outcome_counters
+        self.connection_counters = connection_counters
+        self.retry_counters = retry_counters
         self.every_micros = every_micros
-        self.processor = processor
+        self.read_processor_micros = read_processor_micros
         self.last_counts: dict[str, int] = {}
         self.line_count = 0
 
@@ -70,7 +70,9 @@
         while self.every_micros > 0:
             await sleep_for(self.clock, self.every_micros)
             LOGGER.info(
-                "router: Counts since the line before. open=%d %s", self.gate.open_count(), self.format_counts()
+                "router: Counts since the line before. open=%d %s",
+                self.outcome_counters.open_count(),
+                self.format_counts(),
             )
 
     def format_counts(self) -> str:
@@ -83,10 +85,10 @@
 
     def _counts(self) -> dict[str, int]:
         counts = {
-            "retries": self.budget.retry_count,
-            "opened": self.pool.opened_count,
-            "reused": self.pool.reused_count,
-            "processor_ms": self.processor() // MILLI,
+            "retries": self.retry_counters.retry_count,
+            "opened": self.connection_counters.opened_count,
+            "reused": self.connection_counters.reused_count,
+            "processor_ms": self.read_processor_micros() // MILLI,
         }
-        counts.update({f"ended_{name}": count for name, count in sorted(self.gate.outcomes.items())})
+        counts.update({f"ended_{name}": count for name, count in sorted(self.outcome_counters.outcomes.items())})
         return counts
--- a/src/pearhead/router/upstream_pool.py
+++ b/src/pearhead/router/upstream_pool.py
@@ -186,7 +186,7 @@
 
 
 class UpstreamPool:
-    """Connections by worker address: `idle` holds the kept ones, `open` those and the ones in use.
+    """Connections by worker address: `idle` holds the kept ones, `open_streams` those and the ones in use.
 
     A node keeps no connections beyond its share of those that a worker accepts from all nodes together, and closes
     idle ones before it opens new ones beyond that share. `early_close_bounds` maps an address to the idle time above
@@ -196,7 +196,7 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.idle: dict[str, deque[_IdleConnection]] = {}
-        self.open: dict[str, set[IOStream]] = {}
+        self.open_streams: dict[str, set[IOStream]] = {}
         self.early_close_bounds: dict[str, tuple[int, int]] = {}
         self.opened_count = 0
         self.reused_count = 0
@@ -213,7 +213,7 @@
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLIS)
         stream = IOStream(raw)
-        self.open.setdefault(address, set()).add(stream)
+        self.open_streams.setdefault(address, set()).add(stream)
         try:
             await asyncio.wait_for(
                 stream.connect(split_address(address)), min(CONNECT_MICROS, max(limits.limit_micros, 0)) / SECOND
@@ -264,7 +264,7 @@
 
     def open_count(self, address: str) -> int:
         """Returns the number of connections that are idle, in use or being opened."""
-        streams = self.open.get(address, set())
+        streams = self.open_streams.get(address, set())
         streams.difference_update([stream for stream in streams if stream.closed()])
         return len(streams)
 
@@ -302,7 +302,7 @@
         bound_micros, until_micros = self.early_close_bounds.get(address, (0, 0))
         return bound_micros if until_micros > self.clock.now() else UNLIMITED_IDLE_MICROS
 
-    def forget(self, address: str) -> None:
+    def remove_address(self, address: str) -> None:
         """Closes the idle connections to a worker that is gone, as another worker may get its address."""
         self.early_close_bounds.pop(address, None)
         for kept in self.idle.pop(address, ()):
@@ -322,7 +322,9 @@
                 self.idle[address] = remaining
             else:
                 del self.idle[address]
-        self.open = {address: streams for address, streams in self.open.items() if self.open_count(address)}
+        self.open_streams = {
+            address: streams for address, streams in self.open_streams.items() if self.open_count(address)
+        }
         self.early_close_bounds = {
             address: bound for address, bound in self.early_close_bounds.items() if bound[1] > now_micros
         }
--- a/src/pearhead/router/view_replica.py
+++ b/src/pearhead/router/view_replica.py
@@ -26,8 +26,8 @@
 PEER_FALLBACK_MICROS = 1_000 * MILLI
 PEER_FALLBACK_COUNT = 2
 RETRY_AFTER_LIMIT_MICROS = 12 * SECOND
-NEVER = -1
-LONG_AGO = -(10**12)
+NEVER_CONFIRMED = -1
+DISTANT_PAST_MICROS = -(10**12)
 NO_DELTA = 2**62
 
 
@@ -56,28 +56,28 @@
         self.view = View()
         # The last known membership: a poll counts once a majority of its voters answered (§5.3).
         self.membership = Membership(0, Members())
-        self.current_at = NEVER
+        self.confirmed_micros = NEVER_CONFIRMED
         self.pending_confirmations: list[tuple[int, int]] = []
         self.needs_full_view = False
         self.fetch_started_micros: dict[str, int] = {}
-        self.first_seen: dict[tuple[str, int], int] = {}
-        self.named_after: dict[tuple[str, int], int] = {}
+        self.first_seen_micros: dict[tuple[str, int], int] = {}
+        self.not_acknowledged_before: dict[tuple[str, int], int] = {}
         self.has_view = False
         # Called with each new view, after the fields above were updated.
         self.view_observers: list[Callable[[View], None]] = []
-        self.packer = DeltaCompressor()
+        self.delta_compressor = DeltaCompressor()
         rpc_endpoint.on_request("term_ask", self._answer_peer_ask)
 
     def is_current(self) -> bool:
         """Whether the view was confirmed within the last `term_micros`."""
-        return self.current_at != NEVER and self.clock.now() - self.current_at <= self.term_micros
+        return self.confirmed_micros != NEVER_CONFIRMED and self.clock.now() - self.confirmed_micros <= self.term_micros
 
     def retry_after_micros(self) -> int:
         """How long a refused client should wait: as long as the view has been unconfirmed, from 1.1 s to 12 s (§8.2).
 
         A node that has been without the cores for long is likely to stay so for as long again.
         """
-        unconfirmed_micros = self.clock.now() - self.current_at if self.current_at != NEVER else 0
+        unconfirmed_micros = self.clock.now() - self.confirmed_micros if self.confirmed_micros != NEVER_CONFIRMED else 0
         return min(max(unconfirmed_micros, ROUND_MICROS + VIEW_ASK_TIMEOUT_MICROS), RETRY_AFTER_LIMIT_MICROS)
 
     def superseded_since(self, line: str, revision: int) -> int | None:
@@ -87,7 +87,11 @@
         old weights.
         """
         return min(
-            (at_micros for (line_name, r), at_micros in self.named_after.items() if line_name == line and r > revision),
+            (
+                at_micros
+                for (line_name, r), at_micros in self.not_acknowledged_before.items()
+                if line_name == line and r > revision
+            ),
             default=None,
         )
 
@@ -100,7 +104,7 @@
         """Starts a round of requests every 0.3 s, without waiting for the previous one, until cancelled."""
         while True:
             self.task_group.start(self._ask_round())
-            if self.clock.now() - self.current_at > PEER_FALLBACK_MICROS:
+            if self.clock.now() - self.confirmed_micros > PEER_FALLBACK_MICROS:
                 self.task_group.start(self._ask_peer_views())
             # Nodes of a large fleet ask half as often: the cores answer each one, and `term_micros` leaves room (§5.3).
             is_large_fleet = len(self.directory.members("router")) > LARGE_FLEET_NODES
@@ -186,13 +190,13 @@
     async def _answer_peer_ask(self, identity: str, address: str, request: TermAsk) -> TermResult:
         result = TermResult(
             held=self.is_current(),
-            held_micros=max(self.clock.now() - self.current_at, 0),
+            held_micros=max(self.clock.now() - self.confirmed_micros, 0),
             last_visible_index=self.view.index,
             members=self.membership.members,
             members_index=self.membership.index,
         )
         delta = self.view.delta_since(request.have_index)
-        self.packer.put(result, delta)
+        self.delta_compressor.put(result, delta)
         return result
 
     def _apply_members(self, result: TermResult) -> None:
@@ -214,12 +218,12 @@
         self.view = next_view
         for line_name, weights_record in next_view.weights.items():
             # A node that just started can't tell how old a rollout is, so it grants old weights no grace period (§7.4).
-            self.first_seen.setdefault(
-                (line_name, weights_record.revision), self.clock.now() if self.has_view else LONG_AGO
+            self.first_seen_micros.setdefault(
+                (line_name, weights_record.revision), self.clock.now() if self.has_view else DISTANT_PAST_MICROS
             )
             # The last confirmed view lacked this revision, so the revision was not acknowledged before that time.
-            self.named_after.setdefault(
-                (line_name, weights_record.revision), self.current_at if self.has_view else LONG_AGO
+            self.not_acknowledged_before.setdefault(
+                (line_name, weights_record.revision), self.confirmed_micros if self.has_view else DISTANT_PAST_MICROS
             )
         self.has_view = True
         for observer in self.view_observers:
@@ -236,7 +240,7 @@
         still_unconfirmed = []
         for asked_micros, required_index in self.pending_confirmations:
             if self.view.index >= required_index:
-                self.current_at = max(self.current_at, asked_micros)
+                self.confirmed_micros = max(self.confirmed_micros, asked_micros)
             elif now_micros - asked_micros <= self.term_micros:
                 still_unconfirmed.append((asked_micros, required_index))
         self.pending_confirmations = still_unconfirmed
--- a/src/pearhead/router/weights_grace_period.py
+++ b/src/pearhead/router/weights_grace_period.py
@@ -38,5 +38,5 @@
         self.seen_view = view
         for line, record in view.weights.items():
             if record.weights.isdigit():
-                at_micros = self.view_replica.named_after.get((line, record.revision), self.clock.now())
+                at_micros = self.view_replica.not_acknowledged_before.get((line, record.revision), self.clock.now())
                 self.named_at.setdefault((line, int(record.weights)), at_micros)
--- a/src/pearhead/router/weights_rollout.py
+++ b/src/pearhead/router/weights_rollout.py
@@ -105,7 +105,7 @@
         clock: Clock,
         task_group: BackgroundTaskGroup,
         control: WorkerControl,
-        rosters: RosterProvider,
+        roster_provider: RosterProvider,
         view_source: ViewSource,
         command_client: CommandClient,
         version_table: WorkerVersionTable,
@@ -119,7 +119,7 @@
         self.clock = clock
         self.task_group = task_group
         self.control = control
-        self.rosters = rosters
+        self.roster_provider = roster_provider
         self.view_source = view_source
         self.command_client = command_client
         self.version_table = version_table
@@ -128,7 +128,7 @@
         self.full_parallel_after_micros = full_parallel_after_micros
         self.leases: dict[str, _WorkerLease] = {}
         self.lines: dict[str, _LineState] = {}
-        self.loads: dict[tuple[str, str], asyncio.Task[None]] = {}
+        self.load_tasks: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.retry_at_micros: dict[str, int] = {}
         self.failure_counts: dict[str, int] = {}
         self.is_draining = False
@@ -165,18 +165,20 @@
         now_micros = self.clock.now()
         settled = self.settled
         if settled is not None:
-            if settled.view is self.view_source.view and settled.roster is self.rosters.roster:
+            if settled.view is self.view_source.view and settled.roster is self.roster_provider.roster:
                 settled.seen_micros = now_micros
                 return
             for settled_state in settled.states:
                 settled_state.progress_micros = max(settled_state.progress_micros, settled.seen_micros)
             self.settled = None
-        self.loads = {key: task for key, task in self.loads.items() if not task.done()}
-        self.leases = {n: lease for n, lease in self.leases.items() if n in self.rosters.roster.backends}
+        self.load_tasks = {key: task for key, task in self.load_tasks.items() if not task.done()}
+        self.leases = {n: lease for n, lease in self.leases.items() if n in self.roster_provider.roster.backends}
         self.retry_at_micros = {n: at for n, at in self.retry_at_micros.items() if at > now_micros}
-        self.failure_counts = {n: c for n, c in self.failure_counts.items() if n in self.rosters.roster.backends}
+        self.failure_counts = {
+            n: c for n, c in self.failure_counts.items() if n in self.roster_provider.roster.backends
+        }
         states = []
-        is_settled = not self.loads
+        is_settled = not self.load_tasks
         for line in self.view_source.view.weights:
             wanted = self._wanted_version(line)
             if wanted is None:
@@ -194,7 +196,7 @@
                 continue
             self._start_loads(line, state, pending)
         if is_settled:
-            self.settled = _SettledState(self.view_source.view, self.rosters.roster, states, now_micros)
+            self.settled = _SettledState(self.view_source.view, self.roster_provider.roster, states, now_micros)
 
     def _wanted_version(self, line: str) -> int | None:
         """The version named for a line; None if the name of its weights is not a decimal number."""
@@ -203,7 +205,7 @@
 
     def _workers_of(self, line: str) -> list[Backend]:
         services = {s.name for s in self.view_source.view.description.services if s.role == "model" and line in s.lines}
-        return [b for _, b in sorted(self.rosters.roster.backends.items()) if b.service in services]
+        return [b for _, b in sorted(self.roster_provider.roster.backends.items()) if b.service in services]
 
     def _is_behind(self, backend: Backend, line: str, wanted: int) -> bool:
         version = self.version_table.version_of(backend.name, line)
@@ -211,12 +213,12 @@
 
     def _is_leaving(self, name: str) -> bool:
         """Whether the list or operators mark the worker as leaving, or it is no longer in the roster."""
-        backend = self.rosters.roster.backends.get(name)
+        backend = self.roster_provider.roster.backends.get(name)
         fact = self.view_source.view.workers.get(name)
         return backend is None or backend.is_leaving or (fact is not None and fact.leaving)
 
     def _is_turn(self, line: str, state: _LineState) -> bool:
-        if any(key[0] == line for key in self.loads):
+        if any(key[0] == line for key in self.load_tasks):
             return True
         rank = rendezvous_rank(
             self.identity, (r.identity for r in self.directory.members("router")), f"roll-out/{line}"
@@ -233,7 +235,7 @@
         # serves nobody, so making it wait for its turn saves no capacity.
         is_late = self.clock.now() - state.named_micros >= self.full_parallel_after_micros
         max_busy_count = len(workers) if is_late else max(1, len(workers) // 3)
-        busy = {key[1] for key in self.loads if key[0] == line}
+        busy = {key[1] for key in self.load_tasks if key[0] == line}
         busy |= {b.name for b in workers if self.version_table.is_loading(b.name)}
         # Workers with failed loads come last, so that they don't delay the others. Among the rest the oldest version is
         # first: while several versions are in service, requests already served by a newer one could go back to it.
@@ -243,7 +245,7 @@
             if backend.name in busy or backend.name in self.retry_at_micros:
                 continue
             busy.add(backend.name)
-            self.loads[line, backend.name] = self.task_group.start(self._load(line, backend, state.wanted))
+            self.load_tasks[line, backend.name] = self.task_group.start(self._load(line, backend, state.wanted))
 
     def _load_priority(self, backend: Backend, line: str) -> tuple[int, int]:
         return self.failure_counts.get(backend.name, 0), self.version_table.version_of(backend.name, line) or 0
@@ -326,7 +328,10 @@
             await sleep_for(self.clock, wait_micros)
             if (self.version_table.version_of(backend.name, line) or 0) >= wanted:
                 return True
-            if backend.name not in self.rosters.roster.backends or unanswered_report_count >= UNANSWERED_REPORT_LIMIT:
+            if (
+                backend.name not in self.roster_provider.roster.backends
+                or unanswered_report_count >= UNANSWERED_REPORT_LIMIT
+            ):
                 return None
             report_result = await self.control.report(backend.address, REPORT_LIMIT_MICROS)
             unanswered_report_count = unanswered_report_count + 1 if isinstance(report_result, Err) else 0
--- a/src/pearhead/router/worker_control.py
+++ b/src/pearhead/router/worker_control.py
@@ -69,7 +69,7 @@
 class LoadOrder:
     """An order to load a version of a line's weights once the worker's running requests have ended.
 
-    `expected`: the order is taken only at this order count of the worker; None: at any.
+    `expected_order_count`: the order is taken only at this order count of the worker; None: at any.
     """
 
     worker: str
@@ -77,7 +77,7 @@
     version: int
     holder: str
     fence: int
-    expected: int | None = None
+    expected_order_count: int | None = None
 
 
 class OrderOutcome(Enum):
@@ -98,12 +98,12 @@
     async def list_workers(self, limit_micros: int) -> Result[list[Backend], str]:
         """All pages of the platform's worker list."""
 
-    async def kept_events(
+    async def cache_events(
         self, address: str, since: int, wait_micros: int, limit_micros: int
     ) -> Result[PrefixCacheEventBatch, str]:
         """Cache events from sequence number `since` on; a long poll, which waits up to `wait_micros` for one."""
 
-    async def kept_list(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
+    async def cache_contents(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
         """The whole content of the worker's prefix cache. Expensive: the worker is blocked while it answers."""
 
     async def report(self, address: str, limit_micros: int) -> Result[WorkerReport, str]:
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -95,8 +95,8 @@
         self,
         identity: str,
         view_replica: ViewReplica,
-        listener: RevisionListener,
-        index: CopyIndex,
+        revision_listener: RevisionListener,
+        copy_index: CopyIndex,
         link: WorkerLink,
         rpc_endpoint: RpcEndpoint,
         directory: Directory,
@@ -107,8 +107,8 @@
     ) -> None:
         self.identity = identity
         self.view_replica = view_replica
-        self.listener = listener
-        self.index = index
+        self.revision_listener = revision_listener
+        self.copy_index = copy_index
         self.link = link
         self.rpc_endpoint = rpc_endpoint
         self.directory = directory
@@ -124,11 +124,11 @@
         self.preferred_core = ""
         self.load_callback: Callable[[str, int, int], None] = lambda worker, running, waiting_tokens: None
         self.prefill_start_callback: Callable[[str, int], None] = lambda worker, tokens: None
-        self.unsound_callback: Callable[[str], None] = lambda worker: None
+        self.unhealthy_callback: Callable[[str], None] = lambda worker: None
         self.may_serve: Callable[[View, str, str], bool] = lambda view, line, worker: True
         self.serving_since: dict[tuple[str, int], int] = {}
         self.is_draining = False
-        listener.copy_note_handler = self._handle_purge_note
+        revision_listener.copy_note_handler = self._handle_purge_note
 
     async def run(self) -> None:
         """Runs a round every 0.2 s while the view is current and the node isn't draining, until cancelled."""
@@ -238,7 +238,7 @@
         is_loaded = load is not None and load.line == line and load.life == poll_state.life
         if load is not None and not is_loaded:
             # The worker restarted: it refuses every job until its weights are loaded (§7.5).
-            self._announce_unsound(worker.name)
+            self._announce_unhealthy(worker.name)
         if load is not None and is_loaded and load.weights_revision == current_weights.revision:
             return
         if is_loaded and not self._may_load(view, worker, line, current_weights.revision, poll_state):
@@ -269,7 +269,7 @@
         its wave has begun. Its last jobs are waited for, up to a limit: not every worker lets them end before it loads.
         """
         now_micros = self.clock.now()
-        since_micros = self.clock.now() - self.view_replica.first_seen.get((line, revision), 0)
+        since_micros = self.clock.now() - self.view_replica.first_seen_micros.get((line, revision), 0)
         if since_micros < VIEW_PROPAGATION_MICROS:
             return False  # Nodes that have not seen the new revision yet still send jobs here.
         is_excluded = not self.may_serve(view, line, worker.name)
@@ -328,7 +328,7 @@
             if isinstance(response, Err):
                 poll_state.failure_count += 1
                 if poll_state.failure_count >= UNANSWERED_POLL_LIMIT:
-                    self._announce_unsound(worker.name)
+                    self._announce_unhealthy(worker.name)
                 await sleep_for(self.clock, POLL_MICROS)
                 return
             poll_state.failure_count, poll_state.asked_micros = 0, asked_micros
@@ -352,9 +352,9 @@
         """
         unknown_keys = []
         for key in keys:
-            known_part = self.index.part_by_key.get(key)
+            known_part = self.copy_index.part_by_key.get(key)
             if known_part is not None:
-                self.task_group.start(self.listener.bump(*known_part))
+                self.task_group.start(self.revision_listener.bump(*known_part))
             else:
                 unknown_keys.append(key)
         if unknown_keys:
@@ -364,20 +364,20 @@
                 self.rpc_endpoint.send_message(record.address, "purge_note", note)
 
     def _handle_changed_note(self, note: ChangedNote) -> None:
-        parts = {self.index.part_by_key[key] for key in note.key if key in self.index.part_by_key}
+        parts = {self.copy_index.part_by_key[key] for key in note.key if key in self.copy_index.part_by_key}
         for part in sorted(parts):
             self.task_group.start(self._bump_on_behalf(*part))
 
     async def _bump_on_behalf(self, owner: str, line: str, part: int) -> None:
         """Bumps a part unless another node does: each waits a random time first and stops if the part was bumped."""
-        revision = self.listener.revision_of(owner, line, part)
+        revision = self.revision_listener.revision_of(owner, line, part)
         await sleep_for(self.clock, self.chance.randrange(BUMP_JITTER_MICROS))
-        if self.listener.is_changing(owner, line, part):
+        if self.revision_listener.is_changing(owner, line, part):
             # Another node has requested a bump, but may fail before it is done.
             await sleep_for(self.clock, PENDING_BUMP_WAIT_MICROS)
         # If the revision was unknown before, a change of it can't be detected. A redundant bump is harmless.
-        if revision is None or self.listener.last_revision_of(owner, line, part) == revision:
-            await self.listener.bump(owner, line, part)
+        if revision is None or self.revision_listener.last_revision_of(owner, line, part) == revision:
+            await self.revision_listener.bump(owner, line, part)
 
     def _publish_copies(self, worker: WorkerRecord, body: dict[str, Any], from_sequence: int) -> None:
         """Sends cache changes and load to all nodes. A node that misses them only reuses caches less (§6.5)."""
@@ -402,9 +402,9 @@
             for address in addresses:
                 self.rpc_endpoint.send_message(address, "purge_note", PurgeNote(copy_note=note))
 
-    def _announce_unsound(self, worker: str) -> None:
+    def _announce_unhealthy(self, worker: str) -> None:
         """Reports an unhealthy worker to all nodes, so that none has to find out by a failed job (§7.5)."""
-        self.unsound_callback(worker)
+        self.unhealthy_callback(worker)
         addresses = [r.address for r in self.directory.members("router")]
         self.rpc_endpoint.multicast(addresses, "purge_note", PurgeNote(copy_note=CopyNote(worker=worker, unsound=True)))
 
@@ -422,7 +422,7 @@
         if note.HasField("changed_note"):
             self._handle_changed_note(note.changed_note)
         elif note.copy_note.unsound:
-            self.unsound_callback(note.copy_note.worker)
+            self.unhealthy_callback(note.copy_note.worker)
         elif note.copy_note.starting_tokens:
             self.prefill_start_callback(note.copy_note.worker, note.copy_note.starting_tokens)
         else:
@@ -430,19 +430,19 @@
 
     def _record_copies(self, note: CopyNote) -> None:
         self.load_callback(note.worker, note.running, note.waiting_tokens)
-        self.index.apply_cache_report(
+        self.copy_index.apply_cache_report(
             note.worker, note.life, note.from_sequence, note.sequence, note.kept, note.dropped, note.whole
         )
         if not note.whole:
-            self.index.record_verified_keys(
+            self.copy_index.record_verified_keys(
                 self.view_replica.view.loads.get(note.worker), note.life, note.from_sequence, note.kept
             )
 
     async def _bump_line(self, line: str) -> None:
         """Bumps the known parts of a line in batches after its weights changed; done by one node (§6.3)."""
-        parts = self.index.parts_of_line(line)[:BUMP_LIMIT]
+        parts = self.copy_index.parts_of_line(line)[:BUMP_LIMIT]
         LOGGER.info("router: Bumps parts for new weights. line=%s parts=%d", line, len(parts))
         for position in range(0, len(parts), BUMP_BATCH_SIZE):
             for part in parts[position : position + BUMP_BATCH_SIZE]:
-                self.task_group.start(self.listener.bump(*part))
+                self.task_group.start(self.revision_listener.bump(*part))
             await sleep_for(self.clock, ROUND_MICROS)
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -180,7 +180,7 @@
             machine.chance,
         )
         # A crash cancels the tasks in the machine's task group, so all parts must use that one.
-        for part in (node, node.view_replica, node.listener, node.lease_controller):
+        for part in (node, node.view_replica, node.revision_listener, node.lease_controller):
             part.task_group = machine.task_group
         self.node_patch(node)
         node.start()
@@ -633,8 +633,8 @@
             self.ledger.last_weights = last_fleet.weights.get(self.deployment.line, {}).get("revision", 0)
             self.ledger.last_parts = last_fleet.parts
         for node in self.nodes.values():
-            self.ledger.retry_count += node.budget.retry_count
-            self.ledger.budgeted_job_count += node.budget.job_count
+            self.ledger.retry_count += node.retry_budget.retry_count
+            self.ledger.budgeted_job_count += node.retry_budget.job_count
 
     async def _generate_load(self, jobs_per_second: float) -> None:
         while True:
--- a/src/pearhead/testbed/simulator/measurements.py
+++ b/src/pearhead/testbed/simulator/measurements.py
@@ -37,16 +37,16 @@
     owner, line = f"tenant:{fleet.deployment.tenant_names[0]}", fleet.deployment.line
     for node in fleet.nodes.values():
         for part in range(1, 21):
-            node.listener.revision_of(owner, line, part)
+            node.revision_listener.revision_of(owner, line, part)
     await pause(fleet.world, 4 * SECOND)
     quiet_count, quiet_bytes = _sent_totals(fleet, "purge_note")
     await pause(fleet.world, 60 * SECOND)
     for node in fleet.nodes.values():
-        node.listener.revision_of(owner, line, 1)
+        node.revision_listener.revision_of(owner, line, 1)
     table_count, table_bytes = _sent_totals(fleet, "purge_note")
     nodes = list(fleet.nodes.values())
     for part in range(1, 21):
-        await nodes[part % len(nodes)].listener.bump(owner, line, part)
+        await nodes[part % len(nodes)].revision_listener.bump(owner, line, part)
     bump_count, bump_bytes = _sent_totals(fleet, "purge_note")
     return {
         "datagrams a bump": (bump_count - table_count) / 20,
@@ -59,7 +59,7 @@
 async def _measure_prefill_savings(fleet: SimFleet, uses_index: bool) -> Figures:
     """Share of prefill tokens saved, and median time of long jobs, with or without the cache index."""
     for node in fleet.nodes.values():
-        node.nominator.uses_index = uses_index
+        node.scheduler.uses_index = uses_index
     fleet.start_load(JOBS_PER_SECOND)
     await pause(fleet.world, LOAD_SECONDS * SECOND)
     await fleet.end_load()
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -53,7 +53,7 @@
     """Nodes drop 5 % of the events of an upstream stream, except the one with the usage."""
 
     def change(node: NodeProcess) -> None:
-        real_send_job = node.carrier.send_job
+        real_send_job = node.transport.send_job
 
         async def send_job(
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
@@ -62,7 +62,7 @@
                 if "usage" in event or node.chance.random() > 0.05:
                     yield event
 
-        node.carrier.send_job = send_job  # type: ignore[method-assign]
+        node.transport.send_job = send_job  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -72,7 +72,7 @@
     """Every broken stream is reported as not sent, so that jobs are retried that may have run."""
 
     def change(node: NodeProcess) -> None:
-        real_send_job = node.carrier.send_job
+        real_send_job = node.transport.send_job
 
         async def send_job(
             worker_address: str, upstream_job: UpstreamJob, may_begin: SendPrecondition
@@ -83,7 +83,7 @@
             except JobTransportError as fault:
                 raise JobTransportError("not_sent" if fault.stage == CUT else fault.stage, fault.detail) from fault
 
-        node.carrier.send_job = send_job  # type: ignore[method-assign]
+        node.transport.send_job = send_job  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -157,7 +157,7 @@
     """Nodes use workers with old weights without a time limit, and lease holders load no new weights."""
 
     def change(node: NodeProcess) -> None:
-        node.nominator.old_weights_micros = 10**12
+        node.scheduler.old_weights_micros = 10**12
         node.lease_controller._may_load = lambda *_: False  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
@@ -168,14 +168,14 @@
     """Nodes choose workers without regard to the leaving mark."""
 
     def change(node: NodeProcess) -> None:
-        real_candidates = node.nominator._candidates
+        real_candidates = node.scheduler._candidates
 
         def candidates(view: View, job: Job, is_model: bool) -> list[WorkerRecord]:
             for worker in view.workers.values():
                 object.__setattr__(worker, "leaving", False)
             return real_candidates(view, job, is_model)
 
-        node.nominator._candidates = candidates  # type: ignore[method-assign]
+        node.scheduler._candidates = candidates  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -300,12 +300,12 @@
 
     def change(node: NodeProcess) -> None:
         def try_withdraw(service: str) -> bool:
-            node.budget.retry_count += 1
+            node.retry_budget.retry_count += 1
             return True
 
-        node.budget.try_withdraw = try_withdraw  # type: ignore[method-assign]
-        node.nominator.record_failure = lambda worker: None  # type: ignore[method-assign]
-        node.lease_controller.unsound_callback = lambda worker: None
+        node.retry_budget.try_withdraw = try_withdraw  # type: ignore[method-assign]
+        node.scheduler.record_failure = lambda worker: None  # type: ignore[method-assign]
+        node.lease_controller.unhealthy_callback = lambda worker: None
 
     _patch_nodes(fleet, change)
 
@@ -315,7 +315,7 @@
     """The check right before the first byte of a job always passes."""
 
     def change(node: NodeProcess) -> None:
-        node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
+        node._may_send = lambda job, placement: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -325,13 +325,13 @@
     """Key and entry are checked before a job queues, and not again after its wait."""
 
     def change(node: NodeProcess) -> None:
-        real_check = node._check_in_force
+        real_check = node._check_against_view
 
         def check_in_force(job: Job) -> Any:
             return Ok(None) if job.entry is not None else real_check(job)
 
-        node._check_in_force = check_in_force  # type: ignore[method-assign]
-        node._may_begin = lambda job, placement: True  # type: ignore[method-assign]
+        node._check_against_view = check_in_force  # type: ignore[method-assign]
+        node._may_send = lambda job, placement: True  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -380,9 +380,9 @@
     """
 
     def change(node: NodeProcess) -> None:
-        node.nominator.record_failure = lambda worker: None  # type: ignore[method-assign]
-        node.lease_controller.unsound_callback = lambda worker: None
-        node.budget.try_withdraw = lambda service: False  # type: ignore[method-assign]
+        node.scheduler.record_failure = lambda worker: None  # type: ignore[method-assign]
+        node.lease_controller.unhealthy_callback = lambda worker: None
+        node.retry_budget.try_withdraw = lambda service: False  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
@@ -420,7 +420,7 @@
         async def bump(owner: str, line: str, part: int) -> None:
             return None
 
-        node.listener.bump = bump  # type: ignore[method-assign]
+        node.revision_listener.bump = bump  # type: ignore[method-assign]
 
     _patch_nodes(fleet, change)
 
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -81,10 +81,10 @@
         hello_count, hello_bytes = rate_per_second("hello", "hello_result")
         owner = f"tenant:{fleet.deployment.tenant_names[0]}"
         for node in fleet.nodes.values():
-            node.listener.revision_of(owner, fleet.deployment.line, 1)
+            node.revision_listener.revision_of(owner, fleet.deployment.line, 1)
         await pause(world, 3 * SECOND)
         bump_before = _sent_totals(fleet)["purge_note"]
-        await fleet.nodes["node-1"].listener.bump(owner, fleet.deployment.line, 1)
+        await fleet.nodes["node-1"].revision_listener.bump(owner, fleet.deployment.line, 1)
         bump_after = _sent_totals(fleet)["purge_note"]
         fan_out = _measure_fan_out(fleet, owner)
         apply_before = _sent_totals(fleet)["term_result"]
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -614,7 +614,7 @@
         apply_task = fleet.world.loop.create_task(fleet.apply(fleet.marked_description(kind)))
         bump_tasks = [
             fleet.world.loop.create_task(
-                fleet.nodes["node-1"].listener.bump(
+                fleet.nodes["node-1"].revision_listener.bump(
                     f"tenant:{fleet.deployment.tenant_names[0]}", fleet.deployment.line, part
                 )
             )
@@ -687,7 +687,7 @@
     for number in range(30):
         node = fleet.nodes[fleet.world.chance.choice(sorted(fleet.nodes))]
         part = fleet.world.chance.randrange(1, 4)
-        tasks.append(fleet.world.loop.create_task(node.listener.bump(owner, fleet.deployment.line, part)))
+        tasks.append(fleet.world.loop.create_task(node.revision_listener.bump(owner, fleet.deployment.line, part)))
         await pause(fleet.world, 150 * MILLI)
         if number in (8, 20):
             fleet.kill(fleet.leader(), loses_power=True)
@@ -781,7 +781,9 @@
     leader_node = fleet.nodes["node-1"]
     owner = f"tenant:{fleet.deployment.tenant_names[0]}"
     for number in range(1_200):
-        fleet.world.machine("node-1").task_group.start(leader_node.listener.bump(owner, fleet.deployment.line, number))
+        fleet.world.machine("node-1").task_group.start(
+            leader_node.revision_listener.bump(owner, fleet.deployment.line, number)
+        )
         if number % 60 == 0:
             await pause(fleet.world, 200 * MILLI)
     fleet.start(lagging)
--- a/tests/test_fresh_state.py
+++ b/tests/test_fresh_state.py
@@ -61,7 +61,7 @@
         runtime = FakeRuntime()
         gateway = make_gateway(runtime)
         self.assertIsNone(gateway.view(), "no view was confirmed yet")
-        gateway.view_replica.view, gateway.view_replica.current_at = make_view(0), runtime.now()
+        gateway.view_replica.view, gateway.view_replica.confirmed_micros = make_view(0), runtime.now()
         gateway.view_replica.has_view = True
         self.assertIsNone(gateway.view(), "a confirmed view without a configuration")
         gateway.view_replica.view = make_view(3)
@@ -79,7 +79,7 @@
         for bound_micros, trusted_micros in ((5 * SECOND, 5 * SECOND), (0, SERVE_ON_MICROS)):
             gateway = make_gateway(runtime, bound_micros)
             gateway.view_replica.view, gateway.view_replica.has_view = make_view(3), True
-            gateway.view_replica.current_at = runtime.now()
+            gateway.view_replica.confirmed_micros = runtime.now()
             runtime.now_micros += trusted_micros
             self.assertTrue(gateway.trusts_keys())
             self.assertIsNotNone(gateway.view())
@@ -94,7 +94,7 @@
         routes[1] = dataclasses.replace(routes[1], public=True)
         view = View()
         view.__dict__.update(description=Description(routes=routes, tenants=[tenant]), number=3)
-        gateway.view_replica.view, gateway.view_replica.has_view, gateway.view_replica.current_at = (
+        gateway.view_replica.view, gateway.view_replica.has_view, gateway.view_replica.confirmed_micros = (
             view,
             True,
             runtime.now(),
@@ -102,7 +102,7 @@
 
         def resolve(path: str, key: str) -> ErrorKind | None:
             request = OpaqueRequest("1", "POST", path, "h", path, HTTPHeaders(), b"", runtime.now(), hash_key(key))
-            resolution = gateway.gate._resolve_route(request)
+            resolution = gateway.request_proxy._resolve_route(request)
             return resolution.err_value.kind if isinstance(resolution, Err) else None
 
         self.assertEqual((resolve("/a/", "key"), resolve("/a/", "none")), (None, ErrorKind.BAD_KEY))
@@ -118,7 +118,7 @@
         self.assertTrue(grace_period.may_use(make_view(1, m=1), "m", 1))
         known_current_micros = runtime.now()
         runtime.now_micros += 2 * SECOND
-        view_replica.named_after["m", 2] = known_current_micros
+        view_replica.not_acknowledged_before["m", 2] = known_current_micros
         newer_view = make_view(2, m=2)
         self.assertTrue(grace_period.may_use(newer_view, "m", 1))
         runtime.now_micros = known_current_micros + OLD_MICROS - 1
@@ -129,7 +129,7 @@
             "counted from when the view was last confirmed without newer weights",
         )
         self.assertTrue(grace_period.may_use(newer_view, "m", 2))
-        view_replica.named_after["m", 3] = runtime.now()
+        view_replica.not_acknowledged_before["m", 3] = runtime.now()
         self.assertFalse(
             grace_period.may_use(make_view(3, m=3), "m", 1), "a later revision must not extend the grace period"
         )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -101,9 +101,9 @@
 
 class FrontTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.carrier = ScriptedCarrier()
+        self.transport = ScriptedCarrier()
         startup = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], bodyLimitBytes=10_000)
-        self.node = NodeProcess(startup, BootClock(), FakeRuntime(), self.carrier, NoLink(), random.Random(1))
+        self.node = NodeProcess(startup, BootClock(), FakeRuntime(), self.transport, NoLink(), random.Random(1))
         self.node.view_replica.view = make_view()
         self.node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
@@ -156,7 +156,7 @@
         lines = [json.loads(x) for x in body.splitlines()]
         self.assertEqual((status, is_complete, [x["job"] for x in lines]), (200, True, ["j"] * 3))
         self.assertEqual((lines[-1]["end"], lines[-1]["lines"]), (True, 2))
-        self.carrier.cut_after = 1
+        self.transport.cut_after = 1
         self.send_request(self.build_body())
         status, body, is_complete = await self.read_response()
         self.assertEqual((status, is_complete, len(body.splitlines())), (200, False, 1))
@@ -186,7 +186,7 @@
         for body, key, expected in cases:
             self.send_request(body, key)
             self.assertEqual(await self.read_refusal(), expected)
-        self.assertEqual(self.carrier.started_count, 0)
+        self.assertEqual(self.transport.started_count, 0)
         self.send_request(b"", size=20_000)
         self.assertEqual(await self.read_refusal(), (413, "too_large", "not_run"))
 
@@ -196,14 +196,14 @@
         sections = dict(make_view().sections)
         sections[ENTRY_SECTIONS[0]] = (5, json.dumps(description["entries"]).encode())
         self.node.view_replica.view = View(5, sections)
-        self.carrier.cut_after = 0
+        self.transport.cut_after = 0
         self.send_request(self.build_body())
         self.assertEqual(await self.read_refusal(), (502, "outcome_unknown", "unknown"))
-        self.assertEqual(self.carrier.started_count, 1)
+        self.assertEqual(self.transport.started_count, 1)
 
     async def test_a_repeatable_job_that_fails_again_is_no_refusal_either(self) -> None:
-        self.node.budget.tokens["desk"] = 5.0
-        self.carrier.cut_after = 0
+        self.node.retry_budget.tokens["desk"] = 5.0
+        self.transport.cut_after = 0
         self.send_request(self.build_body())
         self.assertEqual(await self.read_refusal(), (502, "outcome_unknown", "unknown"))
 
@@ -217,8 +217,8 @@
 
     async def test_a_line_of_another_job_cuts_the_stream_and_never_reaches_the_caller(self) -> None:
         for wrong_after, expected in ((0, (502, True, 1)), (1, (200, False, 1))):
-            self.carrier.wrong_after = wrong_after
-            self.node.nominator.unhealthy_until.clear()
+            self.transport.wrong_after = wrong_after
+            self.node.scheduler.unhealthy_until.clear()
             self.send_request(self.build_body())
             status, body, is_complete = await self.read_response()
             self.assertEqual((status, is_complete, len(body.splitlines())), expected)
@@ -227,7 +227,7 @@
                 self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port_number, limit=2**16)
 
     async def test_nothing_after_the_closing_line_reaches_the_caller_or_the_next_job(self) -> None:
-        self.carrier.trailing = [{"id": "cmpl-another", "choices": [{"text": "late"}]}]
+        self.transport.trailing = [{"id": "cmpl-another", "choices": [{"text": "late"}]}]
         for job_id in ("first", "second"):
             self.send_request(self.build_body(jobId=job_id))
             status, body, is_complete = await self.read_response()
@@ -245,14 +245,14 @@
             status, body, is_complete = await self.read_response()
             seen.append((status, is_complete, {json.loads(x).get("job") for x in body.splitlines()}))
         self.assertEqual(seen, [(200, True, {"a"}), (401, True, {None}), (200, True, {"c"})])
-        self.assertEqual(self.carrier.started_count, 2)
+        self.assertEqual(self.transport.started_count, 2)
 
     async def test_the_last_check_sees_whatever_went_since_nomination(self) -> None:
         """The check fails once the key, entry, worker or current view is lost while the job runs, and not otherwise."""
-        self.carrier.line_count = 10**9
+        self.transport.line_count = 10**9
         self.send_request(self.build_body())
         await self.reader.readuntil(b"\r\n\r\n")
-        may_begin = self.carrier.may_begin
+        may_begin = self.transport.may_begin
         view = self.node.view_replica.view
         self.assertTrue(may_begin())
         description = build_description(ACADEMY)
@@ -279,7 +279,7 @@
         sections = dict(self.node.view_replica.view.sections)
         sections[ENTRY_SECTIONS[0]] = (5, json.dumps(description["entries"]).encode())
         self.node.view_replica.view = View(5, sections)
-        self.carrier.line_count = 10**9
+        self.transport.line_count = 10**9
         self.send_request(self.build_body(jobId="first"))
         await self.reader.readuntil(b"\r\n\r\n")
         writer = self.writer
@@ -299,7 +299,7 @@
         self.node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
         await queue("third")
         self.node.is_draining = True
-        self.carrier.line_count = 2
+        self.transport.line_count = 2
         writer.close()
         status, body, is_complete = await asyncio.wait_for(self.read_response(), 10)
         self.assertEqual(
@@ -307,33 +307,33 @@
         )
 
     async def test_a_caller_that_goes_away_ends_the_upstream(self) -> None:
-        self.carrier.line_count = 10**9
+        self.transport.line_count = 10**9
         self.send_request(self.build_body())
         await self.reader.readuntil(b"\r\n\r\n")
         self.writer.close()
-        await asyncio.wait_for(self.carrier.closed.wait(), 10)
+        await asyncio.wait_for(self.transport.closed.wait(), 10)
         while self.node.open_jobs:
             await asyncio.sleep(0)
-        self.assertEqual(self.node.nominator.running_counts, {})
+        self.assertEqual(self.node.scheduler.running_counts, {})
 
     async def test_a_slow_caller_slows_the_upstream_down(self) -> None:
-        self.carrier.line_count, self.carrier.text = 2_000, CHUNK
+        self.transport.line_count, self.transport.text = 2_000, CHUNK
         self.send_request(self.build_body())
         await self.reader.readuntil(b"\r\n\r\n")
         turns_without_progress, last_count = 0, -1
         while turns_without_progress < 2_000:
             await asyncio.sleep(0)
-            is_stalled = self.carrier.yielded_count == last_count
+            is_stalled = self.transport.yielded_count == last_count
             turns_without_progress = turns_without_progress + 1 if is_stalled else 0
-            last_count = self.carrier.yielded_count
+            last_count = self.transport.yielded_count
         self.assertLess(last_count * len(CHUNK), 40_000_000, "200 MB must not be buffered")
-        self.assertLess(last_count, self.carrier.line_count)
+        self.assertLess(last_count, self.transport.line_count)
 
     async def test_a_caller_too_slow_for_its_deadline_is_cut_and_the_upstream_ended(self) -> None:
-        self.carrier.line_count, self.carrier.text = 2_000, CHUNK
+        self.transport.line_count, self.transport.text = 2_000, CHUNK
         self.send_request(self.build_body(deadlineMicros=300_000))
         await self.reader.readuntil(b"\r\n\r\n")
-        await asyncio.wait_for(self.carrier.closed.wait(), 10)
+        await asyncio.wait_for(self.transport.closed.wait(), 10)
         received = b""
         with contextlib.suppress(ConnectionError):
             while chunk := await self.reader.read(2**20):
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -439,7 +439,7 @@
             await self.pass_through(list(calls), parts=parts, broadcast=notes.append, tries=1, **STREAM)
             self.assertEqual(len(notes), 2)
             self.assertTrue(notes[-1].is_over)
-            self.assertEqual((notes[-1].is_kept, self.proxy.prefills.prefills), (kept, {}))
+            self.assertEqual((notes[-1].is_kept, self.proxy.prefill_tracker.prefills), (kept, {}))
 
     async def test_a_workers_own_failure_is_passed_on(self) -> None:
         server_error = FakeCall((500, "Oh", HTTPHeaders({"Seal": "s"})), (b"why",))
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -155,7 +155,7 @@
     with contextlib.suppress(asyncio.CancelledError):
         await job_task
     queue = node.admission.queues.get("notice")
-    assert node.open_jobs == 0 and not node.nominator.running_counts, "a count was not released"
+    assert node.open_jobs == 0 and not node.scheduler.running_counts, "a count was not released"
     assert queue is None or (queue.running_count, queue.waiting_count) == (0, 0), "a queue slot was not released"
     assert not carrier.started_count or carrier.closed.is_set(), "the upstream request goes on"
 
--- a/tests/test_kept_index.py
+++ b/tests/test_kept_index.py
@@ -50,7 +50,7 @@
         self.index.apply_note(note(1, ("b", 50), life="2"))
         self.assertEqual(self.kept(), 0, "a new life starts with an empty cache")
         self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset({"w"}))
-        self.index.forget("w")
+        self.index.clear_location("w")
         self.assertEqual(self.index.cache_locations_of("s", "b"), frozenset())
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -138,13 +138,13 @@
     def test_figures_follow_what_they_count(self) -> None:
         gateway = self.gateway
         workers = [Backend("w1", "w1:80", "z", "s", 4), Backend("w2", "w2:80", "z", "s", 4, is_leaving=True)]
-        gateway.rosters._merge(workers, self.runtime.now() - 1_500 * MILLI)
-        gateway.rosters.is_asker = True
+        gateway.roster_synchronizer._merge(workers, self.runtime.now() - 1_500 * MILLI)
+        gateway.roster_synchronizer.is_asker = True
         gateway.relay.is_relaying = True
-        gateway.view_replica.current_at = self.runtime.now() - 250 * MILLI
-        gateway.gate.accepted_count = 7
-        gateway.gate.in_flight_requests = {mock.Mock(), mock.Mock()}
-        gateway.gate.outcomes.update(done=4, cut=1)
+        gateway.view_replica.confirmed_micros = self.runtime.now() - 250 * MILLI
+        gateway.request_proxy.accepted_count = 7
+        gateway.request_proxy.in_flight_requests = {mock.Mock(), mock.Mock()}
+        gateway.request_proxy.outcomes.update(done=4, cut=1)
         self.edge.streams = {mock.Mock() for _ in range(9)}
         gateway.rpc_endpoint.multicast(["127.0.0.1:9", "127.0.0.1:8"], "use_note", UseNote())
         gateway.loop_lag.record_lateness(30 * MILLI)
@@ -340,9 +340,9 @@
 
     def test_a_roster_that_forgets_who_leaves_is_a_violation(self) -> None:
         gateway = build_gateway(self.runtime, self.runtime)
-        rosters = gateway.rosters
+        rosters = gateway.roster_synchronizer
         rosters._merge([Backend("w1", "w1:80", "z", "s", 4, is_leaving=True)], self.runtime.now())
-        rosters.merge.leaving.clear()
+        rosters.merge.leaving_names.clear()
         with self.assertLogs(LOGGER, "ERROR"):
             rosters._merge([Backend("w1", "w1:80", "z", "s", 4)], self.runtime.now() + 1)
         self.assertEqual(gateway.invariants.violations[Invariant.LEAVING_IS_FINAL], 1)
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -212,7 +212,7 @@
             ended = await asyncio.wait_for(worker.ended, PATIENCE_SECONDS)
             self.assertEqual(len(worker.heads), 1)
             self.assertLess(ended - closed, ALLOWED_SECONDS, behavior.__name__)
-            self.assertEqual(self.proxy.loads.own_loads, {}, "its load was not released")
+            self.assertEqual(self.proxy.load_tracker.own_loads, {}, "its load was not released")
             worker.server.close()
 
     async def test_a_connection_to_a_worker_that_is_on_its_way_is_given_up(self) -> None:
@@ -297,7 +297,7 @@
                 pool = UpstreamPool(FakeRuntime())
                 await self.ask(pool, address, "POST", body)
                 await self.ask(pool, address, "GET", b"")
-                pool.forget(address)
+                pool.remove_address(address)
                 await asyncio.sleep(read_on_after + 0.1)
                 server.close()
                 self.assertTrue(worker.heads[0].startswith(b"POST"))
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -146,7 +146,7 @@
     def test_a_caller_that_has_a_part_of_its_answer_goes_on_with_the_newest_weights(self) -> None:
         """Another node may have served the first part with the newest weights, before most workers have loaded them."""
         for newest in ("w4", "w2"):
-            self.selector.versions.record(newest, "l", 2)
+            self.selector.version_table.record(newest, "l", 2)
             self.loads.begin(newest, 50_000, 50_000)
         for tokens in ((50, 200), (9_000, 500)):
             self.assertEqual(self.choose(*tokens).version, 1, "workers on the older weights are idle")
--- a/tests/test_platform_workers.py
+++ b/tests/test_platform_workers.py
@@ -145,7 +145,7 @@
             ),
         )
         for _ in range(3):
-            result = await self.client.kept_events(self.address, 118, 800_000, LIMIT_MICROS)
+            result = await self.client.cache_events(self.address, 118, 800_000, LIMIT_MICROS)
             self.assertEqual(result, Ok(expected))
         self.assertEqual(self.connection_count, 1)
         self.assertIn("GET /v1/kv-events?Since=118 HTTP/1.1", self.request_heads[0])
@@ -155,21 +155,21 @@
         self.respond_with(EVENTS)
         self.closes_after_response = True
         for _ in range(3):
-            self.assertIsInstance(await self.client.kept_events(self.address, 118, 800_000, LIMIT_MICROS), Ok)
+            self.assertIsInstance(await self.client.cache_events(self.address, 118, 800_000, LIMIT_MICROS), Ok)
         self.assertEqual((self.connection_count, len(self.request_heads)), (3, 3))
         self.respond_with(EVENTS, extra="Connection: close\r\n")
         self.closes_after_response = False
-        self.assertIsInstance(await self.client.kept_events(self.address, 118, 800_000, LIMIT_MICROS), Ok)
+        self.assertIsInstance(await self.client.cache_events(self.address, 118, 800_000, LIMIT_MICROS), Ok)
         self.assertEqual(self.client.idle_connections, {})
 
     async def test_a_store_that_started_again_counts_anew_and_is_heard(self) -> None:
         self.respond_with(EVENTS)
-        result = (await self.client.kept_events(self.address, 400, 800_000, LIMIT_MICROS)).unwrap()
+        result = (await self.client.cache_events(self.address, 400, 800_000, LIMIT_MICROS)).unwrap()
         self.assertEqual((result.life, result.next_sequence, len(result.events)), ("77120", 120, 2))
 
     async def test_an_answer_to_an_earlier_call_drops_its_connection(self) -> None:
         self.respond_with(EVENTS)
-        self.assertIsInstance(await self.client.kept_events(self.address, 120, 800_000, LIMIT_MICROS), Err)
+        self.assertIsInstance(await self.client.cache_events(self.address, 120, 800_000, LIMIT_MICROS), Err)
         self.assertEqual(self.client.idle_connections, {})
 
     async def test_reports_and_lists(self) -> None:
@@ -180,7 +180,7 @@
         )
         self.respond_with({"Incarnation": 77120, "NextPage": 120, "Held": [["s1", "5c1e07a2", 800, "daka510000"]]})
         self.assertEqual(
-            await self.client.kept_list(self.address, LIMIT_MICROS),
+            await self.client.cache_contents(self.address, LIMIT_MICROS),
             Ok(
                 PrefixCacheEventBatch(
                     "77120", 120, False, (PrefixCacheEvent(True, "s1", "5c1e07a2", 800, "daka510000"),)
@@ -258,7 +258,7 @@
             self.assertIsInstance(await self.client.report(self.address, LIMIT_MICROS), Err, data)
         for event in bad_events:
             self.respond_with({**EVENTS, "Events": [event]})
-            self.assertIsInstance(await self.client.kept_events(self.address, 0, 0, LIMIT_MICROS), Err, event)
+            self.assertIsInstance(await self.client.cache_events(self.address, 0, 0, LIMIT_MICROS), Err, event)
         for name, value in (
             ("Address", "x"),
             ("Address", "x:y"),
@@ -287,7 +287,7 @@
     async def test_a_peer_that_is_silent_or_not_there_is_an_error_within_the_limit(self) -> None:
         began = asyncio.get_running_loop().time()
         self.assertIsInstance(await self.client.report(self.address, SECOND // 5), Err)
-        self.assertIsInstance(await self.client.kept_events(self.address, 0, 0, SECOND // 5), Err)
+        self.assertIsInstance(await self.client.cache_events(self.address, 0, 0, SECOND // 5), Err)
         self.assertLess(asyncio.get_running_loop().time() - began, 5)
         self.assertEqual(self.client.idle_connections, {})
         self.assertIsInstance(await self.client.report("127.0.0.1:1", LIMIT_MICROS), Err)
@@ -296,6 +296,6 @@
     async def test_what_follows_a_whole_answer_belongs_to_no_call(self) -> None:
         stray_response = format_response({**EVENTS, "NextPage": 5, "Events": [[5, "+", "s", "p", 1, "m"]]})
         self.response_for = lambda path: format_response(EVENTS) + stray_response
-        self.assertIsInstance(await self.client.kept_events(self.address, 118, 800_000, LIMIT_MICROS), Ok)
-        result = await self.client.kept_events(self.address, 118, 800_000, LIMIT_MICROS)
+        self.assertIsInstance(await self.client.cache_events(self.address, 118, 800_000, LIMIT_MICROS), Ok)
+        result = await self.client.cache_events(self.address, 118, 800_000, LIMIT_MICROS)
         self.assertNotEqual(result.unwrap_or(None) and result.unwrap().next_sequence, 5)
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -217,7 +217,7 @@
 
     async def __aexit__(self, *fault: object) -> None:
         for worker in self.workers:
-            self.pool.forget(worker.address)
+            self.pool.remove_address(worker.address)
             assert worker.server is not None
             worker.server.close()
             for writer in worker.writers:
--- a/tests/test_roster_freshness.py
+++ b/tests/test_roster_freshness.py
@@ -131,7 +131,7 @@
             ages = []
             for _ in range(60):
                 await pause(fleet.world, 100 * MILLI)
-                ages += [fleet.world.now() - node.rosters.roster.at_micros for node in fleet.nodes]
+                ages += [fleet.world.now() - node.rosters.roster.requested_micros for node in fleet.nodes]
             self.assertLess(max(ages), 2 * SECOND)
 
         run_fleet(NODE_COUNT, scenario)
--- a/tests/test_router_nominate.py
+++ b/tests/test_router_nominate.py
@@ -152,12 +152,12 @@
         self.view.__dict__["weights"] = {"l": WeightsRecord("y", 6)}
         self.assertEqual(self.scheduler.schedule_job(self.job()).unwrap_err().kind, ErrorKind.NO_WORKER)
         view_replica = self.scheduler.view_replica
-        view_replica.first_seen["l", 6] = view_replica.named_after["l", 6] = self.runtime.now()
+        view_replica.first_seen_micros["l", 6] = view_replica.not_acknowledged_before["l", 6] = self.runtime.now()
         self.assertEqual(self.place().worker.name, "w3", "workers of the first wave get no jobs")
         self.assertEqual(self.place().weights_name, "x")
         self.runtime.now_micros += 6 * SECOND
         self.view.__dict__["weights"] = {"l": WeightsRecord("z", 7)}
-        view_replica.first_seen["l", 7] = view_replica.named_after["l", 7] = self.runtime.now()
+        view_replica.first_seen_micros["l", 7] = view_replica.not_acknowledged_before["l", 7] = self.runtime.now()
         self.assertEqual(self.place().weights_name, "x")
         self.runtime.now_micros += 2 * SECOND
         self.assertEqual(
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -200,7 +200,7 @@
         self.server.stop()
         await self.server.close_all_connections()
         for worker in self.workers:
-            self.pool.forget(worker.address)
+            self.pool.remove_address(worker.address)
             assert worker.server is not None
             worker.server.close()
             for writer in worker.writers:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -67,7 +67,7 @@
         port = server.sockets[0].getsockname()[1]
         responses = [await self.ask(pool, f"127.0.0.1:{port}") for _ in range(asks)]
         for address in list(pool.idle):
-            pool.forget(address)
+            pool.remove_address(address)
         server.close()
         return responses, scripted_server
 
--- a/tests/test_weights_clock.py
+++ b/tests/test_weights_clock.py
@@ -42,7 +42,7 @@
     def apply_view(self, index: int, version: int) -> None:
         """Applies a view as if a core had sent it; the node then knows that its view is current."""
         self.view_replica._apply_view_delta(make_term_result(index, version))
-        self.view_replica.current_at = self.runtime.now()
+        self.view_replica.confirmed_micros = self.runtime.now()
 
     def may_use(self, version: int) -> bool:
         return self.grace_period.may_use(self.view_replica.view, LINE, version)
@@ -71,7 +71,7 @@
         self.apply_view(1, 1)
         self.apply_view(2, 2)
         self.runtime.now_micros += OLD_MICROS
-        self.view_replica.current_at = self.runtime.now()
+        self.view_replica.confirmed_micros = self.runtime.now()
         self.apply_view(3, 3)
         self.assertFalse(self.may_use(1))
         self.assertTrue(self.may_use(2))
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -168,7 +168,7 @@
         await sleep_for(self.machine, 2 * MILLI)
         return Ok(listed)
 
-    async def kept_events(
+    async def cache_events(
         self, address: str, since: int, wait_micros: int, limit_micros: int
     ) -> Result[PrefixCacheEventBatch, str]:
         self.platform.event_calls.append((self.platform.world.now(), self.machine.name, address, since))
@@ -192,7 +192,7 @@
             )
         )
 
-    async def kept_list(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
+    async def cache_contents(self, address: str, limit_micros: int) -> Result[PrefixCacheEventBatch, str]:
         raise AssertionError("a full cache list blocks the worker and must not be requested")
 
     async def report(self, address: str, limit_micros: int) -> Result[WorkerReport, str]:
@@ -372,7 +372,7 @@
             SECOND,
             InvariantCounters(machine, strict=True),
         )
-        self.rosters.watchers.append(self.version_table.apply_roster)
+        self.rosters.roster_observers.append(self.version_table.apply_roster)
         self.publisher = RosterPublisher(self.rosters, self.core_client, self.core_client, machine)
         self.sink = RecordingSink()
         self.poller = PrefixCachePoller(
