--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -33,10 +33,10 @@
 GET = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 OK_HEAD = b"HTTP/1.1 200"
 # Real-time timeout; only a failing test waits this long.
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
-class HandTimer:
+class ManualTimer:
     def __init__(self, due_micros: int, callback: Callable[[], None]) -> None:
         self.due_micros = due_micros
         self.callback = callback
@@ -46,18 +46,18 @@
         self.is_cancelled = True
 
 
-class HandClock:
+class ManualClock:
     """A clock that the test advances; due timers run in order of time."""
 
     def __init__(self) -> None:
         self.now_micros = 100 * SECOND
-        self.timers: list[HandTimer] = []
+        self.timers: list[ManualTimer] = []
 
     def now(self) -> int:
         return self.now_micros
 
-    def after(self, delay_micros: int, callback: Callable[[], None]) -> HandTimer:
-        self.timers.append(HandTimer(self.now_micros + delay_micros, callback))
+    def after(self, delay_micros: int, callback: Callable[[], None]) -> ManualTimer:
+        self.timers.append(ManualTimer(self.now_micros + delay_micros, callback))
         return self.timers[-1]
 
     def advance(self, micros: int) -> None:
@@ -70,7 +70,7 @@
         self.now_micros = end_micros
 
 
-class PlainReader:
+class PassthroughRequestParser:
     """A RequestParser that accepts any request."""
 
     def parse_request(
@@ -82,7 +82,7 @@
         return ERROR_TABLE[refusal.kind].status, HTTPHeaders(), refusal.detail.encode()
 
 
-class Caller:
+class RawClient:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
@@ -93,7 +93,7 @@
     async def answer(self) -> tuple[bytes, bytes]:
         """Returns the status line and body of the next response; both empty if the connection ended first."""
         try:
-            head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE_SECONDS)
+            head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), TIMEOUT_SECONDS)
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
             return head.partition(b"\r\n")[0], await self.reader.readexactly(length)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -105,7 +105,7 @@
 
     async def has_ended(self) -> bool:
         try:
-            return await asyncio.wait_for(self.reader.read(1), PATIENCE_SECONDS) == b""
+            return await asyncio.wait_for(self.reader.read(1), TIMEOUT_SECONDS) == b""
         except ConnectionError:
             return True
 
@@ -122,17 +122,17 @@
 
 class ClientLimitsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.limits = LIMITS
         self.received_requests: list[OpaqueRequest] = []
         self.may_respond = asyncio.Event()
         self.may_respond.set()
-        self.manager = ClientConnectionManager(self.clock, PlainReader(), self.serve, lambda: self.limits)
+        self.manager = ClientConnectionManager(self.clock, PassthroughRequestParser(), self.serve, lambda: self.limits)
         self.server = ClientHttpServer(self.manager)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
-        self.callers: list[Caller] = []
+        self.callers: list[RawClient] = []
 
     async def asyncTearDown(self) -> None:
         for caller in self.callers:
@@ -147,8 +147,8 @@
         writer.write(b"ok")
         writer.finish()
 
-    async def connect(self) -> Caller:
-        self.callers.append(Caller(*await asyncio.open_connection("127.0.0.1", self.port_number)))
+    async def connect(self) -> RawClient:
+        self.callers.append(RawClient(*await asyncio.open_connection("127.0.0.1", self.port_number)))
         return self.callers[-1]
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -196,7 +196,7 @@
         caller = await self.connect()
         caller.writer.write(b"HEAD" + head_of(501)[3:])
         with self.assertNoLogs("tornado.application"):
-            answer = await asyncio.wait_for(caller.reader.read(), PATIENCE_SECONDS)
+            answer = await asyncio.wait_for(caller.reader.read(), TIMEOUT_SECONDS)
         self.assertIn(b" 431 ", answer)
         self.assertTrue(answer.endswith(b"\r\n\r\n"), answer)
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -24,8 +24,8 @@
 from pearhead.router.request_proxy import RequestProxy
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND, sleep_for
-from tests.test_client_limits import OK_HEAD, PATIENCE_SECONDS, Caller, HandClock, PlainReader, post
-from tests.test_gate import FakeCurrent, FakeDialect, FakePlacer
+from tests.test_client_limits import OK_HEAD, TIMEOUT_SECONDS, ManualClock, PassthroughRequestParser, RawClient, post
+from tests.test_gate import FakeProtocolAdapter, FakeSelector, FakeViewProvider
 
 GRACE_MICROS = 8 * SECOND
 STEP_MICROS = 20 * MILLI
@@ -82,7 +82,7 @@
 class FakeWorker:
     """A connection pool with a single worker; `connect_micros`: how long connecting takes."""
 
-    def __init__(self, clock: HandClock) -> None:
+    def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
         self.sent: list[str] = []
         self.connect_micros = 0
@@ -106,30 +106,32 @@
 
 class DrainCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.violations: list[str] = []
         self.state = DrainState(self.clock, DrainSchedule.for_grace_period(GRACE_MICROS), self.violations.append)
         self.worker = FakeWorker(self.clock)
-        placer: Any = FakePlacer()
+        selector: Any = FakeSelector()
         pool: Any = self.worker
         self.proxy = RequestProxy(
             self.clock,
-            FakeCurrent(make_view()),
-            placer,
+            FakeViewProvider(make_view()),
+            selector,
             WorkerLoadTracker(self.clock),
             pool,
             FleetRetryBudget(self.clock, 0.2, 50, 10 * SECOND),
-            FakeDialect(),
+            FakeProtocolAdapter(),
             lambda: 1,
             lambda worker, head: None,
             drain=self.state,
         )
-        self.manager = ClientConnectionManager(self.clock, PlainReader(), self.proxy.serve, ClientLimits, self.state)
+        self.manager = ClientConnectionManager(
+            self.clock, PassthroughRequestParser(), self.proxy.serve, ClientLimits, self.state
+        )
         self.server = ClientHttpServer(self.manager)
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
-        self.callers: list[Caller] = []
+        self.callers: list[RawClient] = []
         self.drain = DrainCoordinator(self.state, self.server, self.proxy)
 
     async def asyncTearDown(self) -> None:
@@ -139,8 +141,8 @@
         await self.server.close_all_connections()
         self.assertEqual(self.violations, [])
 
-    async def connect(self) -> Caller:
-        self.callers.append(Caller(*await asyncio.open_connection("127.0.0.1", self.port_number)))
+    async def connect(self) -> RawClient:
+        self.callers.append(RawClient(*await asyncio.open_connection("127.0.0.1", self.port_number)))
         return self.callers[-1]
 
     async def advance(self, micros: int) -> None:
@@ -159,7 +161,7 @@
     def stop_process(self) -> asyncio.Task[None]:
         return asyncio.create_task(self.drain_and_end())
 
-    async def connect_idle(self) -> Caller:
+    async def connect_idle(self) -> RawClient:
         """Returns a client with an idle connection that has served a request."""
         caller = await self.connect()
         answer = asyncio.create_task(caller.ask(get("/whole/0")))
@@ -167,10 +169,10 @@
         self.assertIn(OK_HEAD, await answer)
         return caller
 
-    async def read_to_end(self, caller: Caller) -> bytes:
+    async def read_to_end(self, caller: RawClient) -> bytes:
         """Reads a connection until it ends; empty after a reset."""
         try:
-            return await asyncio.wait_for(caller.reader.read(), PATIENCE_SECONDS)
+            return await asyncio.wait_for(caller.reader.read(), TIMEOUT_SECONDS)
         except ConnectionError:
             return b""
 
@@ -274,7 +276,7 @@
             self.server.stop_accepting()
             early.setblocking(False)
             received = asyncio.create_task(asyncio.get_running_loop().sock_recv(early, 4_096))
-            answer = await asyncio.wait_for(received, PATIENCE_SECONDS)
+            answer = await asyncio.wait_for(received, TIMEOUT_SECONDS)
         self.assertTrue(answer.startswith(REFUSED_HEAD), answer)
         self.assertEqual(self.worker.sent, [])
 
@@ -328,7 +330,7 @@
         self.assertFalse(task.done())
         self.assertEqual(self.proxy.open_count(), 0, "the response is written but not delivered")
         received = bytearray()
-        while chunk := await asyncio.wait_for(asyncio.get_running_loop().sock_recv(slow, 65_536), PATIENCE_SECONDS):
+        while chunk := await asyncio.wait_for(asyncio.get_running_loop().sock_recv(slow, 65_536), TIMEOUT_SECONDS):
             received += chunk
         slow.close()
         self.assertTrue(received.endswith(b"x"))
@@ -425,7 +427,7 @@
             self.assertGreaterEqual(left_micros, min(750 * MILLI, grace_micros * 3 // 32), "time left for the teardown")
 
     def test_phases_go_by_time_alone(self) -> None:
-        clock = HandClock()
+        clock = ManualClock()
         state = DrainState(clock, DrainSchedule.for_grace_period(GRACE_MICROS))
         self.assertIs(state.phase(), DrainPhase.SERVING)
         state.begin()
@@ -438,7 +440,7 @@
         self.assertEqual(found, [*handover, *finishing, DrainPhase.ENDED])
 
     def test_the_invariant_is_told_when_it_is_broken_and_only_then(self) -> None:
-        clock = HandClock()
+        clock = ManualClock()
         violations: list[str] = []
         state = DrainState(clock, DrainSchedule.for_grace_period(GRACE_MICROS), violations.append)
         state.check_send("a")
--- a/tests/test_draining_server.py
+++ b/tests/test_draining_server.py
@@ -15,7 +15,7 @@
 
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.draining_server import DrainingServer
-from tests.test_client_limits import GET, OK_HEAD, PATIENCE_SECONDS, Caller, HandClock, post
+from tests.test_client_limits import GET, OK_HEAD, TIMEOUT_SECONDS, ManualClock, RawClient, post
 
 CLOSE_LINE = b"\r\nConnection: close\r\n"
 ROUNDS = 20
@@ -35,7 +35,7 @@
 
 class DrainingServerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.release = asyncio.Event()
         self.release.set()
         self.server = DrainingServer(
@@ -44,7 +44,7 @@
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port_number = bound_sockets[0].getsockname()[1]
         self.server.add_sockets(bound_sockets)
-        self.callers: list[Caller] = []
+        self.callers: list[RawClient] = []
 
     async def asyncTearDown(self) -> None:
         for caller in self.callers:
@@ -52,8 +52,8 @@
         self.server.stop()
         await self.server.close_all_connections()
 
-    async def connect(self) -> Caller:
-        self.callers.append(Caller(*await asyncio.open_connection("127.0.0.1", self.port_number)))
+    async def connect(self) -> RawClient:
+        self.callers.append(RawClient(*await asyncio.open_connection("127.0.0.1", self.port_number)))
         return self.callers[-1]
 
     async def advance_and_run(self, micros: int = 100 * MILLI) -> None:
@@ -61,8 +61,8 @@
             self.clock.advance(micros // ROUNDS)
             await asyncio.sleep(0)
 
-    async def read_to_end(self, caller: Caller) -> bytes:
-        return await asyncio.wait_for(caller.reader.read(), PATIENCE_SECONDS)
+    async def read_to_end(self, caller: RawClient) -> bytes:
+        return await asyncio.wait_for(caller.reader.read(), TIMEOUT_SECONDS)
 
     async def test_what_was_read_is_answered_and_idle_connections_are_closed(self) -> None:
         busy, idle, half_head, half_body = [await self.connect() for _ in range(4)]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -32,7 +32,7 @@
 CHUNK = "x" * 100_000
 
 
-class ScriptedCarrier:
+class ScriptedTransport:
     """Yields the configured lines and records how many were sent and whether the stream was closed."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
             self.closed.set()
 
 
-class NoLink:
+class FailingWorkerLink:
     """Worker link that fails all commands."""
 
     async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
@@ -101,9 +101,11 @@
 
 class FrontTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.transport = ScriptedCarrier()
+        self.transport = ScriptedTransport()
         startup = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], bodyLimitBytes=10_000)
-        self.node = NodeProcess(startup, BootClock(), FakeRuntime(), self.transport, NoLink(), random.Random(1))
+        self.node = NodeProcess(
+            startup, BootClock(), FakeRuntime(), self.transport, FailingWorkerLink(), random.Random(1)
+        )
         self.node.view_replica.view = make_view()
         self.node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
         bound_sockets = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -74,12 +74,12 @@
         return Ok(found)
 
 
-class FakePlacer:
+class FakeSelector:
     def __init__(self, missing_tokens: int = 10) -> None:
         self.missing_tokens = missing_tokens
-        self.does_stand = True
+        self.is_choice_valid = True
         self.chosen: list[str] = []
-        self.expected: list[str] = []
+        self.expected_workers: list[str] = []
 
     def choose(
         self, view: View, route: Route, request: OpaqueRequest, tenant: Tenant | None, excluded: frozenset[str]
@@ -95,13 +95,13 @@
         return True
 
     def is_still_valid(self, view: View, choice: WorkerChoice) -> bool:
-        return self.does_stand
+        return self.is_choice_valid
 
     def expect_cached(self, worker: str, salt: str, parts: Iterable[str]) -> None:
-        self.expected.append(worker)
+        self.expected_workers.append(worker)
 
 
-class DelayedSelector(FakePlacer):
+class DelayedSelector(FakeSelector):
     """Knows no worker before `known_micros`."""
 
     def __init__(self, runtime: FakeRuntime, known_micros: int) -> None:
@@ -120,7 +120,7 @@
         return self.runtime.now() >= self.known_micros
 
 
-class FakeDialect:
+class FakeProtocolAdapter:
     def outgoing_headers(self, request: OpaqueRequest, metadata: ForwardingMetadata) -> HTTPHeaders:
         return HTTPHeaders({"Tenant": metadata.tenant, "Last": metadata.last_event_id})
 
@@ -142,7 +142,7 @@
         return ERROR_TABLE[refusal.kind].status, HTTPHeaders(), b"{}"
 
 
-class RecordingAdapter(FakeDialect):
+class RecordingAdapter(FakeProtocolAdapter):
     def __init__(self) -> None:
         self.refusals: list[Refusal] = []
 
@@ -151,7 +151,7 @@
         return super().format_refusal(request, refusal)
 
 
-class FakePen:
+class FakeResponseWriter:
     def __init__(self) -> None:
         self.status = 0
         self.headers = HTTPHeaders()
@@ -175,12 +175,12 @@
         return False
 
 
-class FakeCurrent:
+class FakeViewProvider:
     def __init__(self, view: View | None) -> None:
-        self.held = view
+        self.current_view = view
 
     def view(self) -> View | None:
-        return self.held
+        return self.current_view
 
 
 class AdvancingRuntime(FakeRuntime):
@@ -192,14 +192,14 @@
         return self
 
 
-class DelayedViewProvider(FakeCurrent):
+class DelayedViewProvider(FakeViewProvider):
     def __init__(self, view: View, runtime: FakeRuntime, known_micros: int) -> None:
         super().__init__(view)
         self.runtime = runtime
         self.known_micros = known_micros
 
     def view(self) -> View | None:
-        return self.held if self.runtime.now() >= self.known_micros else None
+        return self.current_view if self.runtime.now() >= self.known_micros else None
 
 
 def make_view(**fields: Any) -> View:
@@ -218,18 +218,22 @@
         parts: tuple[PromptPart, ...] = (),
         broadcast: Callable[[ReadNote], None] = lambda note: None,
         **fields: Any,
-    ) -> FakePen:
+    ) -> FakeResponseWriter:
         runtime = FakeRuntime()
-        self.pool, self.selector, self.writer = FakePool(calls), getattr(self, "selector", FakePlacer()), FakePen()
+        self.pool, self.selector, self.writer = (
+            FakePool(calls),
+            getattr(self, "selector", FakeSelector()),
+            FakeResponseWriter(),
+        )
         self.loads = WorkerLoadTracker(runtime)
         self.proxy = RequestProxy(
             runtime,
-            FakeCurrent(make_view(**fields)),
+            FakeViewProvider(make_view(**fields)),
             self.selector,  # type: ignore[arg-type]
             self.loads,
             self.pool,  # type: ignore[arg-type]
             FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
-            FakeDialect(),
+            FakeProtocolAdapter(),
             lambda: 1,
             lambda worker, head: None,
             PrefillTracker(runtime, self.selector.expect_cached, broadcast),
@@ -270,7 +274,7 @@
     async def test_a_resumed_stream_that_fails_too_is_cut(self) -> None:
         truncated_call = FakeCall(HEAD, (EVENTS[0],), whole=False)
         for second in (FakeCall((503, "", HTTPHeaders())), FakeCall((500, "", HTTPHeaders())), FakeCall(None)):
-            self.selector = FakePlacer()
+            self.selector = FakeSelector()
             await self.pass_through([truncated_call, second], **RESUMABLE)
             self.assertEqual((self.response_summary(), self.writer.body), ((200, "cut", 2), EVENTS[0]))
 
@@ -281,14 +285,14 @@
             FakeCall(HEAD, late=True),
             FakeCall(HEAD, (b"part",), whole=False),
         ):
-            self.selector = FakePlacer()
+            self.selector = FakeSelector()
             await self.pass_through([failing_call, FakeCall(HEAD)])
             self.assertEqual(self.response_summary(), (502, "whole", 1))
 
     async def test_what_may_be_repeated_is_sent_again_within_its_tries(self) -> None:
         await self.pass_through([FakeCall(None), FakeCall(HEAD, (b"ok",))], repeatable=True)
         self.assertEqual((self.response_summary(), self.writer.body), ((200, "whole", 2), b"ok"))
-        self.selector = FakePlacer()
+        self.selector = FakeSelector()
         await self.pass_through([FakeCall(None), FakeCall(None), FakeCall(HEAD)], repeatable=True)
         self.assertEqual(self.response_summary(), (502, "whole", 2))
 
@@ -296,7 +300,7 @@
         rejecting_calls = [FakeCall((503, "", HTTPHeaders())), FakeCall((421, "", HTTPHeaders()))]
         await self.pass_through(list(rejecting_calls))
         self.assertEqual(self.response_summary(), (503, "whole", 2))
-        self.selector = FakePlacer()
+        self.selector = FakeSelector()
         await self.pass_through([FakeCall((503, "", HTTPHeaders())), FakeCall(HEAD)], tries=1)
         self.assertEqual(self.response_summary(), (503, "whole", 1), "at most `tries` workers get the request")
 
@@ -309,8 +313,8 @@
         self.assertEqual(self.response_summary(), (200, "whole", 1))
 
     async def test_a_choice_that_stands_no_more_sends_nothing(self) -> None:
-        self.selector = FakePlacer()
-        self.selector.does_stand = False
+        self.selector = FakeSelector()
+        self.selector.is_choice_valid = False
         await self.pass_through([FakeCall(HEAD) for _ in range(9)])
         self.assertEqual(self.writer.status, 503)
         self.assertEqual([call.sent for call in self.pool.used], [[]] * len(self.pool.used))
@@ -327,8 +331,8 @@
         runtime, adapter = FakeRuntime(), RecordingAdapter()
         proxy = RequestProxy(
             runtime,
-            FakeCurrent(None),
-            FakePlacer(),  # type: ignore[arg-type]
+            FakeViewProvider(None),
+            FakeSelector(),  # type: ignore[arg-type]
             WorkerLoadTracker(runtime),
             FakePool([]),  # type: ignore[arg-type]
             FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
@@ -337,7 +341,7 @@
             lambda worker, head: None,
         )
         for number in range(50):
-            writer = FakePen()
+            writer = FakeResponseWriter()
             await proxy.serve(
                 OpaqueRequest(f"id{number}", "POST", "/", "h", "/", HTTPHeaders(), b"", runtime.now()), writer
             )
@@ -363,15 +367,15 @@
             proxy = RequestProxy(
                 runtime,
                 view_provider,
-                FakePlacer(),  # type: ignore[arg-type]
+                FakeSelector(),  # type: ignore[arg-type]
                 WorkerLoadTracker(runtime),
                 FakePool([]),  # type: ignore[arg-type]
                 FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
-                FakeDialect(),
+                FakeProtocolAdapter(),
                 lambda: 1,
                 lambda worker, head: None,
             )
-            writer = FakePen()
+            writer = FakeResponseWriter()
             await proxy.serve(
                 OpaqueRequest(
                     "id",
@@ -399,16 +403,16 @@
             selector = DelayedSelector(runtime, began_micros + 500_000)
             proxy = RequestProxy(
                 runtime,
-                FakeCurrent(make_view(**STREAM)),
+                FakeViewProvider(make_view(**STREAM)),
                 selector,  # type: ignore[arg-type]
                 WorkerLoadTracker(runtime),
                 FakePool([FakeCall(HEAD, tuple(EVENTS))]),  # type: ignore[arg-type]
                 FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
-                FakeDialect(),
+                FakeProtocolAdapter(),
                 lambda: 1,
                 lambda worker, head: None,
             )
-            writer = FakePen()
+            writer = FakeResponseWriter()
             await proxy.serve(
                 OpaqueRequest(
                     "id",
@@ -434,7 +438,7 @@
             ([FakeCall((503, "", HTTPHeaders()))], False),
             ([FakeCall(None, late=True)], False),
         ):
-            self.selector = FakePlacer(missing_tokens=9_010)
+            self.selector = FakeSelector(missing_tokens=9_010)
             notes: list[ReadNote] = []
             await self.pass_through(list(calls), parts=parts, broadcast=notes.append, tries=1, **STREAM)
             self.assertEqual(len(notes), 2)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -52,7 +52,7 @@
     TaskScenario,
     TimerDrivenClock,
 )
-from tests.test_front import NoLink, ScriptedCarrier, make_view
+from tests.test_front import FailingWorkerLink, ScriptedTransport, make_view
 
 STARTUP = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], holdMicros=3 * SECOND)
 
@@ -96,8 +96,8 @@
         self.lines.append(line)
 
 
-def make_node(carrier: ScriptedCarrier) -> NodeProcess:
-    node = NodeProcess(STARTUP, TimerDrivenClock(), FakeRuntime(), carrier, NoLink(), random.Random(1))
+def make_node(transport: ScriptedTransport) -> NodeProcess:
+    node = NodeProcess(STARTUP, TimerDrivenClock(), FakeRuntime(), transport, FailingWorkerLink(), random.Random(1))
     node.view_replica.view = make_view()
     node.view_replica.is_current = lambda: True  # type: ignore[method-assign]
     return node
@@ -142,9 +142,9 @@
 
 async def cancel_against_carry() -> None:
     """A caller disconnects at any moment: every queue slot and count is released."""
-    carrier = ScriptedCarrier()
-    carrier.line_count = 1
-    node = make_node(carrier)
+    transport = ScriptedTransport()
+    transport.line_count = 1
+    node = make_node(transport)
     job_task = asyncio.ensure_future(node.run_job(KEY, NOTICE, YieldingWriter()))
 
     async def cancel() -> None:
@@ -157,7 +157,7 @@
     queue = node.admission.queues.get("notice")
     assert node.open_jobs == 0 and not node.scheduler.running_counts, "a count was not released"
     assert queue is None or (queue.running_count, queue.waiting_count) == (0, 0), "a queue slot was not released"
-    assert not carrier.started_count or carrier.closed.is_set(), "the upstream request goes on"
+    assert not transport.started_count or transport.closed.is_set(), "the upstream request goes on"
 
 
 class SharedLog:
@@ -296,21 +296,21 @@
 
 async def drain_against_accept() -> None:
     """Once the drain has returned, no job runs, and each job was either completed or refused."""
-    carrier = ScriptedCarrier()
-    carrier.line_count = 1
-    node = make_node(carrier)
+    transport = ScriptedTransport()
+    transport.line_count = 1
+    node = make_node(transport)
     writer = YieldingWriter()
     job_task = asyncio.ensure_future(node.run_job(KEY, NOTICE, writer))
     await asyncio.sleep(0)
 
     async def drain() -> None:
         await node.drain()
-        assert not carrier.started_count or carrier.closed.is_set(), "the drain ended while a job ran"
+        assert not transport.started_count or transport.closed.is_set(), "the drain ended while a job ran"
 
     await asyncio.gather(drain())
     outcome = await job_task
     if isinstance(outcome, Err):
-        assert not carrier.started_count, "the job was refused although it ran"
+        assert not transport.started_count, "the job was refused although it ran"
     else:
         assert writer.lines[-1].get("end"), "the job's output lacks its closing line"
 
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -20,7 +20,15 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
-from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool
+from tests.test_gate import (
+    HEAD,
+    FakeCall,
+    FakePool,
+    FakeProtocolAdapter,
+    FakeResponseWriter,
+    FakeSelector,
+    FakeViewProvider,
+)
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
@@ -92,7 +100,7 @@
         return await super().head(limit_micros)
 
 
-class RecordingDialect(FakeDialect):
+class RecordingAdapter(FakeProtocolAdapter):
     def __init__(self) -> None:
         self.seen: list[ForwardingMetadata] = []
 
@@ -106,17 +114,17 @@
         self, wait_micros: int, tenant_urgency: int = 5, route_urgency: int = 5
     ) -> tuple[int, ForwardingMetadata]:
         """Returns how long a worker's answer is waited for, and the metadata sent to the worker."""
-        runtime, call, dialect = FakeRuntime(), RecordingCall(HEAD, (b"ok",)), RecordingDialect()
+        runtime, call, dialect = FakeRuntime(), RecordingCall(HEAD, (b"ok",)), RecordingAdapter()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, urgency=route_urgency)
         view = View()
         tenant = Tenant("t", [hash_key("k")], urgency=tenant_urgency)
         view.__dict__["description"] = Description(tenants=[tenant], routes=[route])
-        selector: Any = FakePlacer()
+        selector: Any = FakeSelector()
         pool: Any = FakePool([call])
         budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
         proxy = RequestProxy(
             runtime,
-            FakeCurrent(view),
+            FakeViewProvider(view),
             selector,
             WorkerLoadTracker(runtime),
             pool,
@@ -128,7 +136,7 @@
         request = OpaqueRequest(
             "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", runtime.now(), hash_key("k"), wait_micros
         )
-        await proxy.serve(request, FakePen())
+        await proxy.serve(request, FakeResponseWriter())
         return call.waited_micros, dialect.seen[0]
 
     async def test_no_request_is_held_past_its_routes_deadline_nor_its_callers(self) -> None:
--- a/tests/test_news_connections.py
+++ b/tests/test_news_connections.py
@@ -31,8 +31,17 @@
 from pearhead.router.worker_selector import WorkerChoice
 from pearhead.runtime.clock import MILLI, SECOND, BootClock
 from pearhead.runtime.fake_runtime import FakeRuntime
-from tests.test_client_limits import PlainReader
-from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
+from tests.test_client_limits import PassthroughRequestParser
+from tests.test_gate import (
+    HEAD,
+    FakeCall,
+    FakePool,
+    FakeProtocolAdapter,
+    FakeResponseWriter,
+    FakeSelector,
+    FakeViewProvider,
+    make_view,
+)
 
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -43,13 +52,13 @@
 DEADLINE_MICROS = 400 * MILLI
 # The delay that the pages allow after a deadline, and after a client has disconnected.
 ALLOWED_SECONDS = 0.5
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def read_head(reader: asyncio.StreamReader) -> bytes:
-    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_SECONDS)
+    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_SECONDS)
 
 
 def encode_chunk(data: bytes) -> bytes:
@@ -95,7 +104,7 @@
         await asyncio.sleep(0.03)
 
 
-class AddressPlacer(FakePlacer):
+class AddressSelector(FakeSelector):
     def __init__(self, address: str) -> None:
         super().__init__()
         self.address = address
@@ -112,15 +121,15 @@
     view = View()
     view.__dict__["description"] = Description(routes=[route])
     clock = BootClock()
-    placer: Any = AddressPlacer(address)
+    selector: Any = AddressSelector(address)
     return RequestProxy(
         clock,
-        FakeCurrent(view),
-        placer,
+        FakeViewProvider(view),
+        selector,
         WorkerLoadTracker(clock),
         UpstreamPool(clock),
         FleetRetryBudget(clock, 0.2, 50, 10 * SECOND),
-        FakeDialect(),
+        FakeProtocolAdapter(),
         lambda: 1,
         lambda worker, head: None,
     )
@@ -141,11 +150,11 @@
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
     """CONFIG: a request unanswered at its route's deadline gets its final response within half a second."""
 
-    async def serve_request(self, address: str, stream: bool) -> tuple[FakePen, float]:
+    async def serve_request(self, address: str, stream: bool) -> tuple[FakeResponseWriter, float]:
         proxy = make_proxy(address, stream, DEADLINE_MICROS)
-        began, response_writer = time.monotonic(), FakePen()
+        began, response_writer = time.monotonic(), FakeResponseWriter()
         request = OpaqueRequest("id", "GET", "/x", "h", "/x", HTTPHeaders(), b"", proxy.clock.now())
-        await asyncio.wait_for(proxy.serve(request, response_writer), PATIENCE_SECONDS)
+        await asyncio.wait_for(proxy.serve(request, response_writer), TIMEOUT_SECONDS)
         return response_writer, time.monotonic() - began
 
     async def test_a_final_answer_comes_at_the_deadline_whatever_the_worker_does(self) -> None:
@@ -182,7 +191,7 @@
         self.ends: list[float] = []
         bound = bind_sockets(0, "127.0.0.1", family=socket.AF_INET)
         self.port = bound[0].getsockname()[1]
-        self.manager = ClientConnectionManager(BootClock(), PlainReader(), self.serve, ClientLimits)
+        self.manager = ClientConnectionManager(BootClock(), PassthroughRequestParser(), self.serve, ClientLimits)
         self.server = ClientHttpServer(self.manager)
         self.server.add_sockets(bound)
 
@@ -209,7 +218,7 @@
             worker = Worker(behavior)
             self.proxy = make_proxy(await worker.open(), stream, 60 * SECOND)
             closed = await self.close_after(0.15)
-            ended = await asyncio.wait_for(worker.ended, PATIENCE_SECONDS)
+            ended = await asyncio.wait_for(worker.ended, TIMEOUT_SECONDS)
             self.assertEqual(len(worker.heads), 1)
             self.assertLess(ended - closed, ALLOWED_SECONDS, behavior.__name__)
             self.assertEqual(self.proxy.load_tracker.own_loads, {}, "its load was not released")
@@ -229,8 +238,8 @@
     async def test_one_that_waits_at_a_node_that_knows_nothing_yet_reaches_no_worker(self) -> None:
         worker = Worker(stay_silent)
         self.proxy = make_proxy(await worker.open(), False, 60 * SECOND)
-        known, self.proxy.view_provider = self.proxy.view_provider, FakeCurrent(None)
-        self.manager.request_parser = ImpatientReader()
+        known, self.proxy.view_provider = self.proxy.view_provider, FakeViewProvider(None)
+        self.manager.request_parser = ImpatientRequestParser()
         await self.close_after(0.1)
         self.proxy.view_provider = known
         await asyncio.sleep(ALLOWED_SECONDS)
@@ -238,7 +247,7 @@
         worker.server.close()
 
 
-class ImpatientReader(PlainReader):
+class ImpatientRequestParser(PassthroughRequestParser):
     """Its clients wait less time than a node needs to learn what is in force."""
 
     def parse_request(
@@ -264,7 +273,7 @@
         writer.write(WHOLE)
         await asyncio.sleep(self.read_on_after)
         with suppress(ConnectionError):
-            while piece := await asyncio.wait_for(reader.read(1 << 20), PATIENCE_SECONDS):
+            while piece := await asyncio.wait_for(reader.read(1 << 20), TIMEOUT_SECONDS):
                 self.received[position] += piece
                 if self.received[position].endswith(b"\r\n\r\n"):
                     writer.write(WHOLE)
@@ -385,7 +394,7 @@
         async def serve(request: OpaqueRequest, response_writer: ResponseWriter) -> None:
             await proxies[-1].serve(request, response_writer)
 
-        server = ClientHttpServer(ClientConnectionManager(BootClock(), PlainReader(), serve, ClientLimits))
+        server = ClientHttpServer(ClientConnectionManager(BootClock(), PassthroughRequestParser(), serve, ClientLimits))
         server.add_sockets(bound)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for stream in (False, True):
@@ -404,7 +413,7 @@
     async def read_body(self, reader: asyncio.StreamReader, head: bytes) -> None:
         lower = head.lower()
         if b"transfer-encoding: chunked" in lower:
-            while size := int(await asyncio.wait_for(reader.readline(), PATIENCE_SECONDS), 16):
+            while size := int(await asyncio.wait_for(reader.readline(), TIMEOUT_SECONDS), 16):
                 await reader.readexactly(size + 2)
             await reader.readline()
         elif b" 204 " not in head:
@@ -429,15 +438,15 @@
         runtime, response_writer = FakeRuntime(), ClosingResponseWriter()
         call = FakeCall(HEAD, (b"ok",))
         pool: Any = ClosingPool(response_writer, call)
-        placer: Any = FakePlacer()
+        selector: Any = FakeSelector()
         proxy = RequestProxy(
             runtime,
-            FakeCurrent(make_view()),
-            placer,
+            FakeViewProvider(make_view()),
+            selector,
             WorkerLoadTracker(runtime),
             pool,
             FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND),
-            FakeDialect(),
+            FakeProtocolAdapter(),
             lambda: 1,
             lambda worker, head: None,
         )
@@ -447,7 +456,7 @@
         self.assertTrue(call.is_closed)
 
 
-class ClosingResponseWriter(FakePen):
+class ClosingResponseWriter(FakeResponseWriter):
     is_closed = False
 
     def is_disconnected(self) -> bool:
--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -25,7 +25,16 @@
 from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
-from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool, make_view
+from tests.test_gate import (
+    HEAD,
+    FakeCall,
+    FakePool,
+    FakeProtocolAdapter,
+    FakeResponseWriter,
+    FakeSelector,
+    FakeViewProvider,
+    make_view,
+)
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from config_translation import _ItemReader, _read_tenant  # noqa: E402
@@ -178,17 +187,17 @@
     """BUDGET: the time that a worker is given never exceeds the client's remaining time, also for a retry."""
 
     async def ends(self, client_micros: int, turned_away_after_micros: int) -> list[int]:
-        runtime, dialect = FakeRuntime(), TimingDialect()
+        runtime, dialect = FakeRuntime(), TimingAdapter()
         turned_away = SlowCall(runtime, turned_away_after_micros, (503, "", HTTPHeaders()))
         pool: Any = FakePool([turned_away, FakeCall(HEAD, (b"ok",))])
-        selector: Any = FakePlacer()
+        selector: Any = FakeSelector()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, tries=2)
         view = make_view()
         view.__dict__["description"] = Description(tenants=view.description.tenants, routes=[route])
         budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
         proxy = RequestProxy(
             runtime,
-            FakeCurrent(view),
+            FakeViewProvider(view),
             selector,
             WorkerLoadTracker(runtime),
             pool,
@@ -201,7 +210,7 @@
             "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", runtime.now(), hash_key("k"), client_micros
         )
         began_micros = runtime.now()
-        writer = FakePen()
+        writer = FakeResponseWriter()
         dialect.note = lambda left_micros: dialect.ends.append(runtime.now() + left_micros - began_micros)
         await proxy.serve(request, writer)
         self.assertEqual(writer.status, 200)
@@ -213,7 +222,7 @@
             self.assertEqual(await self.ends(client_micros, 700 * MILLI), [end_micros, end_micros])
 
 
-class TimingDialect(FakeDialect):
+class TimingAdapter(FakeProtocolAdapter):
     def __init__(self) -> None:
         self.ends: list[int] = []
         self.note: Callable[[int], None] = lambda left_micros: None
@@ -241,17 +250,17 @@
 
     async def test_no_key_and_no_route_is_refused_by_a_node_that_knows_nothing(self) -> None:
         for key, path in (("k", "/a/x"), ("wrong", "/a/x"), ("", "/a/x"), ("k", "/nowhere")):
-            runtime, writer = FakeRuntime(), FakePen()
+            runtime, writer = FakeRuntime(), FakeResponseWriter()
             unused: Any = None
-            selector: Any = FakePlacer()
+            selector: Any = FakeSelector()
             proxy = RequestProxy(
                 runtime,
-                FakeCurrent(None),
+                FakeViewProvider(None),
                 selector,
                 WorkerLoadTracker(runtime),
                 unused,
                 unused,
-                FakeDialect(),
+                FakeProtocolAdapter(),
                 lambda: 1,
                 lambda worker, head: None,
             )
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -38,7 +38,7 @@
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
 from request_dialect import PlatformDialect  # noqa: E402
 
-PATIENCE_SECONDS = 5
+TIMEOUT_SECONDS = 5
 LARGE_BODY = b"x" * (8 * 1024 * 1024)
 REPEATABLE: dict[str, Any] = {"repeatable": True}
 
@@ -189,12 +189,12 @@
     def __init__(self, connection_limit: int, **fields: Any) -> None:
         route_fields = {"deadline_micros": 5 * SECOND, "tries": 2, "public": True, **fields}
         route = Route("r", "h", "/a/", [Split("s", 1)], **route_fields)
-        self.held = View()
+        self.current_view = View()
         service = Service("s", "application", connection_limit=connection_limit)
-        self.held.__dict__["description"] = Description(routes=[route], services=[service])
+        self.current_view.__dict__["description"] = Description(routes=[route], services=[service])
 
     def view(self) -> View:
-        return self.held
+        return self.current_view
 
 
 class NodeFixture:
@@ -238,11 +238,11 @@
         headers = HTTPHeaders({"X-Request-Id": request_id, "Host": "h"})
         response = RecordingWriter()
         request = OpaqueRequest(request_id, method, "/a/x", "h", "/a/x", headers, body, self.runtime.now())
-        await asyncio.wait_for(proxy.serve(request, response), PATIENCE_SECONDS)
+        await asyncio.wait_for(proxy.serve(request, response), TIMEOUT_SECONDS)
         return response
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0)
 
@@ -540,7 +540,7 @@
             self.assertEqual(await control.list_workers(SECOND), Ok([]))
             for kept in control.idle_connections.values():
                 writers[0].write(whole)
-                async with asyncio.timeout(PATIENCE_SECONDS):
+                async with asyncio.timeout(TIMEOUT_SECONDS):
                     while is_idle_and_open(kept):
                         await asyncio.sleep(0)
             self.assertEqual((await control.list_workers(SECOND), len(writers)), (Ok([]), 2))
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -33,7 +33,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from request_dialect import PlatformDialect  # noqa: E402
 
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 ROUTE = Route("r", "h", "/a/", [Split("s", 1)], 5 * SECOND, tries=2, public=True, stream=True)
 RESUMABLE = replace(ROUTE, resumable=True)
 CHUNKED = "Transfer-Encoding: chunked\r\n"
@@ -153,12 +153,12 @@
         self.put(route)
 
     def put(self, *routes: Route, tenants: Iterable[Tenant] = ()) -> None:
-        self.held = View()
+        self.current_view = View()
         description = Description(routes=list(routes), tenants=list(tenants), limits=Limits())
-        self.held.__dict__["description"] = description
+        self.current_view.__dict__["description"] = description
 
     def view(self) -> View | None:
-        return self.held
+        return self.current_view
 
 
 class StreamFixture:
@@ -210,7 +210,7 @@
         connection = RawConnection(self.address)
         await connection.open()
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 return await self._exchange(connection, request_id, last_event_id)
         finally:
             connection.close()
@@ -619,7 +619,7 @@
                 host, port = fixture.address.split(":")
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(b"GET /a/x HTTP/1.0\r\nHost: h\r\nX-Request-Id: one\r\n\r\n")
-                async with asyncio.timeout(PATIENCE_SECONDS):
+                async with asyncio.timeout(TIMEOUT_SECONDS):
                     if is_whole:
                         self.assertTrue((await reader.read()).endswith(events(1, 2)))
                     else:
