--- a/src/pearhead/router/job_scheduler.py
+++ b/src/pearhead/router/job_scheduler.py
@@ -34,14 +34,14 @@
     def __init__(
         self,
         view_replica: ViewReplica,
-        listener: RevisionListener,
-        index: CopyIndex,
+        revision_listener: RevisionListener,
+        copy_index: CopyIndex,
         clock: Clock,
         old_weights_micros: int,
     ) -> None:
         self.view_replica = view_replica
-        self.listener = listener
-        self.index = index
+        self.revision_listener = revision_listener
+        self.copy_index = copy_index
         self.clock = clock
         self.old_weights_micros = old_weights_micros
         self.running_counts: dict[str, int] = {}
@@ -74,18 +74,18 @@
             )
         if not is_model:
             chosen_worker = min(candidates, key=lambda w: (self.running_counts.get(w.name, 0), w.name))
-            return Ok(Placement(chosen_worker, why="fewest running"))
+            return Ok(Placement(chosen_worker, reason="fewest running"))
         placement = self._place_on_model(view, job, candidates)
-        wait_micros = self.wait_micros(job.entry, placement.worker.name, placement.missed_tokens)
+        wait_micros = self.wait_micros(job.entry, placement.worker.name, placement.missing_tokens)
         # An idle worker is always tried: an estimate that is too high and refused all jobs would never be corrected.
         is_idle = not self.waiting_tokens_of(placement.worker.name) and not self.running_jobs_of(placement.worker.name)
-        if wait_micros > job.left_micros(self.clock.now()) and not is_idle:
+        if wait_micros > job.remaining_micros(self.clock.now()) and not is_idle:
             # Refused before it runs; if it were sent, it would be cut off at its deadline (§8.5).
             return Err(
                 Refusal(
                     ErrorKind.OVERLOADED,
                     "no worker would end it before its deadline",
-                    wait_micros - job.left_micros(self.clock.now()),
+                    wait_micros - job.remaining_micros(self.clock.now()),
                 )
             )
         return Ok(placement)
@@ -110,14 +110,14 @@
         """Whether the service runs a model, so that weights and cached parts matter for placement."""
         return view.role_by_service.get(service) == "model"
 
-    def begin(self, worker: str, missed_tokens: int) -> None:
+    def begin(self, worker: str, missing_tokens: int) -> None:
         """Counts a job sent to a worker, with the prompt tokens that the worker has to prefill for it."""
         self.running_counts[worker] = self.running_counts.get(worker, 0) + 1
-        self.pending_tokens[worker] = self.pending_tokens.get(worker, 0) + missed_tokens
+        self.pending_tokens[worker] = self.pending_tokens.get(worker, 0) + missing_tokens
 
-    def end_prefill(self, worker: str, missed_tokens: int) -> None:
+    def end_prefill(self, worker: str, missing_tokens: int) -> None:
         """Takes a job's prefill, counted by `begin`, off the worker's pending tokens."""
-        remaining_tokens = self.pending_tokens.get(worker, 0) - missed_tokens
+        remaining_tokens = self.pending_tokens.get(worker, 0) - missing_tokens
         if remaining_tokens:
             self.pending_tokens[worker] = remaining_tokens
         else:
@@ -138,11 +138,11 @@
         """Counts a long prefill sent by another node, until the worker's next load report replaces the figure."""
         self.remote_pending_tokens[worker] = self.remote_pending_tokens.get(worker, 0) + tokens
 
-    def wait_micros(self, entry: CapabilityEntry, worker: str, missed_tokens: int) -> int:
+    def wait_micros(self, entry: CapabilityEntry, worker: str, missing_tokens: int) -> int:
         """Estimated time until the job would end: prefills ahead of it, its own prefill, and its stream (§8.5)."""
         prefill_rate = self.costs.prefill_rate(entry.line, worker)
         stream_micros = self.costs.stream_micros(entry.name, worker)
-        return int((self.waiting_tokens_of(worker) + missed_tokens) * prefill_rate + stream_micros)
+        return int((self.waiting_tokens_of(worker) + missing_tokens) * prefill_rate + stream_micros)
 
     def waiting_tokens_of(self, worker: str) -> int:
         """Prompt tokens that the worker has yet to prefill, for jobs of all nodes."""
@@ -217,7 +217,7 @@
         parts = [p.part for p in job.request.prefix]
         revisions: list[int] = []
         for part in parts:
-            revision = self.listener.revision_of(owner, line, part)
+            revision = self.revision_listener.revision_of(owner, line, part)
             if revision is None:
                 break
             revisions.append(revision)
@@ -228,7 +228,7 @@
 
         current_keys = keys_for_weights(current.revision)
         cached_part_counts = {
-            w.name: self.index.longest_cached_prefix(
+            w.name: self.copy_index.longest_cached_prefix(
                 w.name,
                 view.loads[w.name],
                 current_keys if w in on_current_weights else keys_for_weights(view.loads[w.name].weights_revision),
@@ -247,9 +247,9 @@
         def rank(worker: WorkerRecord) -> tuple[int, int, bytes]:
             name_hash = hashlib.blake2b(f"{hash_subject}/{worker.name}".encode(), digest_size=8).digest()
             if current_keys and self.uses_index:
-                missed_tokens = sum(part_tokens[cached_part_counts[worker.name] :])
+                missing_tokens = sum(part_tokens[cached_part_counts[worker.name] :])
                 return (
-                    self.wait_micros(entry, worker.name, missed_tokens),
+                    self.wait_micros(entry, worker.name, missing_tokens),
                     -cached_part_counts[worker.name],
                     name_hash,
                 )
@@ -258,7 +258,7 @@
         chosen_worker = min(under_limit, key=rank)
         chosen_load = view.loads[chosen_worker.name]
         keys = keys_for_weights(chosen_load.weights_revision)
-        self.index.record_parts(owner, line, [p for p, _ in known_parts], keys)
+        self.copy_index.record_parts(owner, line, [p for p, _ in known_parts], keys)
         # If no part's revision is known, the salt is unique to the job, so that nothing is reused.
         salt = cache_salt(owner, line, chosen_load.weights_revision) if keys else f"job:{job.job_id}"
         placement = Placement(
@@ -269,7 +269,7 @@
             keys,
             cached_part_counts[chosen_worker.name],
             sum(part_tokens[cached_part_counts[chosen_worker.name] :]),
-            why=f"keeps {cached_part_counts[chosen_worker.name]} of {len(parts)} parts",
+            reason=f"keeps {cached_part_counts[chosen_worker.name]} of {len(parts)} parts",
         )
         if chosen_worker in on_current_weights and self.uses_index:
             self._plan_fetch(view, job, placement, on_current_weights)
@@ -286,7 +286,7 @@
         # Workers of the first wave get no jobs while other workers on the old weights remain. Those keep serving until
         # the whole wave serves; otherwise its first worker to finish loading would get all jobs (§7.3).
         later_workers = [w for w in candidates if w not in on_current_weights and w.name not in wave_workers]
-        seen_micros = self.view_replica.first_seen.get((line, current.revision), 0)
+        seen_micros = self.view_replica.first_seen_micros.get((line, current.revision), 0)
         is_wave_finished = (line, current.revision) in self.finished_waves or (
             is_wave_serving(view, job.entry.service, current.revision)
             # The remaining workers begin to load now, even if some of the wave are late.
@@ -307,24 +307,26 @@
         Only current parts of the same owner count, in copies known to be made with the current weights (§8.6).
         """
         assert job.entry is not None
-        best_source, best_count = None, placement.reused_parts
+        best_source, best_count = None, placement.cached_part_count
         for worker in workers:
             if worker.name == placement.worker.name:
                 continue
-            cached_part_count = self.index.longest_cached_prefix(worker.name, view.loads[worker.name], placement.keys)
+            cached_part_count = self.copy_index.longest_cached_prefix(
+                worker.name, view.loads[worker.name], placement.keys
+            )
             if cached_part_count > best_count:
                 best_source, best_count = worker, cached_part_count
         for _, store in sorted(view.workers.items()):
             if view.role_by_service.get(store.service) == "store" and not store.leaving:
-                cached_part_count = self.index.longest_stored_prefix(store.name, placement.keys)
+                cached_part_count = self.copy_index.longest_stored_prefix(store.name, placement.keys)
                 if cached_part_count > best_count:
                     best_source, best_count = store, cached_part_count
         if best_source is None:
             return
-        tokens = sum(p.tokens for p in job.request.prefix[placement.reused_parts : best_count])
+        tokens = sum(p.tokens for p in job.request.prefix[placement.cached_part_count : best_count])
         fetch_micros = FETCH_OVERHEAD_MICROS + tokens * self.costs.fetch_rate(best_source.name, placement.worker.name)
         prefill_micros = tokens * self.costs.prefill_rate(job.entry.line, placement.worker.name)
         if fetch_micros < prefill_micros:
             placement.fetch_from, placement.fetch_parts = best_source, best_count
             placement.fetch_limit_micros = int(prefill_micros)
-            placement.why += f", fetches to {best_count} from {best_source.name}"
+            placement.reason += f", fetches to {best_count} from {best_source.name}"
--- a/src/pearhead/router/upstream_pool.py
+++ b/src/pearhead/router/upstream_pool.py
@@ -63,7 +63,7 @@
         self.chunks: deque[bytes] = deque()
         self.wake = asyncio.Event()
         self.is_whole = False
-        self.is_over = False
+        self.has_ended = False
         self.is_framed = False
 
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
@@ -86,7 +86,7 @@
         self.end()
 
     def end(self) -> None:
-        self.is_over = True
+        self.has_ended = True
         if not self.head.done():
             self.head.set_result(None)
         self.wake.set()
@@ -148,7 +148,7 @@
         while True:
             while delegate.chunks:
                 yield delegate.chunks.popleft()
-            if delegate.is_over or delegate.is_whole:
+            if delegate.has_ended or delegate.is_whole:
                 return
             delegate.wake.clear()
             await asyncio.wait_for(delegate.wake.wait(), max(limit(), 0) / SECOND)
@@ -186,7 +186,7 @@
 
 
 class UpstreamPool:
-    """Connections by worker address: `idle` holds the kept ones, `open` those and the ones in use.
+    """Connections by worker address: `idle` holds the kept ones, `open_streams` those and the ones in use.
 
     A node keeps no connections beyond its share of those that a worker accepts from all nodes together, and closes
     idle ones before it opens new ones beyond that share. `early_close_bounds` maps an address to the idle time above
@@ -196,16 +196,16 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.idle: dict[str, deque[_IdleConnection]] = {}
-        self.open: dict[str, set[IOStream]] = {}
+        self.open_streams: dict[str, set[IOStream]] = {}
         self.early_close_bounds: dict[str, tuple[int, int]] = {}
-        self.opened = 0
-        self.reused = 0
+        self.opened_count = 0
+        self.reused_count = 0
 
     async def call(self, address: str, limits: CallLimits) -> Result[UpstreamCall, str]:
         """Returns a call on a kept connection without unread data, or on a new one. On an error, nothing was sent."""
         kept = self._take_idle(address, limits)
         if kept is not None:
-            self.reused += 1
+            self.reused_count += 1
             return Ok(UpstreamCall(self, address, kept.stream, limits, kept))
         if not self._can_open(address, limits):
             return Err(POOL_EXHAUSTED)
@@ -213,7 +213,7 @@
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLIS)
         stream = IOStream(raw)
-        self.open.setdefault(address, set()).add(stream)
+        self.open_streams.setdefault(address, set()).add(stream)
         try:
             await asyncio.wait_for(
                 stream.connect(split_address(address)), min(CONNECT_MICROS, max(limits.limit_micros, 0)) / SECOND
@@ -224,7 +224,7 @@
         except BaseException:
             stream.close()
             raise
-        self.opened += 1
+        self.opened_count += 1
         return Ok(UpstreamCall(self, address, stream, limits))
 
     def _take_idle(self, address: str, limits: CallLimits) -> _IdleConnection | None:
@@ -264,7 +264,7 @@
 
     def open_count(self, address: str) -> int:
         """Returns the number of connections that are idle, in use or being opened."""
-        streams = self.open.get(address, set())
+        streams = self.open_streams.get(address, set())
         streams.difference_update([stream for stream in streams if stream.closed()])
         return len(streams)
 
@@ -302,7 +302,7 @@
         bound_micros, until_micros = self.early_close_bounds.get(address, (0, 0))
         return bound_micros if until_micros > self.clock.now() else UNLIMITED_IDLE_MICROS
 
-    def forget(self, address: str) -> None:
+    def remove_address(self, address: str) -> None:
         """Closes the idle connections to a worker that is gone, as another worker may get its address."""
         self.early_close_bounds.pop(address, None)
         for kept in self.idle.pop(address, ()):
@@ -322,7 +322,9 @@
                 self.idle[address] = remaining
             else:
                 del self.idle[address]
-        self.open = {address: streams for address, streams in self.open.items() if self.open_count(address)}
+        self.open_streams = {
+            address: streams for address, streams in self.open_streams.items() if self.open_count(address)
+        }
         self.early_close_bounds = {
             address: bound for address, bound in self.early_close_bounds.items() if bound[1] > now_micros
         }
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -20,7 +20,15 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
-from tests.test_gate import HEAD, FakeCall, FakeCurrent, FakeDialect, FakePen, FakePlacer, FakePool
+from tests.test_gate import (
+    HEAD,
+    FakeCall,
+    FakePool,
+    FakeProtocolAdapter,
+    FakeResponseWriter,
+    FakeSelector,
+    FakeViewProvider,
+)
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
@@ -32,7 +40,7 @@
 
 
 def read(headers: dict[str, str]) -> OpaqueRequest:
-    return PlatformProtocolAdapter().read("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
+    return PlatformProtocolAdapter().parse_request("POST", "/a/x", HTTPHeaders(headers), b"", 0).unwrap()
 
 
 class DialectTest(unittest.TestCase):
@@ -45,14 +53,14 @@
         """MIXED: a failure with a worker's seal has the status that this worker gave; our own have no seal."""
         for kind in ErrorKind:
             for request in (None, read({**SENT, SEAL: "3e1b.07.5a2.600.0.c9f2a4d1"})):
-                status, headers, body = PlatformProtocolAdapter().refusal(request, Refusal(kind))
+                status, headers, body = PlatformProtocolAdapter().format_refusal(request, Refusal(kind))
                 self.assertEqual(status, ERROR_TABLE[kind].status)
                 self.assertNotIn(SEAL, headers, kind)
                 self.assertGreaterEqual(status, 400, kind)
 
     def test_who_is_asked_to_come_back_is_told_when_and_by_which_request(self) -> None:
         for kind in ErrorKind:
-            status, headers, _ = PlatformProtocolAdapter().refusal(read(SENT), Refusal(kind, "", 250 * MILLI))
+            status, headers, _ = PlatformProtocolAdapter().format_refusal(read(SENT), Refusal(kind, "", 250 * MILLI))
             self.assertEqual(headers["X-Request-Id"], "r1")
             self.assertEqual(headers.get("Retry-After"), "0.250" if status in (408, 429, 503) else None, kind)
 
@@ -94,7 +102,7 @@
         return await super().head(limit_micros)
 
 
-class RecordingDialect(FakeDialect):
+class RecordingAdapter(FakeProtocolAdapter):
     def __init__(self) -> None:
         self.seen: list[ForwardingMetadata] = []
 
@@ -108,17 +116,17 @@
         self, wait_micros: int, tenant_urgency: int = 5, route_urgency: int = 5
     ) -> tuple[int, ForwardingMetadata]:
         """Returns how long a worker's answer is waited for, and the metadata sent to the worker."""
-        runtime, call, dialect = FakeRuntime(), RecordingCall(HEAD, (b"ok",)), RecordingDialect()
+        runtime, call, dialect = FakeRuntime(), RecordingCall(HEAD, (b"ok",)), RecordingAdapter()
         route = Route("r", "h", "/a/", [Split("s", 1)], 4 * SECOND, urgency=route_urgency)
         view = View()
         tenant = Tenant("t", [hash_key("k")], urgency=tenant_urgency)
         view.__dict__["description"] = Description(tenants=[tenant], routes=[route])
-        selector: Any = FakePlacer()
+        selector: Any = FakeSelector()
         pool: Any = FakePool([call])
         budget = FleetRetryBudget(runtime, 0.2, 50, 10 * SECOND)
         proxy = RequestProxy(
             runtime,
-            FakeCurrent(view),
+            FakeViewProvider(view),
             selector,
             WorkerLoadTracker(runtime),
             pool,
@@ -130,13 +138,13 @@
         request = OpaqueRequest(
             "id", "POST", "/a/x", "h", "/a/x", HTTPHeaders(), b"", runtime.now(), hash_key("k"), wait_micros
         )
-        await proxy.serve(request, FakePen())
+        await proxy.serve(request, FakeResponseWriter())
         return call.waited_micros, dialect.seen[0]
 
     async def test_no_request_is_held_past_its_routes_deadline_nor_its_callers(self) -> None:
         for wait_micros, held_micros in ((0, 4 * SECOND), (9 * SECOND, 4 * SECOND), (SECOND, SECOND)):
             waited_micros, metadata = await self.send(wait_micros)
-            self.assertEqual((waited_micros, metadata.left_micros), (held_micros, held_micros))
+            self.assertEqual((waited_micros, metadata.remaining_micros), (held_micros, held_micros))
 
     async def test_a_tenants_rank_goes_before_its_routes(self) -> None:
         ranks = [(t, r, (await self.send(0, t, r))[1].urgency or 0) for t in range(4) for r in (0, 1)]
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -38,7 +38,7 @@
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
 from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
-PATIENCE_SECONDS = 5
+TIMEOUT_SECONDS = 5
 LARGE_BODY = b"x" * (8 * 1024 * 1024)
 REPEATABLE: dict[str, Any] = {"repeatable": True}
 
@@ -157,7 +157,7 @@
     def abort(self) -> None:
         self.end = "cut"
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return False
 
 
@@ -189,12 +189,12 @@
     def __init__(self, connection_limit: int, **fields: Any) -> None:
         route_fields = {"deadline_micros": 5 * SECOND, "tries": 2, "public": True, **fields}
         route = Route("r", "h", "/a/", [Split("s", 1)], **route_fields)
-        self.held = View()
+        self.current_view = View()
         service = Service("s", "application", connection_limit=connection_limit)
-        self.held.__dict__["description"] = Description(routes=[route], services=[service])
+        self.current_view.__dict__["description"] = Description(routes=[route], services=[service])
 
     def view(self) -> View:
-        return self.held
+        return self.current_view
 
 
 class NodeFixture:
@@ -217,7 +217,7 @@
 
     async def __aexit__(self, *fault: object) -> None:
         for worker in self.workers:
-            self.pool.forget(worker.address)
+            self.pool.remove_address(worker.address)
             assert worker.server is not None
             worker.server.close()
             for writer in worker.writers:
@@ -238,11 +238,11 @@
         headers = HTTPHeaders({"X-Request-Id": request_id, "Host": "h"})
         response = RecordingWriter()
         request = OpaqueRequest(request_id, method, "/a/x", "h", "/a/x", headers, body, self.runtime.now())
-        await asyncio.wait_for(proxy.serve(request, response), PATIENCE_SECONDS)
+        await asyncio.wait_for(proxy.serve(request, response), TIMEOUT_SECONDS)
         return response
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0)
 
@@ -293,7 +293,7 @@
 
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
         """Statuses that promise that the request did not run, and a success, count only with the id of this request."""
-        request = PlatformProtocolAdapter().read("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
+        request = PlatformProtocolAdapter().parse_request("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
         metadata = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
             headers = HTTPHeaders({"X-Request-Id": "one", **more})
@@ -354,7 +354,7 @@
                     response = await fixture.ask("one", body, deadline_micros=300 * MILLI)
                     self.assertEqual((response.status, response.end), (502, "whole"), step)
                     self.assertEqual(fixture.seen(), [*before, "one"], step)
-                    self.assertEqual(fixture.budget.spent, 0)
+                    self.assertEqual(fixture.budget.retry_count, 0)
 
     async def test_a_port_that_is_dead_took_no_byte_so_another_worker_gets_it(self) -> None:
         async with NodeFixture(Worker(), Worker()) as fixture:
@@ -394,7 +394,7 @@
             await fixture.ask("one")
             fixture.runtime.now_micros += 3 * SECOND
             self.assertEqual(response_summary(await fixture.ask("two")), (200, "whole", b"for two"))
-            self.assertEqual((fixture.workers[0].connections, fixture.pool.reused), (2, 0))
+            self.assertEqual((fixture.workers[0].connections, fixture.pool.reused_count), (2, 0))
 
     async def test_one_that_rested_little_or_that_may_be_lost_is_used(self) -> None:
         for rested_micros, fields in ((1_900 * MILLI, {}), (3 * SECOND, REPEATABLE)):
@@ -402,7 +402,7 @@
                 await fixture.ask("one")
                 fixture.runtime.now_micros += rested_micros
                 self.assertEqual((await fixture.ask("two", **fields)).status, 200)
-                self.assertEqual((fixture.workers[0].connections, fixture.pool.reused), (1, 1))
+                self.assertEqual((fixture.workers[0].connections, fixture.pool.reused_count), (1, 1))
 
     async def test_a_worker_that_forgot_one_costs_one_and_no_more_for_a_while(self) -> None:
         async with NodeFixture(Worker(drops_idle=True)) as fixture:
@@ -543,7 +543,7 @@
             self.assertEqual(await control.list_workers(SECOND), Ok([]))
             for kept in control.idle_connections.values():
                 writers[0].write(whole)
-                async with asyncio.timeout(PATIENCE_SECONDS):
+                async with asyncio.timeout(TIMEOUT_SECONDS):
                     while is_idle_and_open(kept):
                         await asyncio.sleep(0)
             self.assertEqual((await control.list_workers(SECOND), len(writers)), (Ok([]), 2))
