--- a/tests/test_news_requests.py
+++ b/tests/test_news_requests.py
@@ -85,7 +85,9 @@
 
     def test_no_deadline_of_a_client_is_an_exception_or_counts_as_none(self) -> None:
         for text in ("inf", "-inf", "nan", "1e400", "soon"):
-            result = PlatformProtocolAdapter().parse_request("GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0)
+            result = PlatformProtocolAdapter().parse_request(
+                "GET", "/", HTTPHeaders({**SENT, "X-Deadline": text}), b"", 0
+            )
             self.assertTrue(result.is_err(), text)
             self.assertIs(result.unwrap_err().kind, ErrorKind.MALFORMED, text)
         for text in ("0", "0.0001", "-5"):
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -293,7 +293,11 @@
 
     async def test_a_word_about_another_request_says_nothing_of_this_one(self) -> None:
         """Statuses that promise that the request did not run, and a success, count only with the id of this request."""
-        request = PlatformProtocolAdapter().parse_request("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0).unwrap()
+        request = (
+            PlatformProtocolAdapter()
+            .parse_request("POST", "/a/x", HTTPHeaders({"X-Request-Id": "two"}), b"", 0)
+            .unwrap()
+        )
         metadata = ForwardingMetadata(800 * MILLI, "w1")
         for status, more in ((421, {}), (503, {"X-Not-Run": "full"}), (200, {"X-Answer-Seal": "s"})):
             headers = HTTPHeaders({"X-Request-Id": "one", **more})
