--- a/src/pearhead/consensus/append_receiver.py
+++ b/src/pearhead/consensus/append_receiver.py
@@ -71,7 +71,7 @@
         if records or self.writer.is_busy():
             self.writer.persist(records, acknowledge)
             if self.writer.is_slow():
-                # The disk stalls. This response confirms reads and keeps the leader from stepping down.
+                # The disk is slow. This response confirms reads and keeps the leader from stepping down meanwhile.
                 self._answer(address, ask, is_waiting=True)
         else:
             acknowledge()
--- a/src/pearhead/consensus/elections.py
+++ b/src/pearhead/consensus/elections.py
@@ -32,8 +32,9 @@
     def take_vote_ask(self, identity: str, address: str, ask: VoteAsk) -> None:
         """Handles a request for a vote or a pre-vote.
 
-        Only term and log decide, not whether this member knows the candidate as a voter: the entry that promoted the
-        candidate may be missing from this member's log (§4.1).
+        Refuses it while a leader is present, unless that leader transfers its leadership. Whether this member knows the
+        candidate as a voter does not matter: the entry that promoted the candidate may be missing from this member's
+        log (§4.1).
         """
         if (self.timer.is_leader_present() or self.state.is_leader()) and not ask.handover:
             self.answer(address, ask, is_granted=False)
--- a/src/pearhead/consensus/follower.py
+++ b/src/pearhead/consensus/follower.py
@@ -66,7 +66,8 @@
     def record_loss(self) -> None:
         """Clears the message in flight, so that it is sent again, and resets the backoff.
 
-        A message is lost when a later heartbeat is answered before it, because links preserve order.
+        A message is lost when a later heartbeat is answered before it, because links preserve order. One that the
+        follower refused is treated in the same way: entries are sent again from an earlier index.
         """
         self.in_flight = False
         self.response_deadline_micros = 0
--- a/src/pearhead/consensus/log.py
+++ b/src/pearhead/consensus/log.py
@@ -81,7 +81,7 @@
         self.replace_entries([])
 
     def mark_durable(self, index: int, term: int) -> bool:
-        """Records that the log is synced up to this entry; False if another entry has replaced it meanwhile."""
+        """Records that the log is synced up to this entry; False if the log does not hold the entry any more."""
         if self.term_at(index) != term:
             return False
         self.durable_index = max(self.durable_index, min(index, self.last_index()))
--- a/src/pearhead/consensus/membership_change.py
+++ b/src/pearhead/consensus/membership_change.py
@@ -1,4 +1,4 @@
-"""Membership changes: of one voter by a single entry, of several by joint consensus (§4.1)."""
+"""Membership changes: of at most one voter by a single entry, of several by joint consensus (§4.1)."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     async def change(self, changed: Members) -> ProposalResult:
         """Changes the members to these; returns once the whole change is applied.
 
-        The result is an error if this member does not lead, if another change is in progress, or if leadership is lost
-        meanwhile.
+        The result is an error if this member does not lead or has not committed an entry of its own term yet, if
+        another change is in progress, if `propose` refuses the entry, or if leadership is lost meanwhile.
         """
         if not self.state.is_settled():
             return Err(NOT_LEADER)
--- a/src/pearhead/consensus/persistence.py
+++ b/src/pearhead/consensus/persistence.py
@@ -13,9 +13,9 @@
 from pearhead.runtime.clock import MILLI, Clock, sleep_for
 
 LOGGER = logging.getLogger("pearhead")
-# With a sync longer than this, a member must not lead.
+# While a sync has been running for longer than this, a member must not lead.
 STALLED_FLUSH_MICROS = 1_500 * MILLI
-# With a sync longer than this, a follower answers at once that it waits for its disk.
+# While a sync has been running for longer than this, a follower answers at once that it waits for its disk.
 SLOW_FLUSH_MICROS = 50 * MILLI
 # The delay before a batch is written again to a disk that was full.
 FULL_RETRY_MICROS = 500 * MILLI
@@ -98,7 +98,11 @@
                 await sleep_for(self.clock, FULL_RETRY_MICROS)
 
     def handle_snapshot_error(self, disk_error: OSError) -> None:
-        """Handles a failed write of a snapshot: a full disk is retried, any other error ends the process."""
+        """Handles a failed write of a snapshot: records that the disk is full; any other error ends the process.
+
+        The snapshot is not written again from here: the next one that is due is, or the last chunk that the leader
+        sends again starts the installation anew.
+        """
         self._record_disk_error(disk_error)
         # The writer retries this record until it succeeds. Without it, a member that has nothing else to write
         # would never notice that the disk has room again.
--- a/src/pearhead/consensus/raft.py
+++ b/src/pearhead/consensus/raft.py
@@ -1,7 +1,7 @@
 """Raft consensus among the control-plane processes (§4.1): RaftMember assembles its components.
 
 A member is driven by messages, by a periodic tick and by completed disk writes. Its components share one RaftState,
-and each has one task.
+and each implements one part of the protocol.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self.wal = wal
         self.clock = clock
         self.task_group = task_group
-        # The time of the last tick. If it is long ago, the process was suspended.
+        # The time of the last tick. If it is long ago, the process was suspended or its event loop was blocked.
         self.last_tick_micros = clock.now()
         self.state = RaftState(identity)
         self.writer = LogWriter(self.state, wal, clock, fail)
@@ -269,7 +269,10 @@
         return await confirmation
 
     def transfer_leadership(self) -> bool:
-        """Starts transferring leadership to the voter that holds the most of the log; False if there is none."""
+        """Starts transferring leadership to the voter that holds the most of the log.
+
+        Returns False if this member does not lead or there is no other voter.
+        """
         return self.transfer.start()
 
     # ---- messages --------------------------------------------------------------------------------
--- a/src/pearhead/consensus/replication.py
+++ b/src/pearhead/consensus/replication.py
@@ -174,7 +174,7 @@
                 return batch[:count]
         return batch
 
-    # ---- answers ---------------------------------------------------------------------------------
+    # ---- responses -------------------------------------------------------------------------------
 
     def take_append_result(self, identity: str, result: AppendResult) -> None:
         """Handles a follower's response: it appended the entries, refused them, or still waits for its disk."""
@@ -221,7 +221,11 @@
             self.send_append(identity)
 
     def _record_contact(self, identity: str, result_term: int, round_number: int) -> Follower | None:
-        """Records a response and returns its follower; None if the response is of another term or not from a member."""
+        """Records a response and returns its follower.
+
+        Returns None if this member does not lead, or if the response is of another term or not from a member. If it is
+        of a newer term, this member becomes a follower in that term.
+        """
         if result_term > self.state.term:
             self.roles.become_follower(result_term)
             return None
--- a/src/pearhead/consensus/snapshot_receiver.py
+++ b/src/pearhead/consensus/snapshot_receiver.py
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True)
 class SnapshotSource:
-    """Identifies a snapshot in transfer: its sender and the term, its last entry, size in bytes and checksum."""
+    """Identifies a snapshot in transfer.
+
+    `leader` and `term` are those of the leader that sends it, `index` and `last_term` those of its last entry;
+    `checksum` covers all its bytes.
+    """
 
     leader: str
     term: int
@@ -67,7 +71,8 @@
     def take_digest_ask(self, identity: str, address: str, ask: DigestAsk) -> None:
         """Handles one chunk; the last one is answered only after the whole snapshot is installed.
 
-        A snapshot that fails its checksum is requested again from the start.
+        A snapshot that fails its checksum is requested again from the start. While the store is writing a snapshot, the
+        last chunk is not answered, and the leader sends it again.
         """
         result = DigestResult(epoch=self.state.term, index=ask.index, round=ask.round)
         if ask.epoch < self.state.term:
--- a/src/pearhead/consensus/snapshot_sender.py
+++ b/src/pearhead/consensus/snapshot_sender.py
@@ -54,7 +54,10 @@
         return snapshot
 
     def handle_chunk_result(self, follower: Follower, result: DigestResult) -> bool:
-        """Updates the offset of the next chunk; False if the follower only requests the chunk in flight again."""
+        """Updates the offset of the next chunk, and returns whether to send that chunk now.
+
+        Returns False if the follower only requests the chunk that is in flight already.
+        """
         is_repeat = result.next_offset == follower.snapshot_offset
         if is_repeat and follower.in_flight and follower.snapshot_offset:
             return False
--- a/src/pearhead/consensus/snapshot_store.py
+++ b/src/pearhead/consensus/snapshot_store.py
@@ -14,7 +14,10 @@
 
 @dataclass(frozen=True)
 class SnapshotLimits:
-    """When a snapshot is due, by applied entries or their bytes, and how many entries before it stay in the log."""
+    """When a snapshot is due, by applied entries or their bytes, and how many entries before it stay in the log.
+
+    `bytes_per_snapshot` also limits the bytes of the entries that stay.
+    """
 
     entries_per_snapshot: int = 4_096
     kept_entries: int = 1_024
--- a/src/pearhead/consensus/state.py
+++ b/src/pearhead/consensus/state.py
@@ -49,7 +49,8 @@
     leader_identity: str = ""
     commit_index: int = 0
     applied_index: int = 0
-    # While a snapshot from the leader is being written to disk, the log is about to be replaced and must not be used.
+    # While a snapshot from the leader is being written to disk, the log is about to be replaced: the member accepts no
+    # entries and starts no election.
     is_installing_snapshot: bool = False
     followers: dict[str, Follower] = field(default_factory=dict)
     # The current round of messages to followers. A response carries the round of the message that it answers.
--- a/src/pearhead/consensus/wal.py
+++ b/src/pearhead/consensus/wal.py
@@ -4,7 +4,7 @@
 serialized LogRecord. Each batch is synced before the next one is written. A bad record that is followed by a good one
 of a later batch is therefore damage to synced data and can't be a torn tail.
 
-Stored data and messages have older names: a snapshot is a digest, a term is an epoch.
+Stored data and messages have older names: a snapshot is a digest, a term is an epoch, and a mark is the term and vote.
 """
 
 from __future__ import annotations
--- a/src/pearhead/discovery/directory.py
+++ b/src/pearhead/discovery/directory.py
@@ -13,9 +13,10 @@
 
 HELLO_INTERVAL_MICROS = SECOND
 LIFETIME_MICROS = 5 * SECOND
-# A process that knows the same records is sent only the oldest age of them all. Records older than this are sent to it
-# one by one instead, so that a record of a dead process does not make the others look as old. That is left out when
-# more than this share of the records are old: then most of them are alive and their news just has not arrived yet.
+# A process that knows the same records is sent only the oldest age of them all. Records older than
+# LAGGING_RECORD_AGE_MICROS are sent to it one by one instead, so that a record of a dead process does not make the
+# others look as old. That is not done if more than MAXIMUM_LAGGING_SHARE of the records are old: then most of these
+# processes are alive, and their newer records just have not arrived yet.
 LAGGING_RECORD_AGE_MICROS = 2_500 * MILLI
 MAXIMUM_LAGGING_SHARE = 0.5
 GOSSIP_FANOUT = 2
--- a/src/pearhead/invalidation/cache_keys.py
+++ b/src/pearhead/invalidation/cache_keys.py
@@ -1,4 +1,4 @@
-"""Keys of cached prompt parts (§6.6): each covers the owner, the weights and every part up to its own."""
+"""Keys of cached prompt parts (§6.6): each covers the owner, model line, weights and every part up to its own."""
 
 from __future__ import annotations
 
--- a/src/pearhead/invalidation/channel.py
+++ b/src/pearhead/invalidation/channel.py
@@ -13,7 +13,7 @@
 
 
 def volume_channel(owner: str, line: str) -> int:
-    """Returns the channel of a volume's revision tables and wakeups."""
+    """Returns the channel of a volume's revision tables, the requests for them, and wakeups."""
     return _hash_channel(f"volume\0{owner}\0{line}")
 
 
--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -60,7 +60,10 @@
     pages_expiry_micros: int = 0
 
     def has_newer_revisions(self) -> bool:
-        """Whether a bump is known that the table lacks: a node with only the table would use the old part (§6.4)."""
+        """Whether a bump is known or in progress that the table lacks.
+
+        A node with only the table would use the old part (§6.4).
+        """
         return bool(self.newer_revisions or self.changing)
 
 
@@ -68,7 +71,8 @@
     """Answers which revision of a part is current, from tables and change messages on the joined channels.
 
     The leader's tables are valid for `lifetime_micros` from when it received the request for them.
-    `copy_note_handler` is called with the purge notes about workers' copies and changed keys.
+    `copy_note_handler` is called with the purge notes about workers (what they cache, their load and health) and those
+    about changed keys.
     """
 
     def __init__(
--- a/src/pearhead/invalidation/revision_sequencer.py
+++ b/src/pearhead/invalidation/revision_sequencer.py
@@ -1,4 +1,4 @@
-"""RevisionSequencer (§6.3): assigns revisions to the parts of volumes on the core's leader, and sends their tables."""
+"""RevisionSequencer (§6.3): assigns revisions to the parts of volumes on the leading core, and sends their tables."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RevisionStore(Protocol):
-    """What the sequencer needs of the core."""
+    """What the sequencer needs of the core that it runs on."""
 
     def is_leader(self) -> bool:
         """Whether this core believes that it leads."""
@@ -36,7 +36,7 @@
         """Returns the part number and revision of each part of a volume whose revision is above 1."""
 
     def position(self) -> tuple[int, int]:
-        """Returns the leader's epoch and the applied log index."""
+        """Returns the Raft term, which messages call the epoch, and the applied log index."""
 
 
 def paginate_pairs(pairs: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
--- a/src/pearhead/runtime/daemon.py
+++ b/src/pearhead/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""What both daemons share (§3.4): the log format, and shutdown on signals."""
+"""What the core and router daemons share (§3.4): the log format, and shutdown on signals."""
 
 from __future__ import annotations
 
--- a/src/pearhead/runtime/disk.py
+++ b/src/pearhead/runtime/disk.py
@@ -149,7 +149,8 @@
 
     def _attach_file_system(self, files: FileSystem) -> None:
         self.files = files
-        # Names of files created by an append after which the folder has not been synced yet, e.g. as it failed.
+        # Names of files created by an append after which the folder has not been synced yet, e.g. because syncing it
+        # failed.
         self.unsynced_names: set[str] = set()
         self._sync_leftover_files()
 
--- a/src/pearhead/runtime/draining_server.py
+++ b/src/pearhead/runtime/draining_server.py
@@ -22,7 +22,7 @@
 POLL_MICROS = 10 * MILLI
 
 
-class _CountedRequest(HTTPMessageDelegate):
+class _TrackedRequest(HTTPMessageDelegate):
     """Reports to the server when a request's head has been read, and when its connection closes before it is answered.
 
     All calls are passed on to `delegate`.
@@ -66,7 +66,7 @@
         """Returns the delegate that handles the next request; Tornado calls this before it reads the request."""
         delegate = super().start_request(server_conn, request_conn)
         assert isinstance(request_conn, HTTP1Connection)
-        return _CountedRequest(self, request_conn, delegate)
+        return _TrackedRequest(self, request_conn, delegate)
 
     def begin_request(self, connection: HTTP1Connection) -> None:
         """Records a request whose head was read; while the server drains, its response closes the connection."""
--- a/src/pearhead/runtime/metrics.py
+++ b/src/pearhead/runtime/metrics.py
@@ -1,6 +1,6 @@
 """Metrics (§3.4): serves the counters that a process keeps anyway, in the Prometheus text exposition format.
 
-Nothing is computed before a scrape: collectors then read the counters of the process's objects.
+Nothing is computed between scrapes: each scrape makes the collectors read the counters of the process's objects.
 """
 
 from __future__ import annotations
