--- a/src/pearhead/testbed/capacity/change_costs.py
+++ b/src/pearhead/testbed/capacity/change_costs.py
@@ -3,7 +3,7 @@
 Run it as `python -m pearhead.testbed.capacity.change_costs small`.
 
 The production classes RaftMember, Wal and FleetState run in one process, over links that deliver at once and with disks
-in memory. Time stands still except for the ticks to the next heartbeat, so the counts belong to the change alone.
+in memory. Time advances only by the Raft ticks that bring the next heartbeat, so the counts belong to the change alone.
 Processor time is the process's own, for all three members together, without the leader's check of the configuration.
 """
 
@@ -49,7 +49,7 @@
 
 
 class StepClock:
-    """A clock that advances only by calls of `step`: by as many ticks as bring the next heartbeat."""
+    """A clock that advances only by calls of `step`, by one Raft tick each."""
 
     def __init__(self) -> None:
         self.now_micros = 0
@@ -227,7 +227,7 @@
 
 
 def whole_change(number: int) -> Command:
-    """A whole configuration with 1,400 routes, each of them different from the one before."""
+    """A whole configuration with 1,400 routes, each of them different from what it was in the change before."""
     command = small_change(number)
     command.change.route.extend(_route_item(n, number) for n in range(ROUTE_COUNT))
     return command
--- a/src/pearhead/testbed/capacity/live_fleet.py
+++ b/src/pearhead/testbed/capacity/live_fleet.py
@@ -51,7 +51,7 @@
 
 
 class FleetTimeoutError(Exception):
-    """What the run waited for did not happen within `READY_SECONDS`."""
+    """What the run waited for did not happen within `READY_SECONDS`, or a core refused a command."""
 
 
 def build_description(tenants: int, mark: str) -> dict[str, Any]:
@@ -254,7 +254,10 @@
         return acknowledged
 
     def wait_until_in_force(self) -> int:
-        """Waits until all nodes hold the present revision; returns the clock (µs) when the last one did."""
+        """Waits until all nodes hold the present revision; returns the clock (µs) when the last hollow node did.
+
+        Without hollow nodes it is the time at which the polls of the real nodes showed it.
+        """
         last = 0
 
         def is_in_force() -> bool:
--- a/src/pearhead/testbed/capacity/mechanisms.py
+++ b/src/pearhead/testbed/capacity/mechanisms.py
@@ -35,7 +35,8 @@
 class Alternative:
     """One way to meet a need.
 
-    `figure` names what `value` computes, in `unit`. All values are computed from the fits; none of the ways is built.
+    `figure` names what `value` computes, in `unit`. All values are estimates, most of them from the fits; no way was
+    built for this comparison.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 
 def _shard_bytes(s: Slopes, z: FleetProfile) -> float:
-    """Assumes that each model's weights are named once a day, and that each apply changes one part."""
+    """Assumes that each model's new weights are announced once a day, and that each apply changes one part."""
     bumps = (z.models * BUMP_LIMIT + z.applies_per_day) / DAY_SECONDS
     return VOLUME_SHARDS * SHARD_MESSAGE_BYTES / TABLE_INTERVAL_SECONDS + bumps * BUMP_MESSAGE_BYTES
 
--- a/src/pearhead/testbed/capacity/model.py
+++ b/src/pearhead/testbed/capacity/model.py
@@ -683,7 +683,7 @@
 
 
 def value_text(value: float, unit: str) -> str:
-    """Three digits with the unit; bytes get the prefix that fits."""
+    """The value to three digits, or to the unit from 1,000 on, with its unit; bytes get the prefix that fits."""
     if unit in ("B", "B/s"):
         for factor, prefix in ((1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")):
             if abs(value) >= factor:
--- a/src/pearhead/testbed/capacity/report.py
+++ b/src/pearhead/testbed/capacity/report.py
@@ -31,20 +31,20 @@
     measured: float
 
     def is_within(self) -> bool:
-        """Whether the largest size lies within 20 % of what the smaller ones predict."""
+        """Whether the value predicted for the largest size lies within 20 % of the measured one."""
         return abs(self.predicted - self.measured) <= MAX_RELATIVE_ERROR * abs(self.measured)
 
 
 def fit_axis(axis: Axis, sizes: Sequence[int], rows: Sequence[Row]) -> list[FigureFit]:
     """One fit per fitted figure; a figure with too few sizes is left out."""
-    lines = []
+    figure_fits = []
     for figure, has_square in axis.fitted_figures.items():
         fitter = Fitter(has_square)
         if len(sizes) <= fitter.coefficient_count:
             continue
         values = [row[figure] for row in rows]
         fit, check = fitter.fit(sizes, values), fitter.check(sizes, values)
-        lines.append(
+        figure_fits.append(
             FigureFit(
                 figure,
                 fit.intercept,
@@ -56,7 +56,7 @@
                 check.measured,
             )
         )
-    return lines
+    return figure_fits
 
 
 def table_lines(unit: str, sizes: Sequence[int], rows: Sequence[Row]) -> list[str]:
--- a/src/pearhead/testbed/capacity/scale_run.py
+++ b/src/pearhead/testbed/capacity/scale_run.py
@@ -43,7 +43,7 @@
     def run(self, sizes: Sequence[int], plot_path: Path | None = None) -> bool:
         """Measures the sizes, prints the report, and writes the plot if a path is given.
 
-        Returns whether the largest size of every fitted figure lies within 20 % of its prediction.
+        Returns whether each fitted figure, predicted for the largest size, lies within 20 % of its measured value.
         """
         results_by_axis: dict[str, dict[str, Row]] = {}
         if self.results_path is not None and self.results_path.exists():
--- a/src/pearhead/testbed/emulator/__init__.py
+++ b/src/pearhead/testbed/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulator of the users' platform: its workers, store, cloud API and clients, as processes on loopback addresses."""
+"""Emulator of the users' platform: workers, store and cloud API as processes on loopback, and clients and operators."""
--- a/src/pearhead/testbed/emulator/checkers.py
+++ b/src/pearhead/testbed/emulator/checkers.py
@@ -149,8 +149,8 @@
 class MixedChecker:
     """A client gets an answer that is not the one its request produced; the client itself detects this.
 
-    Cases: a success without its seal or with a partial body, the answer of another request, bytes that are no valid
-    answer, or a failure with a worker's seal but not the status that the worker gave.
+    Cases: a success without its seal, with an encoding or with a body that ends inside an event; the answer of another
+    request; bytes that belong to no request or are no valid answer; a status other than that in the worker's seal.
     """
 
     rule = "MIXED"
@@ -162,7 +162,10 @@
 
 
 class OrderChecker:
-    """A stream lacks a piece, repeats one, joins two runs, or ends as complete before its last piece."""
+    """A stream lacks a piece, repeats one, joins two runs, or ends as complete before its last piece.
+
+    It is also a breach if a piece announces an older version of the weights than was announced before it.
+    """
 
     rule = "ORDER"
 
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -197,9 +197,10 @@
 
 @dataclass
 class AttemptOutcome:
-    """How one attempt ended. `status`: 0 if it was cut off or reached no node. `is_unread`: no node read the request.
+    """How one attempt ended. `is_unread`: no node read the request.
 
-    `is_given_up`: the client ended it, for silence or its deadline. `last_number`: the last piece that came.
+    `status`: 0 if no status line came, or if a success was cut off. `is_given_up`: the client ended it, for silence or
+    its deadline. `last_number`: the last piece that came.
     """
 
     status: int = 0
--- a/src/pearhead/testbed/emulator/cloud.py
+++ b/src/pearhead/testbed/emulator/cloud.py
@@ -57,7 +57,7 @@
         self.call_count = 0
 
     def record_heartbeat(self, now: int, entry: dict[str, Any]) -> dict[str, Any]:
-        """Records that a worker is alive; returns the named versions and the number of workers that load."""
+        """Records that a worker is alive; returns the announced versions and the number of workers that load."""
         is_loading = bool(entry.pop("Loading", False))
         self.entries[entry["Id"]] = (now, {**entry, "_loading": is_loading})
         self._record_snapshot(now)
@@ -65,7 +65,7 @@
         return {"Named": self.named_versions, "Loading": loading}
 
     def name_version(self, model: str, version: int) -> None:
-        """Names a weights version of a model, as an operator does."""
+        """Announces a weights version of a model, as an operator does."""
         versions = self.named_versions.setdefault(model, [1])
         if version not in versions:
             versions.append(version)
@@ -135,14 +135,14 @@
 
 
 class VersionNamesHandler(CloudHandler):
-    """Named weights versions, for operators and workers of the emulator."""
+    """Announced weights versions, for operators and workers of the emulator."""
 
     def get(self) -> None:
-        """Answers the named versions of each model."""
+        """Answers the announced versions of each model."""
         self.finish(dict(self.model.named_versions))
 
     def post(self) -> None:
-        """Names a version."""
+        """Announces a version."""
         body = json.loads(self.request.body)
         self.model.name_version(str(body["Model"]), int(body["Revision"]))
         self.finish({})
--- a/src/pearhead/testbed/emulator/configcheckers.py
+++ b/src/pearhead/testbed/emulator/configcheckers.py
@@ -87,7 +87,7 @@
         )
 
     def _read_back(self, ledger: SiteLedger) -> Iterator[str]:
-        """Finds reads older than what was acknowledged before, and reads of contents never sent or refused."""
+        """Finds reads older than what was acknowledged before, and reads of contents refused or never sent."""
         acknowledged = [(c.ended_at, c.number) for c in ledger.configs if c.status == 200]
         acknowledged += [(c.ended_at, c.number) for c in ledger.config_tries if c.status == 200]
         for read in ledger.reads:
@@ -164,7 +164,10 @@
 
 
 class DeniedChecker:
-    """The system itself answers valid requests with 3xx or 4xx, more often than 5 plus one in 500 of all requests."""
+    """The system itself answers more than 5 plus one in 500 of all requests with 3xx or 4xx, though they are valid.
+
+    `UNEXECUTED_STATUSES`, with which a client may retry, don't count.
+    """
 
     rule = "DENIED"
 
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -25,7 +25,7 @@
     """Size and speed of a worker.
 
     Rates are in tokens per millisecond and megabits per second, sizes in tokens, bytes or requests; all other numbers
-    are whole microseconds.
+    are in microseconds.
 
     - `capacity`, `queue_limit`: requests in the running batch, and requests waiting for a place in it.
     - `cache_tokens`, `token_bytes`: tokens that fit into memory, and bytes of cache for each token.
@@ -98,7 +98,7 @@
 
 
 class RequestRejectedError(Exception):
-    """The request did not run and never will. `status` is 400, 421, 429 or 503."""
+    """The request did not run and never will. `status` is 400, 421 or 503."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -577,7 +577,10 @@
         entry.private_blocks = 0
 
     def _requeue(self, entry: _RequestState) -> None:
-        """Puts a running request back into the queue when memory runs out; its prompt is read again."""
+        """Puts a running request back into the queue; its prompt is read again.
+
+        Used when memory runs out, and for requests that were still reading their prompt when new weights were loaded.
+        """
         self._remove(entry)
         self._reset_progress(entry)
         self.queue.append(entry)
@@ -685,13 +688,13 @@
             self.outputs.append(RunFinished(entry.ticket))
 
     def _allocate_block(self, now: int, entry: _RequestState) -> bool:
-        """Allocates one more block; returns False if the request itself had to be requeued for it."""
+        """Allocates one more block, for which it requeues the least urgent requests; False if this one was requeued."""
         while not self.cache.allocate_blocks(now, 1):
-            newest = max(self.running, key=lambda r: r.priority)
-            if newest is entry:
+            least_urgent = max(self.running, key=lambda r: r.priority)
+            if least_urgent is entry:
                 entry.generated_tokens -= 1
-            self._requeue(newest)
-            if newest is entry:
+            self._requeue(least_urgent)
+            if least_urgent is entry:
                 return False
         entry.private_blocks += 1
         return True
--- a/src/pearhead/testbed/emulator/engine_driver.py
+++ b/src/pearhead/testbed/emulator/engine_driver.py
@@ -46,7 +46,7 @@
         return [KeptPart(**{**p, "pins": 0}) for p in result["parts"]], str(result["zone"])
 
     async def save(self, address: str, parts: tuple[KeptPart, ...]) -> None:
-        """Sends parts to a store, whether it succeeds or not."""
+        """Sends parts to a store; a failure is ignored."""
         await send_request(address, "POST", "/site/keep", {"parts": [asdict(p) for p in parts]})
 
 
--- a/src/pearhead/testbed/emulator/engine_server.py
+++ b/src/pearhead/testbed/emulator/engine_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of an emulated model worker (§9.13), as the page on the users' platform describes it."""
+"""HTTP server of an emulated model worker (§9.13), with the interface that the users' platform specifies."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 CLOSE_AFTER_RESPONSE_SHARE = 0.02
 # Wait before a stray response of the fault `late`, and before the fault `split` resets the connection.
 LATE_BYTES_DELAY_MICROS = 20 * MILLI
-# Share of `split` faults that hit the first event of a run; the others hit the second.
+# Share of `split` faults that hit the first event of a response; the others hit the second.
 FIRST_SPLIT_SHARE = 0.5
 DEFAULT_DEADLINE_MICROS = 30 * SECOND
 
@@ -267,7 +267,7 @@
                     return
 
     def _draw_split(self, number: int, engine_request: EngineRequest) -> bool:
-        """Whether a `split` fault hits this event. It hits the first event as often as a later one."""
+        """Whether a `split` fault hits this event. It hits the first event as often as the second, and no later one."""
         is_first = number == engine_request.resumed_from + 1
         return not is_first or self.context.rng.random() < FIRST_SPLIT_SHARE
 
@@ -409,7 +409,7 @@
 
 
 class CommandHandler(EngineHandler):
-    """Commands of the launcher and of tests: faults, and weights versions that an operator has named."""
+    """Commands of the launcher and of tests: faults, and weights versions that an operator has announced."""
 
     def post(self) -> None:
         """Applies the command and answers the faults now in force."""
--- a/src/pearhead/testbed/emulator/ledger.py
+++ b/src/pearhead/testbed/emulator/ledger.py
@@ -93,9 +93,10 @@
 class Try:
     """One attempt of a client to send a request to a node.
 
-    `faults`: pairs of a rule and what was wrong with an answer that the client took as a success. `unread`: the node
-    did not read the request. `given_up`: the client ended the attempt, after a silence or at its deadline.
-    `deadline_at`: 0 if none is known. `kept`: it used a connection that had been open before.
+    `status`: 0 if no status line came, or if a success was cut off. `pieces`: the number of the last piece that came.
+    `faults`: pairs of a rule and what was wrong with the bytes that came. `unread`: the node did not read the request.
+    `given_up`: the client ended the attempt, after a silence or at its deadline. `deadline_at`: 0 if none is known.
+    `kept`: it used a connection that had been open before.
     """
 
     sent_at: int
--- a/src/pearhead/testbed/emulator/main.py
+++ b/src/pearhead/testbed/emulator/main.py
@@ -55,19 +55,19 @@
         named_answer = await send_request(self.settings["cloud"], "GET", "/site/name")
         named = (named_answer.fields() if named_answer else {}).get(self.settings["model"], [1])
         version = int(self.version_path.read_text()) if self.version_path.exists() else max(named)
-        site = self._build(version)
+        context = self._build(version)
         for known_version in named:
-            site.driver.model.name_version(known_version)
-        server = build_engine_server(site, self.settings["probe"])
+            context.driver.model.name_version(known_version)
+        server = build_engine_server(context, self.settings["probe"])
         host_name, port_number = split_address(self.settings["address"])
         server.listen(port_number, host_name)
         while not stopped.is_set():
-            await self._send_heartbeat(site)
+            await self._send_heartbeat(context)
             await sleep_for(self.clock, HEARTBEAT_INTERVAL_MICROS)
-        site.is_draining = True
+        context.is_draining = True
         end_at = self.clock.now() + self.settings["drain_micros"] + DRAIN_MARGIN_MICROS
         while self.clock.now() < end_at:
-            await self._send_heartbeat(site)
+            await self._send_heartbeat(context)
             await sleep_for(self.clock, HEARTBEAT_INTERVAL_MICROS)
 
     def _build(self, version: int) -> EngineContext:
@@ -92,14 +92,14 @@
         new_path.write_text(str(version))
         new_path.replace(self.version_path)
 
-    async def _send_heartbeat(self, site: EngineContext) -> None:
+    async def _send_heartbeat(self, context: EngineContext) -> None:
         """Reports the worker's state to the worker list.
 
         Learns from the answer which versions are announced, and how many workers load at once, which slows its own
         loading beyond `loads_at_once`.
         """
-        model, settings = site.driver.model, self.settings
-        site.driver.advance_to_now()
+        model, settings = context.driver.model, self.settings
+        context.driver.advance_to_now()
         self._save_version(model.version)
         state = model.state()
         answer = await send_request(
@@ -113,7 +113,7 @@
                 "Zone": settings["zone"],
                 "Revision": "v1",
                 "Capacity": model.settings.capacity,
-                "State": "draining" if site.is_draining else "ready",
+                "State": "draining" if context.is_draining else "ready",
                 "ColdLeftMs": 0,
                 "Phase": state["Phase"],
                 "Models": state["Models"],
--- a/src/pearhead/testbed/emulator/part_cache.py
+++ b/src/pearhead/testbed/emulator/part_cache.py
@@ -177,7 +177,7 @@
         part.pins += 1
 
     def unpin(self, part: KeptPart) -> None:
-        """Ends one use of a part; a part that is no longer cached gives its blocks back with the last one."""
+        """Ends one use of a part; the last use of a part that is no longer cached releases its blocks."""
         part.pins -= 1
         if not part.pins and self.parts.get(part.key) is not part:
             self.release_blocks(count_blocks(part.tokens))
--- a/src/pearhead/testbed/emulator/sitefaults.py
+++ b/src/pearhead/testbed/emulator/sitefaults.py
@@ -38,7 +38,7 @@
     """Injects random faults and changes into a running site.
 
     At any time the core loses no more than `Tolerance` allows: one machine, or all processes with at most one disk.
-    `frozen_seconds`: how long a frozen process is stopped.
+    `frozen_seconds`: how long a process stays frozen.
     """
 
     def __init__(self, launcher: SiteLauncher, seed: int, frozen_seconds: float = 3.0) -> None:
@@ -111,11 +111,11 @@
     def _random_delay(self) -> float:
         return self.rng.uniform(0.0, 3.0)
 
-    def _act_on_core(self, strike: Callable[[str], object]) -> str:
+    def _act_on_core(self, action: Callable[[str], object]) -> str:
         """Waits until the core has settled, and runs an action on a random core machine. Returns its name."""
         self.cores.settle()
         name = self._names("control_plane", 1)[0]
-        strike(name)
+        action(name)
         return name
 
     def _kill(self, program: str, count: int) -> str:
--- a/src/pearhead/testbed/soak/fault_proxy.py
+++ b/src/pearhead/testbed/soak/fault_proxy.py
@@ -22,9 +22,9 @@
     """The faults that a proxy injects into its link; the default is none.
 
     Attributes:
-        is_cut: Bytes of both directions are held back until the fault ends.
+        is_cut: Bytes of both directions, and new connections to the server, are held back until the fault ends.
         is_refusing: New connections are reset at once, and so are those that are open when the fault begins.
-        delay_micros: Delay before each chunk is forwarded, in microseconds.
+        delay_micros: Delay before each chunk is forwarded and each connection to the server is opened, in microseconds.
         reset_probability: For each chunk of a response, the probability that both connections are reset instead.
         loss_probability: For each chunk of a response, the probability that it and all that follows is discarded while
             the connection stays open.
@@ -130,7 +130,7 @@
         self.connections: set[ProxiedConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
-        # Addresses of clients whose connection the proxy accepted, then reset because no server took it.
+        # Addresses of clients whose connection the proxy accepted, then reset without one to the server.
         self.refused_clients: set[tuple[str, int]] = set()
         self.unblocked = asyncio.Event()
         self.unblocked.set()
@@ -162,7 +162,7 @@
                 connection.reset()
 
     async def wait_to_forward(self) -> None:
-        """Waits until a chunk that has just arrived may be forwarded."""
+        """Waits until a chunk or a connection that has just arrived may be forwarded."""
         if self.fault.delay_micros:
             await asyncio.sleep(self.fault.delay_micros / SECOND)
         await self.unblocked.wait()
--- a/src/pearhead/testbed/soak/fleet.py
+++ b/src/pearhead/testbed/soak/fleet.py
@@ -1,6 +1,6 @@
 """The fleet of a soak run: an emulated site with fault proxies in front of its processes.
 
-The proxies carry the connections from callers to front nodes, from operators to core nodes, and to the workers and the
+The proxies carry the connections from clients to front nodes, from operators to core nodes, and to the workers and the
 cloud API's list of workers. Messages between the product's own processes are not proxied: each process announces the
 address at which it listens, and no setting announces a different one.
 """
@@ -57,7 +57,7 @@
 
 
 class ProxiedNodeSelector(NodeSelector):
-    """Sends callers to the front nodes' proxies instead of the nodes themselves."""
+    """Sends clients to the front nodes' proxies instead of the nodes themselves."""
 
     def address(self, node: Machine) -> str:
         """Address and port of the node's proxy."""
@@ -74,7 +74,7 @@
     def prepare_site(self, profile: SoakProfile, seed: int) -> None:
         """Draws the site and saves its plan.
 
-        Some of the requests are made to last for seconds, so that nodes that drain still have requests at work.
+        Some of the requests are made to last for seconds, so that nodes that drain still have requests in flight.
         """
         self.make_site(find_deployment("academy"), SiteSize(profile.cores, profile.fronts, profile.workers), seed)
         site = self.site
--- a/src/pearhead/testbed/soak/schedule.py
+++ b/src/pearhead/testbed/soak/schedule.py
@@ -16,7 +16,7 @@
 # A stretch is filled with parallel lanes; in each lane one fault follows another after a random gap.
 LANE_GAP_MICROS = 300 * MILLI
 LANES = 3
-# How many random faults are tried for a moment at which processes are still busy with earlier ones.
+# How many random faults are drawn for one moment in search of one whose processes are free of earlier faults.
 MAX_DRAWS = 20
 CLOUD_PROCESS = "cloud"
 
@@ -96,9 +96,9 @@
         cores: Number of core nodes.
         fronts: Number of front nodes.
         workers: Number of workers.
-        clients: Number of concurrent callers.
+        clients: Number of concurrent clients.
         seconds: Length of the schedule.
-        longest_pause_seconds: Longest pause of a caller between two requests.
+        longest_pause_seconds: Longest pause of a client between two requests.
         stretch_seconds: Length of a stretch, a period with overlapping faults.
         calm_seconds: Length of the period without new faults after each stretch.
         stretches: The kinds of faults that each stretch draws from; repeated in this order. Planned work has stretches
--- a/src/pearhead/testbed/soak/traffic.py
+++ b/src/pearhead/testbed/soak/traffic.py
@@ -1,4 +1,4 @@
-"""The callers of a soak run: they keep their connections open and pause between requests, as real clients do."""
+"""The clients of a soak run: they keep their connections open and pause between requests, as real ones do."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class SoakClient(SiteClient):
-    """A caller that connects through proxies.
+    """A client that connects through proxies.
 
     A connection that a proxy accepted but no node did counts as refused: no node has read the request.
     """
