--- a/src/pearhead/config/__init__.py
+++ b/src/pearhead/config/__init__.py
@@ -1,1 +1,1 @@
-"""Startup configuration, the description of a deployment, and the view of it that routers hold."""
+"""Startup configuration, the description of a deployment, and the view of the fleet's state that routers have."""
--- a/src/pearhead/config/description.py
+++ b/src/pearhead/config/description.py
@@ -30,8 +30,9 @@
 class Service:
     """A group of workers that run requests, or a store that keeps prompt parts (§5.4).
 
-    0 in a limit means that it isn't specified. `source` is the operators' original text of the item: it is returned
-    unchanged and never interpreted.
+    0 in a limit means that it isn't specified. `token_bytes`: the cached size of one token; `link_mbps`: the speed of
+    a worker's or the store's network link, in Mbit/s. `source` is the operators' original text of the item: it is
+    returned unchanged and never interpreted.
     """
 
     name: str
@@ -63,7 +64,8 @@
     Times are in whole microseconds. `repeatable`: a request may run more than once. `resumable`: another worker may
     continue the stream after its last event. All other requests run at most once. `tries`: the maximum number of
     workers that one request is sent to. `urgency`: 0 is the most urgent. `pause_micros`: the longest pause between two
-    events with which a response still counts as in time.
+    events with which a response still counts as in time. `aim_micros`: the latency target. `public`: a client needs
+    no tenant's key. The router does not use `aim_micros`, `pause_micros` and `pinned`.
     """
 
     name: str
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True)
 class CapabilityEntry:
-    """Allows tenants to run some kinds of jobs on a model line: names the service that runs them, and their limits."""
+    """Allows tenants to run some kinds of jobs on a model line; names the service that runs them, and their limits."""
 
     name: str
     line: str
@@ -166,7 +168,7 @@
 async def read_description_in_chunks(
     description_bytes: bytes, yield_to_loop: Callable[[], Awaitable[None]]
 ) -> Result[Description, list[str]]:
-    """Like `read_description`, but awaits `yield_to_loop` after each chunk, so that a core keeps serving."""
+    """Like `read_description`, but awaits `yield_to_loop` after each chunk of entries, so that a core keeps serving."""
     parsed = _parse(description_bytes)
     if isinstance(parsed, Err):
         return parsed
--- a/src/pearhead/config/startup.py
+++ b/src/pearhead/config/startup.py
@@ -44,8 +44,8 @@
     keptEntries: int = 1_024
     digest_bytes: int = 8 * 1024 * 1024
     oldWeightsMicros: int = 8 * SECOND
-    # Number f of core machines, zones or regions that may be lost at once; 2 f + 1 cores vote. 0: as many as founded
-    # the deployment.
+    # Number f of core machines, zones or regions that may be lost at once; 2 f + 1 cores vote. 0: as many cores vote as
+    # founded the core group.
     toleratedLosses: int = 0
 
 
--- a/src/pearhead/config/view.py
+++ b/src/pearhead/config/view.py
@@ -1,4 +1,4 @@
-"""View (§5.2): a node's immutable copy of the fleet's state, replaced as a whole by each update."""
+"""View (§5.2): a node's (router's) immutable copy of the fleet's state, replaced as a whole by each update."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class WorkerRecord:
-    """A worker as the platform lists it; a `leaving` worker gets no new requests."""
+    """A worker in the replicated list; a `leaving` worker gets no new requests."""
 
     name: str
     address: str
--- a/src/pearhead/control_plane/__init__.py
+++ b/src/pearhead/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: core processes that agree by Raft on the fleet's description, workers, weights and holds."""
+"""The control plane: core processes that agree by Raft on description, workers, weights, leases and part revisions."""
--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -77,8 +77,8 @@
     """A core: connects Raft, fleet state, membership, node views and part revisions to one disk and one endpoint.
 
     It is the state machine that Raft applies commands to, and the store of the `RevisionSequencer`. `fail` is called
-    with a reason when the process must stop. `hold_last_seen` has, for each worker, the fence of its hold and when this
-    core last saw that hold taken or renewed.
+    with a reason when the process must stop. `hold_last_seen` has, for each worker, the fence of its lease and when
+    this core last saw that lease taken or renewed.
     """
 
     def __init__(
@@ -224,9 +224,10 @@
     # ---- StateMachine ----------------------------------------------------------------------------
 
     def apply(self, index: int, command_bytes: bytes) -> dict[str, Any]:
-        """Applies a committed command to the fleet state and returns its outcome; the leader publishes an event.
+        """Applies a committed command to the fleet state and returns its outcome.
 
-        Calls `fail` and raises UnknownCommandError for a command that only a later release knows.
+        The leader publishes an event if the command is one of `EVENT_TYPES` and was done. Calls `fail` and raises
+        UnknownCommandError for a command that only a later release knows.
         """
         try:
             outcome = self.fleet.apply(index, command_bytes)
@@ -250,11 +251,14 @@
     def load_snapshot(self, snapshot_bytes: bytes) -> None:
         """Replaces the fleet state by that of a snapshot."""
         self.fleet.load_snapshot(snapshot_bytes)
-        # A snapshot does not tell when holds were last renewed, so their time counts from now (§7.2).
+        # A snapshot does not tell when leases were last renewed, so their time counts from now (§7.2).
         self.hold_last_seen = {worker: (hold["fence"], self.clock.now()) for worker, hold in self.fleet.holds.items()}
 
     def _register_volumes(self) -> None:
-        """Joins the invalidation channel of each pair of owner and line; the sequencer exists only after recovery."""
+        """Joins the invalidation channel of each pair of owner and line.
+
+        Does nothing during the recovery, as the sequencer is created after it.
+        """
         if hasattr(self, "revision_sequencer"):
             owners = {
                 f"group:{tenant['group']}" if tenant.get("group") else f"tenant:{tenant['name']}"
@@ -294,10 +298,10 @@
     # ---- commands --------------------------------------------------------------------------------
 
     def is_bootstrap_complete(self) -> bool:
-        """Whether commands may be acknowledged: as many members vote as founded the core.
+        """Whether commands may be acknowledged: enough members vote, and no founder may still join.
 
-        With fewer voters, the loss of one disk could lose an acknowledged command. Once a command for the view has been
-        applied, the voters are not counted any more.
+        With fewer voters, the loss of one disk could lose an acknowledged command. Once a command that counts for the
+        view has been applied, neither is checked any more.
         """
         return self.fleet.visible_index > 0 or self.membership.is_bootstrap_complete()
 
@@ -322,7 +326,7 @@
         return result
 
     async def _ask_leader(self, body_name: str, body: Message, limit_micros: int) -> Result[Any, str]:
-        """Calls the leader that this core follows; gives up as soon as this core follows another or none."""
+        """Calls the leader that this core follows; returns Err as soon as this core follows another or none."""
         leader_address = self.raft.leader_address()
         call = asyncio.ensure_future(self.rpc_endpoint.call(leader_address, body_name, body, limit_micros))
         try:
@@ -368,10 +372,10 @@
         return CommandResult(status=body["status"], index=index, body=encode_canonical_json(body))
 
     async def _precheck_change(self, command: Command) -> CommandResult | None:
-        """Returns the result for a change that can't be applied, before it goes into the log (§5.4).
+        """Checks a change before it goes into the log; returns the result for one that can't be applied (§5.4).
 
-        None if the change may be proposed, which a repeat of an applied one may as well. Sets its hash and the revision
-        that it was checked against.
+        None if the change may be proposed, as may a repeat of an applied one. Sets the hash of the change and the
+        description revision that it was checked against.
         """
         change = command.change
         if not await self.raft.confirm_leadership():
@@ -401,26 +405,26 @@
         await sleep_for(self.clock, 0)
 
     def _check_hold_expiry(self, command: Command) -> None:
-        """Sets `expired` in the command if the time of the worker's present hold is over (§7.2).
+        """Sets `expired` in the command if another holder's lease on the worker has run out (§7.2).
 
         Only the leader decides this: by the time since it last saw that fence renewed, or since it became the leader if
         that is later.
         """
         worker = command.hold.worker
-        held = self.fleet.holds.get(worker)
+        lease = self.fleet.holds.get(worker)
         command.hold.expired = False
-        if held is None:
+        if lease is None:
             return
         now_micros = self.clock.now()
         seen_fence, seen_micros = self.hold_last_seen.get(worker, (0, now_micros))
-        if held["holder"] == command.hold.holder:
-            if held["fence"] == command.hold.renew_fence:
-                self.hold_last_seen[worker] = (held["fence"], now_micros)
+        if lease["holder"] == command.hold.holder:
+            if lease["fence"] == command.hold.renew_fence:
+                self.hold_last_seen[worker] = (lease["fence"], now_micros)
             return
         unrenewed_micros = now_micros - max(seen_micros, self.leader_since_micros)
-        if seen_fence == held["fence"] and unrenewed_micros > self.startup.holdMicros:
+        if seen_fence == lease["fence"] and unrenewed_micros > self.startup.holdMicros:
             command.hold.expired = True
-            command.hold.renew_fence = held["fence"]
+            command.hold.renew_fence = lease["fence"]
 
     async def _make_command_result(self, identity: str, address: str, ask: CommandAsk) -> CommandResult:
         if self.clock.now() - self.raft.last_tick_micros > MAX_STALL_MICROS:
--- a/src/pearhead/control_plane/description_change.py
+++ b/src/pearhead/control_plane/description_change.py
@@ -1,4 +1,4 @@
-"""Changes of the description, numbered by the operators (§5.4): the leader checks them, every core merges them alike.
+"""Changes of the description, numbered by the operators (§5.4): the leader checks them, every core merges them.
 
 There may be many routes, so each is kept as encoded JSON, in the form in which nodes and operators get it. No core has
 to parse routes when it applies a change.
@@ -90,7 +90,7 @@
 def hash_change(change: ChangeDescription) -> str:
     """A hash over the content of a change; two changes with the same hash are the same, whenever they were checked.
 
-    If the leader stored its hash in the change, that one is returned.
+    If the change holds a hash, which the leader stores in it, that one is returned.
     """
     if change.content_hash:
         return change.content_hash
@@ -181,17 +181,18 @@
 class ChangeChecker:
     """Checks a change on the leader, before it goes into the log.
 
-    A large change is checked in chunks; between them `yield_to_loop` is awaited, so that the leader keeps running.
+    `yield_to_loop` is awaited between the steps and after each chunk of routes, so that the leader keeps running.
     """
 
     def __init__(self, yield_to_loop: YieldToLoop) -> None:
         self.yield_to_loop = yield_to_loop
 
     async def check(self, change: ChangeDescription, present: Json, held: EncodedRoutes) -> Result[None, list[str]]:
-        """Lists the faults that the description would have after the change, each with its path.
+        """Lists the errors that the description would have after the change, each with its path.
 
-        `present` and `held` are the description without its routes, and the routes. Faults of the schema are returned
-        before any others are looked for. Routes inside the change's document are moved out of it.
+        `present` is the present description without its routes, `held` are its routes. Schema errors outside of routes
+        are returned before any others are looked for; those of routes come with the others. Routes inside the change's
+        document are moved out of it.
         """
         if change.ByteSize() > MAX_CHANGE_BYTES:
             return Err([f"document: over {MAX_CHANGE_BYTES} bytes"])
--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -64,7 +64,7 @@
     "volumeIndexes": "volume_indexes",
     "visibleIndex": "visible_index",
 }
-# Nodes get what these commands change by other ways than the view.
+# Nodes (routers) learn in other ways than by the view what these commands change.
 COMMANDS_OUTSIDE_VIEW = ("bump", "hold")
 
 Outcome = dict[str, Any]
@@ -80,10 +80,11 @@
 
 
 class FleetState:
-    """Description, workers, weights, holds, loads and part revisions, with the outcomes kept to recognize repeats.
+    """Description, workers, weights, leases, loads and part revisions, with the outcomes kept to answer repeats.
 
-    Each section has the index of its last change, from which a node's delta is made. `retained_changes` has the last
-    changes under operators' numbers, `parts` the part revisions by volume, "owner/line".
+    `holds` has the lease of each worker. Each section has the index of its last change, from which a node's delta is
+    made. `retained_changes` has the last applied changes by the number that operators gave them, `parts` the part
+    revisions by volume, "owner/line".
     """
 
     def __init__(self) -> None:
@@ -121,7 +122,7 @@
             raise UnknownCommandError(f"log entry {index} has a command of a later release than {PEARHEAD_RELEASE}")
         self.index = index
         if body_name not in COMMANDS_OUTSIDE_VIEW:
-            # Refused commands count as well, so that nodes can catch up with the last index in the log (§5.2).
+            # Refused commands count as well, so that nodes can catch up with the last such command in the log (§5.2).
             self.visible_index = index
         transaction = command.transaction.hex()
         if transaction and transaction in self.transactions:
@@ -177,7 +178,7 @@
         start = len(SNAPSHOT_MAGIC) + 8
         has_magic = snapshot_bytes.startswith(SNAPSHOT_MAGIC)
         end = start + int.from_bytes(snapshot_bytes[len(SNAPSHOT_MAGIC) : start], "big")
-        # An earlier release wrote only the head, without magic bytes, numbers and routes.
+        # An earlier release wrote only the head, without magic bytes, description numbers and routes.
         data = json.loads(snapshot_bytes[start:end] if has_magic else snapshot_bytes)
         for key, name in SNAPSHOT_FIELDS.items():
             setattr(self, name, data.get(key, 0))
@@ -233,7 +234,7 @@
 
     @staticmethod
     def changes_view(command_bytes: bytes) -> bool:
-        """Whether a command changes the view of the nodes; part revisions and holds reach them by other ways."""
+        """Whether a command changes the view of the nodes; part revisions and leases reach them in other ways."""
         return Command.FromString(command_bytes).WhichOneof("body") not in COMMANDS_OUTSIDE_VIEW
 
     # ---- commands --------------------------------------------------------------------------------
@@ -257,7 +258,7 @@
         return {"status": "done", "revision": index}
 
     def _apply_change(self, index: int, command: ChangeDescription) -> Outcome:
-        """A change under the operators' own numbers (§5.4); the leader has checked the resulting description."""
+        """A change numbered by the operators (§5.4); the leader has checked the resulting description."""
         number = str(command.number)
         change_hash = hash_change(command)
         if self.has_applied_change(command):
@@ -287,8 +288,8 @@
 
     def has_applied_change(self, command: ChangeDescription) -> bool:
         """Whether this very change is among the last `TAKEN_LIMIT` applied ones."""
-        held = self.retained_changes.get(str(command.number))
-        return held is not None and bool(held["hash"] == hash_change(command))
+        retained = self.retained_changes.get(str(command.number))
+        return retained is not None and bool(retained["hash"] == hash_change(command))
 
     def is_beyond_retained_changes(self, command: ChangeDescription) -> bool:
         """Whether a change is older than all retained ones.
@@ -308,8 +309,8 @@
         before = self.workers
         self.workers = dict(before) if command.partial else {}
         for worker in command.worker:
-            # The list of workers does not have the operators' `leaving` marks, so a mark stays while the worker keeps
-            # its address, that is, while it is the same machine (§7.6).
+            # Whoever lists the workers does not know which ones operators marked as `leaving`, so a mark stays while
+            # the worker keeps its address, that is, while it is the same machine (§7.6).
             previous = before.get(worker.name, {})
             is_marked = previous.get("address") == worker.address and previous.get("leaving", False)
             self.workers[worker.name] = {
@@ -350,23 +351,23 @@
         return {"status": "done", "revision": volume_parts[command.part], "index": index}
 
     def _apply_hold(self, index: int, command: TakeHold) -> Outcome:
-        held = self.holds.get(command.worker)
+        lease = self.holds.get(command.worker)
         if command.worker not in self.workers:
             return {"status": "refused", "faults": [f"no worker {command.worker!r}"]}
-        if held is not None and held["holder"] == command.holder and held["fence"] == command.renew_fence:
-            return {"status": "done", "fence": held["fence"]}
-        # Another holder gets the worker only if the leader found the hold with this very fence expired (§7.2). The same
-        # holder, which let its hold run out, gets it again with a later fence.
-        is_available = held is None or held["holder"] == command.holder
-        is_expired = held is not None and command.expired and held["fence"] == command.renew_fence
-        if held is not None and not is_available and not is_expired:
-            return {"status": "held", "holder": held["holder"], "fence": held["fence"]}
+        if lease is not None and lease["holder"] == command.holder and lease["fence"] == command.renew_fence:
+            return {"status": "done", "fence": lease["fence"]}
+        # Another holder gets the worker only if the leader found the lease with this very fence expired (§7.2). The
+        # same holder gets it again with a later fence if it does not name the present one, as after its lease ran out.
+        is_available = lease is None or lease["holder"] == command.holder
+        is_expired = lease is not None and command.expired and lease["fence"] == command.renew_fence
+        if lease is not None and not is_available and not is_expired:
+            return {"status": "held", "holder": lease["holder"], "fence": lease["fence"]}
         self.holds[command.worker] = {"holder": command.holder, "fence": index}
         return {"status": "done", "fence": index}
 
     def _apply_confirm(self, index: int, command: ConfirmLoad) -> Outcome:
-        held = self.holds.get(command.worker)
-        if held is None or held["fence"] != command.fence or command.worker not in self.workers:
+        lease = self.holds.get(command.worker)
+        if lease is None or lease["fence"] != command.fence or command.worker not in self.workers:
             return {"status": "refused", "faults": ["an older fence"]}
         self.loads[command.worker] = {
             "line": command.line,
--- a/src/pearhead/control_plane/main.py
+++ b/src/pearhead/control_plane/main.py
@@ -76,7 +76,7 @@
 
 
 class ControlPlaneCommand:
-    """Runs a control-plane process of pearhead, called a core, or looks after its files."""
+    """Runs a control-plane process of pearhead, called a core, or checks, inspects or repairs its files."""
 
     def run(self, startup: str = "", **flags: Any) -> None:
         """Serves until SIGTERM. Flags are fields of the startup file, such as --address=127.0.0.1:7001."""
@@ -101,7 +101,7 @@
             raise SystemExit(3)
 
     def rescue(self, folder: str, identity: str, address: str, consent: str) -> None:
-        """Last resort after two of three cores are lost: makes the core of this folder the only voter."""
+        """Last resort after a majority of the cores is lost: makes the core of this folder the only voter."""
         try:
             disk = FolderDisk(Path(folder))
         except (FolderBusyError, OSError) as fault:
@@ -112,7 +112,7 @@
         print(f"control_plane: core {identity} is the only voter from log entry {outcome.ok_value} onwards")
 
     def check(self, startup: str = "", **flags: Any) -> None:
-        """Checks a startup file and flags, and lists all faults."""
+        """Checks a startup file and flags, and lists every error."""
         if "help" in flags:
             print(startup_help("control_plane"))
             return None
--- a/src/pearhead/control_plane/membership_controller.py
+++ b/src/pearhead/control_plane/membership_controller.py
@@ -94,7 +94,7 @@
             if not self.is_leaving and not self._has_current_leader():
                 if self.raft.is_empty() and await self._may_bootstrap():
                     LOGGER.info("control_plane: Bootstraps the core group.")
-                    await self._bootstrap_cluster()
+                    await self._bootstrap_core_group()
                 else:
                     await self._request_join()
             await sleep_for(self.clock, JOIN_RETRY_MICROS)
@@ -109,7 +109,7 @@
         has_recent_contact = self.clock.now() - self.raft.last_leader_contact_micros <= MAX_LEADER_SILENCE_MICROS
         return has_recent_contact and self.identity in self.raft.membership().addresses
 
-    async def _bootstrap_cluster(self) -> None:
+    async def _bootstrap_core_group(self) -> None:
         try:
             await self.raft.bootstrap(self.startup.address, len(self.founders), self.startup.area)
         except OSError as disk_error:
@@ -130,7 +130,10 @@
         return all(not isinstance(reply, Err) and reply.ok_value.empty for reply in replies)
 
     async def _request_join(self) -> None:
-        """Asks all cores that may know the leader at the same time, so that an unreachable one delays nothing."""
+        """Asks to join: first all known cores concurrently, then the leaders that they name.
+
+        As the known cores are asked concurrently, any number of unreachable ones costs a single timeout.
+        """
         known_addresses = [record.address for record in self.directory.members("control_plane")]
         known_addresses += self.raft.voters().values()
         addresses = {*known_addresses, *self.startup.seeds} - {self.startup.address}
@@ -175,7 +178,10 @@
         return members.wanted or max(sum(m.voter for m in members.member), len(self.founders) or MIN_VOTERS)
 
     def is_bootstrap_complete(self) -> bool:
-        """Whether commands may be acknowledged: enough members vote to bear a loss, and no founder may still join."""
+        """Whether commands may be acknowledged: enough members vote, and no founder may still join.
+
+        Three voters are enough, as they can lose one, and fewer if the target is lower.
+        """
         return (
             len(self.raft.voters()) >= min(self.target_voter_count(), MIN_VOTERS) and not self._is_awaiting_founders()
         )
@@ -200,7 +206,7 @@
     # ---- leaving ---------------------------------------------------------------------------------------
 
     async def leave(self) -> None:
-        """Before a planned stop: hands the vote to a learner that stands by, then the leadership to another voter."""
+        """Before a planned stop: hands the vote to a learner, if there is one, and the leadership to another voter."""
         self.is_leaving = True
         if self.raft.is_leader():
             await self._release_vote(self.identity)
@@ -214,7 +220,7 @@
                 await sleep_for(self.clock, 20 * MILLI)
 
     async def make_leave_result(self, identity: str, address: str, ask: LeaveAsk) -> LeaveResult:
-        """Hands the vote of the calling core to a learner, and tells whether the caller has no vote any more.
+        """Hands the vote of the calling core to a learner; `left` tells whether the caller has no vote any more.
 
         Without a learner to replace it, as in a plain restart, the caller keeps its vote.
         """
@@ -291,7 +297,7 @@
         )
 
     async def _replace_voter(self, replacement: VoterReplacement) -> bool:
-        """One joint change: at no point of it are more members needed than before (§4.1)."""
+        """Swaps the votes in one joint change: at no point of it are more members needed than before (§4.1)."""
         return await self._set_votes({replacement.outgoing: False, replacement.incoming: True})
 
     async def _submit_membership(self, changed: Iterable[Member]) -> bool:
@@ -325,7 +331,7 @@
         return max(voters, key=lambda m: (m.identity != self.identity, voters_by_zone[m.zone], m.address)).identity
 
     def _micros_since_contact(self, identity: str) -> int:
-        """Microseconds since a member was last heard, or since this core became the leader if that is less."""
+        """Microseconds since a member was last heard, or if less, since this core leads; 0 for this core itself."""
         follower = self.raft.followers.get(identity)
         return self.clock.now() - follower.last_contact_micros if follower is not None else 0
 
--- a/src/pearhead/control_plane/metrics.py
+++ b/src/pearhead/control_plane/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a core (§3.4): its state in Raft and the messages that it sent."""
+"""Metrics of a core (§3.4): its Raft state, its disk, its messages and its links to other processes."""
 
 from __future__ import annotations
 
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -1,4 +1,4 @@
-"""A core's answers to nodes (§5.2, §5.3): the view, and the last index of this core's log that changes the view.
+"""A core's answers to nodes, the routers (§5.2, §5.3): the view, and the last index of its log that changes the view.
 
 Nodes learn from such answers of a majority of cores whether the view that they have is current.
 """
@@ -37,7 +37,7 @@
     def _changes_view(self, entry: Entry) -> bool:
         """Whether an entry changes the view; each entry is parsed only once.
 
-        Every node asks three times a second, and commands may be large.
+        Every node asks up to three times a second, and commands may be large.
         """
         position = (entry.epoch, entry.index)
         if position not in self.view_changes_by_position:
--- a/src/pearhead/pearheadctl/main.py
+++ b/src/pearhead/pearheadctl/main.py
@@ -10,7 +10,7 @@
 
 
 class PearheadCtl(OperatorCommand):
-    """Applies descriptions and sets weights; `query` reads the state of cores and nodes."""
+    """Changes and shows description, weights and workers; `query` reads the state of cores and nodes (routers)."""
 
     query = QueryCommand
 
--- a/src/pearhead/pearheadctl/operator_command.py
+++ b/src/pearhead/pearheadctl/operator_command.py
@@ -110,7 +110,7 @@
             print(f"{item['revision']:>8} {item['hash']} {item['by']}")
 
     def outcome(self, apply_id: str) -> None:
-        """Prints the outcome of an apply whose acknowledgement was lost."""
+        """Prints the outcome of a command whose acknowledgement was lost, by its apply id."""
         status, result = self._call(f"/outcome/{apply_id}", None)
         self._report_result(status, result, "")
 
@@ -129,9 +129,10 @@
     def workers(
         self, file: str = "", leaving: str = "", staying: str = "", removed: str = "", base: int = 0, apply_id: str = ""
     ) -> None:
-        """Prints the worker list, replaces it by a file, or marks one worker as leaving, staying or removed.
+        """Prints the worker list, replaces it by that of a file, marks a worker as leaving or staying, or removes it.
 
-        Workers that the file lists keep their marks. With --base, fails if the list changed since that revision.
+        Workers that the file lists at their present address keep their marks. With --base, fails if the list changed
+        since that revision.
         """
         if not (file or leaving or staying or removed):
             print(json.dumps(self._fetch_fleet()["workers"], indent=2, sort_keys=True))
--- a/src/pearhead/pearheadctl/query_command.py
+++ b/src/pearhead/pearheadctl/query_command.py
@@ -145,14 +145,17 @@
         )
 
     def volumes(self) -> None:
-        """Prints epoch, index, remaining lifetime of the table and number of changing parts by node and volume."""
+        """Prints epoch, index, time until the table expires and number of changing parts by node and volume."""
         responses, failures = self._read("node")
         self._print_rows(
             [{"http": a, **volume} for a, x in sorted(responses.items()) for volume in x["volumes"]], failures
         )
 
     def index(self) -> None:
-        """Prints how many cached prefixes each node knows of each worker, and whether they are tied to its load."""
+        """Prints how many cached prefix keys each node knows of each worker.
+
+        `tied`: they are of the same life of the worker as its confirmed load.
+        """
         responses, failures = self._read("node")
         self._print_rows(
             [{"http": a, **copies} for a, x in sorted(responses.items()) for copies in x["copies"]], failures
@@ -176,7 +179,7 @@
         self._print_rows(rows, failures)
 
     def soundness(self) -> None:
-        """Prints jobs, outcomes, retries and share of reused prefix tokens by node, and its unsound workers."""
+        """Prints jobs, outcomes, retries, share of reused prefix tokens and unhealthy workers of each node."""
         responses, failures = self._read("node")
         self._print_rows(
             [
