--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -89,17 +89,17 @@
 
     def __init__(self) -> None:
         self.index = 0
-        self.description: Outcome = {}
+        self.description: Json = {}
         self.description_revision = 0
         self.description_number = 0
         self.routes: EncodedRoutes = {}
-        self.retained_changes: OrderedDict[str, Outcome] = OrderedDict()
+        self.retained_changes: OrderedDict[str, Json] = OrderedDict()
         self._section_digests: SectionDigests = {}
-        self.history: list[Outcome] = []
-        self.workers: dict[str, Outcome] = {}
-        self.weights: dict[str, Outcome] = {}
-        self.holds: dict[str, Outcome] = {}
-        self.loads: dict[str, Outcome] = {}
+        self.history: list[Json] = []
+        self.workers: dict[str, Json] = {}
+        self.weights: dict[str, Json] = {}
+        self.holds: dict[str, Json] = {}
+        self.loads: dict[str, Json] = {}
         self.parts: dict[str, dict[int, int]] = {}
         self.volume_indexes: dict[str, int] = {}
         self.transactions: OrderedDict[str, Outcome] = OrderedDict()
--- a/src/pearhead/control_plane/view_service.py
+++ b/src/pearhead/control_plane/view_service.py
@@ -37,7 +37,7 @@
     def _changes_view(self, entry: Entry) -> bool:
         """Whether an entry changes the view; each entry is parsed only once.
 
-        Every node asks up to three times a second, and commands may be large.
+        Every node asks about three times a second (half as often in a large fleet), and commands may be large.
         """
         position = (entry.epoch, entry.index)
         if position not in self.view_changes_by_position:
