--- a/src/pearhead/testbed/main.py
+++ b/src/pearhead/testbed/main.py
@@ -134,11 +134,11 @@
 
     def strike(self, folder: str, rounds: int = 10, seed: int = 1, jobs: int = 300, at_once: int = 16) -> None:
         """Injects random faults into an emulated site while it serves checked requests, then runs `judge`."""
-        strikes = SiteFaultInjector(SiteLauncher(folder), seed)
+        fault_injector = SiteFaultInjector(SiteLauncher(folder), seed)
         for number in range(rounds):
-            fault_text, report = strikes.strike(number, jobs, at_once)
+            fault_text, report = fault_injector.strike(number, jobs, at_once)
             print(f"{fault_text}: {dict(report.outcomes)}", flush=True)
-        strikes.launcher.wait_ready()
+        fault_injector.launcher.wait_ready()
         print_site_result(check_site(folder))
 
     def soak(
--- a/src/pearhead/testbed/simulator/control_mutations.py
+++ b/src/pearhead/testbed/simulator/control_mutations.py
@@ -170,7 +170,7 @@
 
 @mutation("losses-as-soon-as-settled", "not led in time")
 def successors_never_vote(fleet: SimFleet) -> None:
-    """A learner never replaces a lost voter."""
+    """A learner never replaces a voter that is silent or leaves."""
     real_choose_replacement_voter = MembershipController._choose_replacement_voter
 
     def choose_replacement_voter(self: MembershipController, outgoing: str) -> str | None:
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -25,8 +25,8 @@
 NODE_CHECK_INTERVAL_MICROS = 100 * MILLI
 REQUEST_INTERVAL_MICROS = SECOND
 STABILIZATION_MICROS = 4 * SECOND
-# A replacement counts as settled STABILIZATION_MICROS after its start. A core that is silent for LOST_AFTER_MICROS
-# counts as lost and may be removed (§4.9).
+# A replacement counts as settled STABILIZATION_MICROS after its start. A core may be removed as lost when it was silent
+# for LOST_AFTER_MICROS times MEMBER_REMOVAL_FACTOR (§4.9).
 LOST_AFTER_MICROS = STABILIZATION_MICROS + SECOND
 DELAY_AFTER_PLANNED_MICROS = 15 * SECOND
 LONG_PAUSE_MICROS = 3 * SECOND
@@ -148,7 +148,7 @@
     async def isolate_machines(self, victim: str, is_inbound_open: bool, is_outbound_open: bool) -> None:
         """Cuts a core and all nodes off from the other cores for 20 s, in one direction or both.
 
-        Changes are requested right before, during and right after that.
+        Changes are requested right before the cut, during it, and right before it ends.
         """
         others = [name for name in sorted(self.fleet.cores) if name != victim]
         cut_names = [victim, *sorted(self.fleet.nodes)]
@@ -341,7 +341,10 @@
 
 @control_scenario(digest_every=40)
 async def repeats_after_hundreds_of_changes(scenario_run: ControlScenarioRun) -> None:
-    """Old changes are sent again to each core after 258 later ones, the first one also after a restart of all cores."""
+    """Of 259 changes, the first two and the last are sent again to each core.
+
+    The first, which is followed by 258 others, is sent again once more after a restart of all cores.
+    """
     first_change = await scenario_run.operators.submit_next_change()
     later_changes = [
         await scenario_run.operators.submit_next_change(is_marked=False) for _ in range(FOLLOWING_CHANGE_COUNT)
@@ -360,7 +363,7 @@
 
 
 async def destroy_after_planned(scenario_run: ControlScenarioRun, planned_count: int, loss_count: int) -> None:
-    """Planned replacements, then losses of cores, then wiped disks as soon as their replacements are settled.
+    """Planned replacements, then losses of cores, then wiped disks as soon as the lost cores' replacements are settled.
 
     The losses come about 15 s after the last planned replacement started. In the end all cores lose power.
     """
@@ -462,9 +465,10 @@
 
 @control_scenario(core_count=5)
 async def promotion_known_to_one_alone(scenario_run: ControlScenarioRun) -> None:
-    """A new voter's promotion is committed, and then the two other cores that know of it are lost.
+    """A new voter's promotion is committed, and then the two other cores that know this are lost.
 
-    Three of five voters are left, but only the promoted one knows that it votes; they must elect a leader.
+    Three of five voters are left, but only the promoted one has the entry that completes its promotion; they must elect
+    a leader.
     """
     leader = scenario_run.fleet.leader()
     lost, lagging, uninformed, other = scenario_run.followers()
--- a/src/pearhead/testbed/simulator/fault_injector.py
+++ b/src/pearhead/testbed/simulator/fault_injector.py
@@ -56,9 +56,9 @@
             end()
 
     def _choose_machine(self, role: str, sim_fault: SimFault) -> str:
-        """Chooses a target by the fault's random number, among the healthy machines of a role.
+        """Chooses a target by the fault's random number, among the machines of a role that are healthy and not leaving.
 
-        This keeps two faults from hitting the same machine at once. If none is healthy, the first one is chosen.
+        This keeps two faults from hitting the same machine at once. If no machine qualifies, the first one is chosen.
         """
         names_by_role = {
             "core": sorted(self.fleet.cores),
@@ -166,7 +166,7 @@
         await self._cut_and_restore(sim_fault, names, [n for n in self._sorted_machine_names() if n not in names])
 
     def _choose_core(self, sim_fault: SimFault) -> str:
-        """Chooses the leader in half of the cases."""
+        """Chooses the leader in half of the cases, if there is one, and otherwise any healthy core."""
         leader = self.fleet.leader()
         return leader if leader and sim_fault.target_index % 2 else self._choose_machine("core", sim_fault)
 
--- a/src/pearhead/testbed/simulator/fault_log.py
+++ b/src/pearhead/testbed/simulator/fault_log.py
@@ -13,7 +13,8 @@
 
     Attributes:
         kind: "dead", "frozen", "cut", "disk" or "burst".
-        names: The affected machine; for "cut" the sender and the receiver of the blocked direction.
+        names: The affected machine; for "cut" the sender and the receiver of the blocked direction; for "burst" it is
+            "callers".
         start_micros: Virtual time at which the fault began.
         end_micros: Virtual time at which it ended; NO_END_MICROS while it is active.
     """
@@ -62,7 +63,7 @@
         return not any(at_micros - quiet_period_micros < event <= at_micros for event in self.event_micros)
 
     def is_healthy(self, name: str, at_micros: int) -> bool:
-        """Whether the machine has no fault and takes part in cuts with at most half of the machines.
+        """Whether the machine has no fault of its own, and at most half as many cuts as there are machines.
 
         Each blocked direction counts as one cut.
         """
@@ -84,7 +85,7 @@
     def connected_cores(self, at_micros: int, core_names: set[str]) -> set[str]:
         """Returns a large set of running cores that all reach one another in both directions.
 
-        Found by removing the core with the most cuts until none is left; of equals, the first by name is removed.
+        Found by removing the core with the most cuts until no cut is left; of equals, the first by name is removed.
         """
         broken, cuts = self._active_faults(at_micros)
         connected = core_names - broken
--- a/src/pearhead/testbed/simulator/fault_schedule.py
+++ b/src/pearhead/testbed/simulator/fault_schedule.py
@@ -117,7 +117,7 @@
                 at_micros = next_core_fault_micros + rng.randrange(2 * SECOND)
                 if at_micros > FAULT_WINDOW_MICROS:
                     continue
-                # A new core becomes a voter only some time after it starts, and a frozen one first catches up its log.
+                # A new core becomes a voter only some time after it starts, and a frozen one has to catch up first.
                 next_core_fault_micros = at_micros + (
                     12 * SECOND if kind == "core-replaced" else fault_duration_micros + 2 * SECOND
                 )
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -57,10 +57,11 @@
 class SimFleet:
     """A deployment in one world, with methods for what operators, the platform and callers do to it.
 
-    Faults go through its methods rather than the world's, so that the fault log and the recording see them.
+    Faults go through its methods rather than the world's, so that the fault log sees them, and the recording those
+    kinds that it contains.
 
     Attributes:
-        digest_every: Number of log entries after which a core writes a digest.
+        digest_every: Number of log entries after which a core writes a snapshot.
         ledger: What the run did, for the checkers.
         fault_log: The active and past faults.
         cores: Core processes by name, also of machines that are down.
@@ -194,7 +195,7 @@
         machine.boot()
         address = f"{name}:2"
 
-        def build_recording(record: RunRecord) -> None:
+        def record_run(record: RunRecord) -> None:
             record.at_micros = machine.to_world_micros(record.at_micros)
             self.ledger.runs.append((name, record))
 
@@ -202,11 +203,9 @@
         if name == "store":
             model = StoreModel(machine.rng)
         elif name == "desk":
-            model = ApplicationModel(machine, build_recording)
+            model = ApplicationModel(machine, record_run)
         else:
-            model = WorkerModel(
-                machine, machine.rng, SimCacheTransfer(machine, self.back_ends, "store:2"), build_recording
-            )
+            model = WorkerModel(machine, machine.rng, SimCacheTransfer(machine, self.back_ends, "store:2"), record_run)
             model.speed = self.worker_speeds.setdefault(name, self._random_worker_speed())
         self.back_ends[address] = BackEnd(machine, model)
         self.world.trace_event(f"starts {name}")
@@ -217,7 +216,10 @@
         return [n for n in names if n not in self.removed_workers]
 
     def _random_worker_speed(self) -> WorkerSpeed:
-        """Draws the speed of a worker; long results take between one and three seconds to stream."""
+        """Draws the speed of a worker.
+
+        The lines of a long answer take 120 to 260 ms each, and a multiple of that while the worker runs many jobs.
+        """
         rng = self.world.rng
         return WorkerSpeed(
             rng.randrange(40, 120),
@@ -377,7 +379,7 @@
         self.start(name)
 
     def add_core(self, name: str, like: str = "") -> None:
-        """Starts a new core with an empty disk, whose seeds are the running cores, or the first ones if none runs.
+        """Starts a new core with an empty disk, whose seeds are the running cores, or the original ones if none runs.
 
         It is in the area of the machine `like`, if given, otherwise in the one that follows from its name.
         """
@@ -403,7 +405,7 @@
         return [n for n in sorted(self.cores) if self._is_machine_alive(n)]
 
     def leader(self) -> str:
-        """Returns the core that leads in the highest epoch, or an empty string."""
+        """Returns the core that leads in the highest term, or an empty string."""
         leaders = [
             (self.cores[n].raft.term, n)
             for n in self.live_cores()
@@ -666,7 +668,7 @@
         """Sends a job to a node as a caller and returns its trace, which is in the ledger from the start."""
         trace = self.ledger.jobs[job["jobId"]] = JobTrace(job, tenant, node_name, self.world.now())
         machine = self.world.machine(node_name)
-        trace_writer = _CallerStream(self.world, trace)
+        caller_stream = _CallerStream(self.world, trace)
 
         async def work() -> Any:
             # Looked up on arrival, as the node may have restarted; one that is not open yet accepts no connections.
@@ -674,7 +676,7 @@
             if not node.is_open:
                 return NOT_ACCEPTING
             request = parse_job(json.dumps(job).encode()).unwrap()
-            return await node.run_job(tenant_key(self.deployment, tenant), request, trace_writer)
+            return await node.run_job(tenant_key(self.deployment, tenant), request, caller_stream)
 
         answer: Any = await self.world.run_on_machine(machine, EXTERNAL_HOST, work, JOB_TIMEOUT_MICROS)
         if answer == Ok(NOT_ACCEPTING):
@@ -714,7 +716,7 @@
         self.ledger.commands.append(WorkerCommand(node_name, worker_name, fence, sent_micros, self.world.now()))
 
     def _record_grants(self, core: CoreProcess) -> None:
-        """Records when a hold is first applied by any core; it was committed then or before."""
+        """Records when any core first applies the grant of a worker lease; it was committed then or before."""
         real_apply = core.apply
 
         def apply(index: int, command_bytes: bytes) -> dict[str, Any]:
--- a/src/pearhead/testbed/simulator/history.py
+++ b/src/pearhead/testbed/simulator/history.py
@@ -185,7 +185,7 @@
         return faults
 
     def _find_regressions(self) -> list[str]:
-        """Finds reads whose number is lower than that of a read that ended earlier, and unequal reads of one number."""
+        """Finds reads with a lower number than a read that ended before they began, and unequal reads of one number."""
         faults = []
         marks: dict[int, frozenset[str]] = {}
         by_end = sorted(self.reads, key=lambda read: read.end_micros)
--- a/src/pearhead/testbed/simulator/ledger.py
+++ b/src/pearhead/testbed/simulator/ledger.py
@@ -44,7 +44,7 @@
 
 @dataclass
 class SentJob:
-    """The first byte of a job left its node, and which description the node's view held at that moment."""
+    """When the first byte of a job left its node, and which description the node's view held at that moment."""
 
     node: str
     node_boot_count: int
@@ -192,10 +192,11 @@
         return start_times
 
     def _check_force(self) -> list[str]:
-        """A description takes effect on all nodes 2 s after its acknowledgement, and none goes back to an older one.
+        """A description takes effect on all nodes soon after its acknowledgement, and none goes back to an older one.
 
-        A rejected description never takes effect, and no job runs with a withdrawn key or without an entry. All of this
-        is judged by the description that the node held when the first byte of the job left.
+        The limit is 2 s; the check allows CONFIG_PROPAGATION_LIMIT_MICROS. A rejected description never takes effect,
+        and no job runs with a withdrawn key or without an entry. All of this is judged by the description that the node
+        held when the first byte of the job left.
         """
         faults = []
         latest: dict[tuple[str, int], int] = {}
@@ -316,7 +317,7 @@
         return {t for v, p, t, r in self.bumps if (v, p, r) == (volume, part, revision)} == {transaction}
 
     def _check_commands(self) -> list[str]:
-        """A worker's fences only grow, each has one holder, and no command begins after a newer one was granted."""
+        """A worker's fences only grow, each has one holder, and no command begins after a newer fence was granted."""
         faults = []
         highest: dict[str, int] = {}
         holders: dict[tuple[str, int], str] = {}
@@ -337,7 +338,8 @@
     def _check_recovery(self) -> list[str]:
         """From 12 s after the last fault began or ended on, healthy nodes serve all jobs, even while faults last.
 
-        Healthy is what the platform could know to be so. No job sent there is refused or lost for want of a service.
+        Healthy is what the platform could know to be so. No job sent there is refused or lost, except for refusals that
+        follow from a description of the run.
         """
         if not self.is_loaded:
             return []
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -50,7 +50,7 @@
 
 @mutation("calm", "streams")
 def line_lost(fleet: SimFleet) -> None:
-    """Nodes drop 5 % of the events of an upstream stream, except the one with the usage."""
+    """Nodes drop 5% of the events of an upstream stream, except the one with the usage."""
 
     def change(node: NodeProcess) -> None:
         real_send_job = node.transport.send_job
@@ -123,7 +123,7 @@
 
 @mutation("all-killed", "lasting")
 def acknowledged_before_sync(fleet: SimFleet) -> None:
-    """Disk writes are acknowledged before they are synced, and any crash loses them."""
+    """Appends to a file are acknowledged without a sync, and any crash loses them."""
 
     async def append(self: SimDisk, file_name: str, content_bytes: bytes) -> None:
         unsynced_bytes = self.unsynced.get(file_name, b"")
@@ -358,7 +358,7 @@
 
 @mutation("weights-under-load", "weights")
 def new_weights_never_served(fleet: SimFleet) -> None:
-    """Workers refuse to load new weights and run nothing afterwards.
+    """Workers refuse to load new weights, and run nothing once the old ones may no longer be used.
 
     No job runs on old weights for too long, so only the check that jobs begin on the new ones can find this.
     """
--- a/src/pearhead/testbed/simulator/operators.py
+++ b/src/pearhead/testbed/simulator/operators.py
@@ -47,7 +47,7 @@
     """Several operators of one fleet.
 
     Attributes:
-        highest_number: The highest change number that an answer or a read has shown.
+        highest_number: The highest change number that an acknowledgement or refresh_number() has shown.
         content_number: Number of contents handed out.
     """
 
@@ -174,7 +174,8 @@
         """Sends `count` conflicting changes concurrently, all on one base.
 
         Most have the same number and different contents. One repeats a content under another number, and one repeats a
-        change. Some of the first timeouts are too short for an answer, so that the change is sent again to other cores.
+        change. Some of the first timeouts are too short for an answer, so that the change is sent again, mostly to
+        other cores.
         """
         base = self.highest_number
         contents = [self.next_content() for _ in range(count - 2)]
--- a/src/pearhead/testbed/simulator/recording.py
+++ b/src/pearhead/testbed/simulator/recording.py
@@ -26,7 +26,8 @@
         deployment: Name of the simulated deployment.
         seed: Seed of the run.
         node_count: Number of router nodes.
-        events: Jobs with their outcomes, and faults, ordered by `at`: microseconds since the recording began.
+        events: Jobs with their outcomes, faults and weights changes, ordered by `at`: microseconds since the recording
+            began. Other actions, such as disk faults, lost datagrams and applied descriptions, are not recorded.
     """
 
     deployment: str
--- a/src/pearhead/testbed/simulator/scaling_costs.py
+++ b/src/pearhead/testbed/simulator/scaling_costs.py
@@ -36,7 +36,7 @@
     """Compares two ways to multicast on an object's channel: directly, or through one relay per area.
 
     The listeners are taken from the directory of a running node; a relay is one of them. `reached` is the mean over 200
-    multicasts with 30 % of datagrams lost.
+    multicasts with 30% of datagrams lost.
     """
     sender = fleet.nodes["node-1"].directory
     listeners = set(sender.listeners(object_channel(owner, fleet.deployment.line, 1)))
@@ -111,9 +111,9 @@
 
 
 def measure_entry_scaling(entry_count: int) -> Row:
-    """Costs of one small change to a description with this many more entries.
+    """Costs of two small changes, each by itself, in a fleet whose description has this many more entries.
 
-    The bytes are those sent to 12 nodes. The match time is real time on this machine, not virtual time.
+    The bytes are those sent to 12 nodes. The time to find the entry of a job is real time on this machine.
     """
 
     async def run_in_world(world: World) -> Row:
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -183,7 +183,7 @@
 
 @scenario
 async def nodes_freeze_as_they_connect(fleet: SimFleet) -> None:
-    """Half of the nodes freeze with established connections by which no byte was sent.
+    """Half of the nodes freeze with established connections on which no byte was sent.
 
     Before they wake and may send, a tenant's key is withdrawn, workers are marked as leaving, and the weights change.
     """
@@ -201,7 +201,7 @@
 
 @scenario
 async def holder_freezes_as_it_commands(fleet: SimFleet) -> None:
-    """Lease holders freeze between their last check and their command.
+    """Lease holders freeze while they connect to a worker, before the last check of their lease and the command.
 
     They wake when others hold their workers' leases.
     """
@@ -416,7 +416,7 @@
             2 * SECOND,
         )
         if fleet.ledger.breaches:
-            # The wiped core doesn't vote yet. With the next disk the majority would be lost, which no core survives.
+            # The wiped core doesn't vote yet. Another lost disk would lose the majority, for good.
             return
     await wait_for_recovery(fleet)
 
@@ -478,7 +478,7 @@
 
 @scenario
 async def datagrams_lost(fleet: SimFleet) -> None:
-    """30 % of datagrams are lost and 10 % duplicated, while the weights change."""
+    """30% of datagrams are lost and 10% duplicated, while the weights change."""
     fleet.set_datagram_loss(0.3, 0.1)
     await fleet.name_weights("w2")
     await pause(fleet.world, 12 * SECOND)
@@ -558,7 +558,7 @@
 
 @scenario
 async def clocks_of_unlike_rate(fleet: SimFleet) -> None:
-    """Each machine's clock runs up to 2 % too fast or too slow.
+    """Each machine's clock runs up to 2% too fast or too slow.
 
     That affects view terms, worker leases, roll-out waves and revision tables, which all run during other faults.
     """
@@ -723,7 +723,7 @@
 async def one_tenant_bursts(fleet: SimFleet) -> None:
     """One large tenant sends many times what the workers can serve.
 
-    Of the other tenants' jobs at least 95 % must be served during the burst.
+    Of the other tenants' jobs at least 95% must be served during the burst.
     """
     bursting_tenant = fleet.deployment.tenant_names[0]
     description = fleet.marked_description("a")
@@ -778,11 +778,11 @@
     """
     lagging = next(n for n in sorted(fleet.cores) if n != fleet.leader())
     fleet.kill(lagging, loses_power=True)
-    leader_node = fleet.nodes["node-1"]
+    bumping_node = fleet.nodes["node-1"]
     owner = f"tenant:{fleet.deployment.tenant_names[0]}"
     for number in range(1_200):
         fleet.world.machine("node-1").task_group.start(
-            leader_node.revision_listener.bump(owner, fleet.deployment.line, number)
+            bumping_node.revision_listener.bump(owner, fleet.deployment.line, number)
         )
         if number % 60 == 0:
             await pause(fleet.world, 200 * MILLI)
@@ -865,8 +865,8 @@
 async def report_changed_parts(fleet: SimFleet, limit_micros: int) -> list[str]:
     """Lets workers and the store report up to three of the most used parts as changed; returns their keys.
 
-    Each is reported once or twice by one holder, and later by the store and by another holder. From `limit_micros`
-    after the first report on, no job may run on the old copies; the ledger checks that.
+    Each is reported once or twice by one holder, and later by the store and by another holder, if there is one. From
+    `limit_micros` after the first report on, no job may run on the old copies; the ledger checks that.
     """
     rng = fleet.world.rng
     hot_keys = [k for _, r in fleet.ledger.runs[-200:] for k in r.reused_keys]
@@ -968,7 +968,7 @@
 
 @scenario
 async def mixed_faults(fleet: SimFleet) -> None:
-    """Random faults of all kinds in turn; each ends before the next one begins."""
+    """Random faults in turn; each ends before the next one begins, except for a loss of datagrams, which goes on."""
     rng = fleet.world.rng
     weights_number = 2
     for number in range(6):
@@ -1001,7 +1001,7 @@
 
 @scenario
 async def overlapping_faults(fleet: SimFleet) -> None:
-    """Fourteen random faults of all kinds that overlap, and a last one that does not end."""
+    """Up to fourteen random faults of all kinds that overlap, and a last one that does not end."""
     await SimFaultInjector(fleet).inject_all()
     await wait_for_recovery(fleet)
 
--- a/src/pearhead/testbed/simulator/simulated_clients.py
+++ b/src/pearhead/testbed/simulator/simulated_clients.py
@@ -207,7 +207,7 @@
 class SimWorkerClient:
     """Sends commands to workers and polls their events.
 
-    `observer` is called for each command as it runs, with the names of node and worker, the fencing number and the time
+    `observer` is called for each command as it runs, with the names of node and worker, the fencing token and the time
     at which it was sent.
     """
 
@@ -218,7 +218,7 @@
         self.observer = observer
 
     async def claim(self, address: str, fence: int, may_begin: SendPrecondition) -> Result[dict[str, Any], str]:
-        """Claims a worker under a fencing number. Err with the reason if no answer came."""
+        """Claims a worker with a fencing token. Err with the reason if no answer came."""
         return await self._command(address, fence, lambda model: model.claim(fence), SECOND, may_begin)
 
     async def load(
@@ -286,7 +286,7 @@
         limit_micros: int,
         result_future: asyncio.Future[Result[dict[str, Any], str]],
     ) -> None:
-        """Runs `work` on the back end's machine; its result reaches the node only while that runs."""
+        """Runs `work` on the back end's machine; its result is dropped if the node's process has ended by then."""
         outcome = await self.world.run_on_machine(back_end.machine, self.machine.name, work, limit_micros)
 
         def settle() -> None:
--- a/src/pearhead/testbed/simulator/sweep.py
+++ b/src/pearhead/testbed/simulator/sweep.py
@@ -103,7 +103,7 @@
         return failed_count + len(failures)
 
     def summary(self, specs: list[RunSpec]) -> list[str]:
-        """Returns a Markdown table with a row per scenario and deployment, or no lines if nothing was run.
+        """Returns a Markdown table with a row per scenario and deployment; no lines if the journal has no such run.
 
         Times are recovery times in seconds over all requested seeds; only runs in the journal are counted.
         """
--- a/src/pearhead/testbed/standin.py
+++ b/src/pearhead/testbed/standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins (§9.1) for model workers, stores and application services: HTTP servers of their published formats."""
+"""Stand-ins (§9.1) for model workers, stores and application services: HTTP servers with their published formats."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
 
 
 class LoadHandler(RequestHandler):
-    """Loads a model on command of a node, which shows its fence."""
+    """Loads a model at the command of a node, which must present a fence (fencing token) that is not outdated."""
 
     def initialize(self, model: WorkerModel) -> None:
         """Receives the model from the routes of `build_stand_in`."""
@@ -132,14 +132,14 @@
 
 
 class ClaimHandler(RequestHandler):
-    """Lets a node take over command of the worker by a newer fence."""
+    """Lets a node with a newer fence take over the command of the worker."""
 
     def initialize(self, model: WorkerModel) -> None:
         """Receives the model from the routes of `build_stand_in`."""
         self.model = model
 
     async def post(self) -> None:
-        """Answers with the life and fence of the worker, or with the status and reason of the refusal."""
+        """Answers with the life (process run) and fence of the worker, or with the status and reason of the refusal."""
         try:
             self.finish(await self.model.claim(int(json.loads(self.request.body)["fence"])))
         except WorkerRefusalError as refusal:
--- a/src/pearhead/testbed/workermodel.py
+++ b/src/pearhead/testbed/workermodel.py
@@ -101,7 +101,7 @@
 class CacheEventLog:
     """Numbered events of cached parts. A reader that is too far behind gets the whole list of keys instead.
 
-    `life` identifies one start of the process; sequence numbers count within it. `EVENT_LIMIT` events are retained.
+    `life` identifies one run of the process; sequence numbers count within it. `EVENT_LIMIT` events are retained.
     While `reports_suppressed` is set, workers report no new events.
     """
 
@@ -211,7 +211,7 @@
         try:
             await sleep_for(self.clock, end_micros - self.clock.now())
         except BaseException:
-            # A cancelled job gives the time that it has not used to the jobs that wait behind it.
+            # The time that a cancelled job has not used is free for later jobs; those that wait already keep theirs.
             self.prefill_free_at -= min(job_prefill_micros, max(0, end_micros - self.clock.now()))
             raise
         for part in prefix[reused_count:]:
@@ -281,7 +281,7 @@
         await self.cache_transfer.write_to_store(key, cached_part)
 
     async def claim(self, fence: int) -> dict[str, Any]:
-        """Takes the fence of a new lease holder: commands with an older one are refused from now on.
+        """Takes the fence (fencing token) of a new lease holder: commands with an older one are refused from now on.
 
         Raises WorkerRefusalError (409) when the fence itself is older than the highest one seen.
         """
