--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -18,8 +18,8 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import Machine, World, pause
-from tests.test_change import route, whole_description
-from tests.test_members import all_agree, clear_founders, run_cores, seconds_until
+from tests.test_core_membership import all_agree, clear_founders, run_cores, seconds_until
+from tests.test_description_change import route, whole_description
 
 CHANGE_COUNT = 300
 ONGOING_CHANGE_COUNT = 20
--- a/tests/test_platform_control.py
+++ b/tests/test_config_api.py
@@ -20,7 +20,7 @@
 from tornado.testing import AsyncHTTPTestCase
 from tornado.web import Application
 
-from tests.test_change import build_core
+from tests.test_description_change import build_core
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 
--- a/tests/test_news_connections.py
+++ b/tests/test_connection_handling.py
@@ -32,7 +32,7 @@
 from pearhead.runtime.clock import MILLI, SECOND, BootClock
 from pearhead.runtime.fake_runtime import FakeRuntime
 from tests.test_client_limits import PassthroughRequestParser
-from tests.test_gate import (
+from tests.test_request_proxy import (
     HEAD,
     FakeCall,
     FakePool,
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -43,8 +43,8 @@
 from pearhead.runtime.fake_runtime import FakeRuntime
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import pause
-from tests.test_change import build_core, change
-from tests.test_members import all_agree, run_cores, seconds_until
+from tests.test_core_membership import all_agree, run_cores, seconds_until
+from tests.test_description_change import build_core, change
 from tests.test_wal import MemoryDisk
 
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -25,7 +25,7 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND, sleep_for
 from tests.test_client_limits import OK_HEAD, TIMEOUT_SECONDS, ManualClock, PassthroughRequestParser, RawClient, post
-from tests.test_gate import FakeProtocolAdapter, FakeSelector, FakeViewProvider
+from tests.test_request_proxy import FakeProtocolAdapter, FakeSelector, FakeViewProvider
 
 GRACE_MICROS = 8 * SECOND
 STEP_MICROS = 20 * MILLI
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -12,7 +12,7 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import pause
-from tests.test_members import all_agree, run_cores, seconds_until
+from tests.test_core_membership import all_agree, run_cores, seconds_until
 
 Scenario = Callable[[SimFleet, str, list[str]], Awaitable[None]]
 
--- a/tests/test_roll_out_rest.py
+++ b/tests/test_idle_weights_rollout.py
@@ -8,7 +8,7 @@
 from pearhead.router.weights_rollout import PROGRESS_TIMEOUT_MICROS
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.world import pause
-from tests.test_roll_out import orderer_of, run_fleet, versions
+from tests.test_weights_rollout import orderer_of, run_fleet, versions
 from tests.workerfleet import WorkerFleet
 
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -52,7 +52,7 @@
     TaskScenario,
     TimerDrivenClock,
 )
-from tests.test_front import FailingWorkerLink, ScriptedTransport, make_view
+from tests.test_job_api import FailingWorkerLink, ScriptedTransport, make_view
 
 STARTUP = StartupConfig(address="a:1", httpAddress="a:2", area="a", seeds=["s:1"], holdMicros=3 * SECOND)
 
--- a/tests/test_later_pages.py
+++ b/tests/test_later_pages.py
@@ -20,7 +20,7 @@
 from pearhead.router.worker_load_tracker import WorkerLoadTracker
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
-from tests.test_gate import (
+from tests.test_request_proxy import (
     HEAD,
     FakeCall,
     FakePool,
@@ -31,8 +31,8 @@
 )
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
+from platform_protocol_adapter import PlatformProtocolAdapter  # noqa: E402
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
-from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
 SEAL = "X-Answer-Seal"
 SENT = {"X-Request-Id": "r1", "Authorization": "Token k", "X-Deadline": "800"}
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_architecture.py
@@ -207,7 +207,7 @@
 # Classes that may change their attributes: they are instantiated for each request or for each body that is read.
 SHORT_LIVED_CLASSES = {
     "config_api.py": {"OperatorApiHandler"},
-    "request_dialect.py": {"ReadinessHandler"},
+    "platform_protocol_adapter.py": {"ReadinessHandler"},
     "platform_worker_client.py": {"_BufferedResponse"},
     "config_translation.py": {"YieldingJsonReader"},
 }
--- a/tests/test_news_requests.py
+++ b/tests/test_request_handling.py
@@ -25,7 +25,7 @@
 from pearhead.router.worker_version_table import WorkerVersionTable
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.runtime.fake_runtime import FakeRuntime
-from tests.test_gate import (
+from tests.test_request_proxy import (
     HEAD,
     FakeCall,
     FakePool,
@@ -38,7 +38,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
 from config_translation import _ItemReader, _read_tenant  # noqa: E402
-from request_dialect import PlatformProtocolAdapter  # noqa: E402
+from platform_protocol_adapter import PlatformProtocolAdapter  # noqa: E402
 
 SENT = {"X-Request-Id": "r1", "X-Model": "m", "X-Token-Count": "30,5", "X-Prompt-Prefix": "a1:20,b2:10"}
 METADATA = ForwardingMetadata(800 * MILLI, "i-1", tenant="t")
--- a/tests/test_right_answer_once.py
+++ b/tests/test_right_answer_once.py
@@ -35,8 +35,8 @@
 from pearhead.runtime.fake_runtime import FakeRuntime
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
+from platform_protocol_adapter import PlatformProtocolAdapter  # noqa: E402
 from platform_worker_client import PlatformWorkerClient  # noqa: E402
-from request_dialect import PlatformProtocolAdapter  # noqa: E402
 
 TIMEOUT_SECONDS = 5
 LARGE_BODY = b"x" * (8 * 1024 * 1024)
--- a/tests/test_stream_order.py
+++ b/tests/test_stream_order.py
@@ -31,7 +31,7 @@
 from tests.test_right_answer_once import FirstUntriedSelector, reset
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "platform"))
-from request_dialect import PlatformProtocolAdapter  # noqa: E402
+from platform_protocol_adapter import PlatformProtocolAdapter  # noqa: E402
 
 TIMEOUT_SECONDS = 5.0
 ROUTE = Route("r", "h", "/a/", [Split("s", 1)], 5 * SECOND, tries=2, public=True, stream=True)
