--- a/src/pearhead/consensus/persistence.py
+++ b/src/pearhead/consensus/persistence.py
@@ -18,7 +18,7 @@
 # While a sync has been running for longer than this, a follower answers at once that it waits for its disk.
 SLOW_FLUSH_MICROS = 50 * MILLI
 # The delay before a batch is written again to a disk that was full.
-FULL_RETRY_MICROS = 500 * MILLI
+DISK_FULL_RETRY_MICROS = 500 * MILLI
 
 SyncedCallback = Callable[[], None]
 
@@ -95,7 +95,7 @@
                 return
             except OSError as disk_error:
                 self._record_disk_error(disk_error)
-                await sleep_for(self.clock, FULL_RETRY_MICROS)
+                await sleep_for(self.clock, DISK_FULL_RETRY_MICROS)
 
     def handle_snapshot_error(self, disk_error: OSError) -> None:
         """Handles a failed write of a snapshot: records that the disk is full; any other error ends the process.
--- a/src/pearhead/control_plane/core_process.py
+++ b/src/pearhead/control_plane/core_process.py
@@ -77,7 +77,7 @@
     """A core: connects Raft, fleet state, membership, node views and part revisions to one disk and one endpoint.
 
     It is the state machine that Raft applies commands to, and the store of the `RevisionSequencer`. `fail` is called
-    with a reason when the process must stop. `hold_last_seen` has, for each worker, the fence of its lease and when
+    with a reason when the process must stop. `lease_last_seen` has, for each worker, the fence of its lease and when
     this core last saw that lease taken or renewed.
     """
 
@@ -98,7 +98,7 @@
         self.fail = fail
         self.task_group = BackgroundTaskGroup("control_plane")
         self.fleet = FleetState()
-        self.hold_last_seen: dict[str, tuple[int, int]] = {}
+        self.lease_last_seen: dict[str, tuple[int, int]] = {}
         self.leader_since_micros = 0
         self.identity = ""
         self.founders = startup.founders
@@ -237,7 +237,7 @@
         command = Command.FromString(command_bytes)
         body_name = command.WhichOneof("body")
         if body_name == "hold" and outcome["status"] == "done":
-            self.hold_last_seen[command.hold.worker] = (outcome["fence"], self.clock.now())
+            self.lease_last_seen[command.hold.worker] = (outcome["fence"], self.clock.now())
         elif body_name in ("apply", "change") and outcome["status"] == "done":
             self._register_volumes()
         if body_name in EVENT_TYPES and outcome["status"] == "done" and self.raft.is_leader():
@@ -252,7 +252,9 @@
         """Replaces the fleet state by that of a snapshot."""
         self.fleet.load_snapshot(snapshot_bytes)
         # A snapshot does not tell when leases were last renewed, so their time counts from now (§7.2).
-        self.hold_last_seen = {worker: (hold["fence"], self.clock.now()) for worker, hold in self.fleet.holds.items()}
+        self.lease_last_seen = {
+            worker: (lease["fence"], self.clock.now()) for worker, lease in self.fleet.leases.items()
+        }
 
     def _register_volumes(self) -> None:
         """Joins the invalidation channel of each pair of owner and line.
@@ -349,7 +351,7 @@
 
     async def _execute_as_leader(self, command: Command, arrived_micros: int) -> CommandResult:
         if command.WhichOneof("body") == "hold":
-            self._check_hold_expiry(command)
+            self._check_lease_expiry(command)
         elif command.WhichOneof("body") == "apply":
             checked = await read_description_in_chunks(command.apply.description, self._yield_to_loop)
             if isinstance(checked, Err):
@@ -404,22 +406,22 @@
         """Yields to the event loop, so that heartbeats go out while a large description is checked."""
         await sleep_for(self.clock, 0)
 
-    def _check_hold_expiry(self, command: Command) -> None:
+    def _check_lease_expiry(self, command: Command) -> None:
         """Sets `expired` in the command if another holder's lease on the worker has run out (§7.2).
 
         Only the leader decides this: by the time since it last saw that fence renewed, or since it became the leader if
         that is later.
         """
         worker = command.hold.worker
-        lease = self.fleet.holds.get(worker)
+        lease = self.fleet.leases.get(worker)
         command.hold.expired = False
         if lease is None:
             return
         now_micros = self.clock.now()
-        seen_fence, seen_micros = self.hold_last_seen.get(worker, (0, now_micros))
+        seen_fence, seen_micros = self.lease_last_seen.get(worker, (0, now_micros))
         if lease["holder"] == command.hold.holder:
             if lease["fence"] == command.hold.renew_fence:
-                self.hold_last_seen[worker] = (lease["fence"], now_micros)
+                self.lease_last_seen[worker] = (lease["fence"], now_micros)
             return
         unrenewed_micros = now_micros - max(seen_micros, self.leader_since_micros)
         if seen_fence == lease["fence"] and unrenewed_micros > self.startup.holdMicros:
@@ -448,13 +450,13 @@
 
     # ---- state for operators -----------------------------------------------------------------------
 
-    def health(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Health and Raft state as this core alone sees them, for operators and the platform."""
         return {
             "kind": "core",
             "area": self.startup.area,
             "digestIndex": self.raft.snapshot_index,
-            "holds": self.fleet.holds,
+            "holds": self.fleet.leases,
             "identity": self.identity,
             "address": self.startup.address,
             "role": self.raft.role,
--- a/src/pearhead/control_plane/fleet_state.py
+++ b/src/pearhead/control_plane/fleet_state.py
@@ -59,7 +59,7 @@
     "history": "history",
     "workers": "workers",
     "weights": "weights",
-    "holds": "holds",
+    "holds": "leases",
     "loads": "loads",
     "volumeIndexes": "volume_indexes",
     "visibleIndex": "visible_index",
@@ -82,7 +82,7 @@
 class FleetState:
     """Description, workers, weights, leases, loads and part revisions, with the outcomes kept to answer repeats.
 
-    `holds` has the lease of each worker. Each section has the index of its last change, from which a node's delta is
+    `leases` has the lease of each worker. Each section has the index of its last change, from which a node's delta is
     made. `retained_changes` has the last applied changes by the number that operators gave them, `parts` the part
     revisions by volume, "owner/line".
     """
@@ -98,7 +98,7 @@
         self.history: list[Json] = []
         self.workers: dict[str, Json] = {}
         self.weights: dict[str, Json] = {}
-        self.holds: dict[str, Json] = {}
+        self.leases: dict[str, Json] = {}
         self.loads: dict[str, Json] = {}
         self.parts: dict[str, dict[int, int]] = {}
         self.volume_indexes: dict[str, int] = {}
@@ -351,7 +351,7 @@
         return {"status": "done", "revision": volume_parts[command.part], "index": index}
 
     def _apply_hold(self, index: int, command: TakeHold) -> Outcome:
-        lease = self.holds.get(command.worker)
+        lease = self.leases.get(command.worker)
         if command.worker not in self.workers:
             return {"status": "refused", "faults": [f"no worker {command.worker!r}"]}
         if lease is not None and lease["holder"] == command.holder and lease["fence"] == command.renew_fence:
@@ -362,11 +362,11 @@
         is_expired = lease is not None and command.expired and lease["fence"] == command.renew_fence
         if lease is not None and not is_available and not is_expired:
             return {"status": "held", "holder": lease["holder"], "fence": lease["fence"]}
-        self.holds[command.worker] = {"holder": command.holder, "fence": index}
+        self.leases[command.worker] = {"holder": command.holder, "fence": index}
         return {"status": "done", "fence": index}
 
     def _apply_confirm(self, index: int, command: ConfirmLoad) -> Outcome:
-        lease = self.holds.get(command.worker)
+        lease = self.leases.get(command.worker)
         if lease is None or lease["fence"] != command.fence or command.worker not in self.workers:
             return {"status": "refused", "faults": ["an older fence"]}
         self.loads[command.worker] = {
--- a/src/pearhead/control_plane/operator_api.py
+++ b/src/pearhead/control_plane/operator_api.py
@@ -194,10 +194,10 @@
 
     def get(self) -> None:
         """Replies with health and Raft state as this core alone sees them."""
-        self.finish(self.core.health())
+        self.finish(self.core.status())
 
 
-class HealthHandler(RequestHandler):
+class StatusHandler(RequestHandler):
     """Health check for the platform; it needs no operator key."""
 
     def initialize(self, core: CoreProcess, startup: StartupConfig) -> None:
@@ -206,7 +206,7 @@
 
     def get(self) -> None:
         """Replies with the same as `/inspect`."""
-        self.finish(self.core.health())
+        self.finish(self.core.status())
 
 
 def build_operator_api(
@@ -224,7 +224,7 @@
             ("/weights", WeightsHandler, handler_arguments),
             ("/fleet", FleetHandler, handler_arguments),
             ("/inspect", InspectHandler, handler_arguments),
-            ("/soundness", HealthHandler, handler_arguments),
+            ("/soundness", StatusHandler, handler_arguments),
             *(metrics_routes(registry) if registry is not None else []),
         ],
         log_function=lambda handler: None,
--- a/src/pearhead/discovery/directory.py
+++ b/src/pearhead/discovery/directory.py
@@ -12,7 +12,7 @@
 from pearhead.runtime.clock import MILLI, SECOND, Clock, sleep_for
 
 HELLO_INTERVAL_MICROS = SECOND
-LIFETIME_MICROS = 5 * SECOND
+RECORD_LIFETIME_MICROS = 5 * SECOND
 # A process that knows the same records is sent only the oldest age of them all. Records older than
 # LAGGING_RECORD_AGE_MICROS are sent to it one by one instead, so that a record of a dead process does not make the
 # others look as old. That is not done if more than MAXIMUM_LAGGING_SHARE of the records are old: then most of these
@@ -63,7 +63,7 @@
         return list(members)
 
     def _find_members(self, role: str | None, now_micros: int) -> list[Record]:
-        oldest_live_micros = now_micros - LIFETIME_MICROS
+        oldest_live_micros = now_micros - RECORD_LIFETIME_MICROS
         by_address: dict[str, tuple[int, Record]] = {}
         for _, (record, issued_micros) in sorted(self.records.items()):
             known_issued_micros, _ = by_address.get(record.address, (-1, record))
@@ -180,7 +180,7 @@
             if (
                 known_record is None
                 or known_record != record
-                or known_issued_micros < self.clock.now() - LIFETIME_MICROS
+                or known_issued_micros < self.clock.now() - RECORD_LIFETIME_MICROS
             ):
                 self.cache_expiry_micros = 0
             if len(self.records) > RECORD_LIMIT:
--- a/src/pearhead/invalidation/revision_listener.py
+++ b/src/pearhead/invalidation/revision_listener.py
@@ -24,7 +24,7 @@
 
 LOGGER = logging.getLogger("pearhead")
 REQUEST_RESEND_MICROS = 250 * MILLI
-RESEND_COUNT = 20
+MAX_REQUEST_ATTEMPTS = 20
 TABLE_REQUEST_INTERVAL_MICROS = 400 * MILLI
 TABLE_RELAY_DELAY_MICROS = 120 * MILLI
 VOLUME_IDLE_MICROS = 120 * SECOND
@@ -71,8 +71,8 @@
     """Answers which revision of a part is current, from tables and change messages on the joined channels.
 
     The leader's tables are valid for `lifetime_micros` from when it received the request for them.
-    `copy_note_handler` is called with the purge notes about workers (what they cache, their load and health) and those
-    about changed keys.
+    `worker_note_handler` is called with the purge notes about workers (what they cache, their load and health) and
+    those about changed keys.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self.repairs: dict[bytes, RevisionRepair] = {}
         self.open_transactions: set[bytes] = set()
         self.concurrent_change_count = 0
-        self.copy_note_handler: Callable[[PurgeNote], None] = lambda note: None
+        self.worker_note_handler: Callable[[PurgeNote], None] = lambda note: None
         rpc_endpoint.on_message("purge_note", self._handle_purge_note)
 
     # ---- queries and changes by the router ------------------------------------------------------
@@ -128,8 +128,9 @@
     async def bump(self, owner: str, line: str, part: int) -> int | None:
         """Requests the part's next revision from the sequencer and returns it.
 
-        The part counts as changing until the reply arrives. Returns None if none came after `RESEND_COUNT` requests.
-        A revision other than the last known one plus one is counted as a conflict: another node changed the part too.
+        The part counts as changing until the reply arrives. Returns None if none came after `MAX_REQUEST_ATTEMPTS`
+        requests. A revision other than the last known one plus one is counted as a conflict: another node changed the
+        part too.
         """
         state = self._touch_volume(owner, line)
         self._join_channel(object_channel(owner, line, part))
@@ -143,7 +144,7 @@
         self._mark_changing(state, part, transaction)
         self.open_transactions.add(transaction)
         try:
-            for attempt in range(RESEND_COUNT):
+            for attempt in range(MAX_REQUEST_ATTEMPTS):
                 # After an unanswered request, wake the sequencer first, so that it has joined the channel when the
                 # request is sent again.
                 if attempt:
@@ -223,7 +224,7 @@
 
     def _handle_purge_note(self, identity: str, address: str, note: PurgeNote) -> None:
         if note.HasField("copy_note") or note.HasField("changed_note"):
-            self.copy_note_handler(note)
+            self.worker_note_handler(note)
             return
         state = self.volumes.get((note.owner, note.line))
         if state is None:
--- a/src/pearhead/router/request_proxy.py
+++ b/src/pearhead/router/request_proxy.py
@@ -56,7 +56,7 @@
 STALE_VIEW_RETRY_JITTER_MICROS = 600 * MILLI
 # Clients retry after at most a third of their wait time. Where a third is less than `STALE_VIEW_RETRY_MICROS`, the
 # client would retry too early, so its request is held instead of refused.
-CALLER_RETRY_DIVISOR = 3
+CLIENT_RETRY_DIVISOR = 3
 STARTUP_HOLD_DIVISOR = 2
 MAX_STARTUP_HOLD_MICROS = 1_200 * MILLI
 STARTUP_HOLD_POLL_MICROS = 20 * MILLI
@@ -85,11 +85,12 @@
 class InFlightRequest:
     """The state of one request from its arrival to the end of its response.
 
-    - `placements`: how often a worker was chosen so far; `tries`: how often the request was sent to one; `tried`: names
-      of the workers to which it was sent, that could not be reached or whose weights are too old.
+    - `placements`: how often a worker was chosen so far; `tries`: how often the request was sent to one.
+    - `excluded_workers`: names of the workers to which it was sent, that could not be reached or whose weights are too
+      old.
     - `may_have_run`: a worker may have begun to run it; `may_have_run_before`: the same before the current try.
     - `has_response_started`: the response head was written to the client.
-    - `is_fresh`: no worker was tried yet, and it has not waited for the prefill of another request.
+    - `may_wait_for_prefill`: no worker was tried yet, and it has not waited for the prefill of another request.
     - `is_cancelled_by_shutdown`: `task`, which serves the request, was cancelled so that the request gets its final
       response before the process ends.
     """
@@ -103,11 +104,11 @@
     may_have_run: bool = False
     may_have_run_before: bool = False
     has_response_started: bool = False
-    is_fresh: bool = True
+    may_wait_for_prefill: bool = True
     is_done: bool = False
     is_cancelled_by_shutdown: bool = False
     task: asyncio.Task[None] | None = None
-    tried: set[str] = field(default_factory=set)
+    excluded_workers: set[str] = field(default_factory=set)
     retry_micros: int = DEFAULT_RETRY_AFTER_MICROS
 
 
@@ -211,18 +212,18 @@
             if not self._may_attempt(in_flight_request, resolved.route):
                 break
             chosen = self.selector.choose(
-                resolved.view, resolved.route, request, resolved.tenant, frozenset(in_flight_request.tried)
+                resolved.view, resolved.route, request, resolved.tenant, frozenset(in_flight_request.excluded_workers)
             )
             if isinstance(chosen, Err):
                 last_refusal = chosen.err_value
                 break
             choice = chosen.ok_value
-            if in_flight_request.is_fresh and await self.prefill_tracker.wait_for(
+            if in_flight_request.may_wait_for_prefill and await self.prefill_tracker.wait_for(
                 choice, request, remaining_micros // 4
             ):
-                in_flight_request.is_fresh = False
+                in_flight_request.may_wait_for_prefill = False
                 continue
-            in_flight_request.is_fresh = False
+            in_flight_request.may_wait_for_prefill = False
             last_refusal = await self._try_worker(in_flight_request, resolved, choice)
         if not in_flight_request.is_done:
             self._fail_request(in_flight_request, last_refusal)
@@ -231,7 +232,7 @@
 
     async def _hold_until_view_known(self, request: OpaqueRequest, writer: ResponseWriter) -> None:
         """Holds the request on a starting node if its client lacks the time to retry once the node is ready."""
-        if not 0 < request.wait_micros < CALLER_RETRY_DIVISOR * STALE_VIEW_RETRY_MICROS:
+        if not 0 < request.wait_micros < CLIENT_RETRY_DIVISOR * STALE_VIEW_RETRY_MICROS:
             return
         end_micros = self.clock.now() + min(request.wait_micros // STARTUP_HOLD_DIVISOR, MAX_STARTUP_HOLD_MICROS)
         while not self._is_outcome_known(request) and self.clock.now() < end_micros and not writer.is_disconnected():
@@ -291,7 +292,7 @@
         request, worker = in_flight_request.request, choice.backend.name
         in_flight_request.placements += 1
         if not in_flight_request.splitter.sequence.accepts_version(choice.version):
-            in_flight_request.tried.add(worker)
+            in_flight_request.excluded_workers.add(worker)
             return Refusal(
                 ErrorKind.NO_WORKER, "a worker has older weights than the answer so far", DEFAULT_RETRY_AFTER_MICROS
             )
@@ -300,7 +301,7 @@
             choice.backend.address, self._call_limits(resolved, choice, remaining_micros)
         )
         if isinstance(call_result, Err):
-            in_flight_request.tried.add(worker)
+            in_flight_request.excluded_workers.add(worker)
             if call_result.err_value != POOL_EXHAUSTED:
                 self.load_tracker.record_failure(worker)
             return Refusal(ErrorKind.NO_WORKER, "a worker could not be reached", in_flight_request.retry_micros)
@@ -334,7 +335,7 @@
             headers = self.adapter.outgoing_headers(request, metadata)
             sent_micros = self.clock.now()
             in_flight_request.tries += 1
-            in_flight_request.tried.add(worker)
+            in_flight_request.excluded_workers.add(worker)
             in_flight_request.may_have_run_before = in_flight_request.may_have_run
             in_flight_request.may_have_run = True
             reservation.begin()
--- a/src/pearhead/router/worker_lease.py
+++ b/src/pearhead/router/worker_lease.py
@@ -128,7 +128,7 @@
         self.may_serve: Callable[[View, str, str], bool] = lambda view, line, worker: True
         self.serving_since: dict[tuple[str, int], int] = {}
         self.is_draining = False
-        revision_listener.copy_note_handler = self._handle_purge_note
+        revision_listener.worker_note_handler = self._handle_purge_note
 
     async def run(self) -> None:
         """Runs a round every 0.2 s while the view is current and the node isn't draining, until cancelled."""
--- a/src/pearhead/runtime/socketnet.py
+++ b/src/pearhead/runtime/socketnet.py
@@ -14,12 +14,12 @@
 from pearhead.runtime.net import MAXIMUM_FRAME_BYTES, Receiver
 
 LOGGER = logging.getLogger("pearhead")
-QUEUE_LIMIT = 512
+MAXIMUM_QUEUED_FRAMES = 512
 MAXIMUM_QUEUE_BYTES = 32 * 1024 * 1024
-BATCH_SIZE = 64 * 1024
+BATCH_BYTES = 64 * 1024
 FRAME_EXPIRY_MICROS = SECOND
-CONNECT_MICROS = 600 * MILLI
-RETRY_MICROS = 100 * MILLI
+CONNECT_TIMEOUT_MICROS = 600 * MILLI
+RECONNECT_DELAY_MICROS = 100 * MILLI
 WRITE_STALL_MICROS = SECOND
 FRAME_HEADER = struct.Struct(">I")
 # A machine that has lost power or its network sends nothing, not even a reset: without these a connection to it stays
@@ -90,7 +90,7 @@
         """Queues a frame; while the queue is over one of its limits, its oldest frames are dropped."""
         self.queued_frames.append((self.clock.now(), frame))
         self.queued_byte_count += len(frame)
-        while len(self.queued_frames) > QUEUE_LIMIT or (
+        while len(self.queued_frames) > MAXIMUM_QUEUED_FRAMES or (
             self.queued_byte_count > MAXIMUM_QUEUE_BYTES and len(self.queued_frames) > 1
         ):
             self._pop_oldest_frame()
@@ -108,7 +108,7 @@
                 elif self._is_open() or await self._connect():
                     await self._write(self._pop_batch())
                 else:
-                    await sleep_for(self.clock, RETRY_MICROS)
+                    await sleep_for(self.clock, RECONNECT_DELAY_MICROS)
         finally:
             self._reset()
 
@@ -123,10 +123,10 @@
             self.losses.stale_frames += 1
 
     def _pop_batch(self) -> bytes:
-        """Removes up to about `BATCH_SIZE` bytes of frames from the queue, to be sent by one system call."""
+        """Removes up to about `BATCH_BYTES` bytes of frames from the queue, to be sent by one system call."""
         chunks: list[bytes] = []
         size = 0
-        while self.queued_frames and size < BATCH_SIZE:
+        while self.queued_frames and size < BATCH_BYTES:
             frame = self._pop_oldest_frame()
             chunks += (FRAME_HEADER.pack(len(frame)), frame)
             size += len(frame)
@@ -140,7 +140,7 @@
     async def _connect(self) -> bool:
         self._reset()
         try:
-            async with asyncio.timeout(CONNECT_MICROS / SECOND):
+            async with asyncio.timeout(CONNECT_TIMEOUT_MICROS / SECOND):
                 self.stream_reader, self.stream_writer = await asyncio.open_connection(self.host_name, self.port_number)
         except (OSError, TimeoutError):
             return False
--- a/src/pearhead/testbed/capacity/fit.py
+++ b/src/pearhead/testbed/capacity/fit.py
@@ -52,13 +52,13 @@
 
 
 class Fitter:
-    """Fits a line, or with `has_square` a parabola.
+    """Fits a line, or with `has_quadratic_term` a parabola.
 
     A coefficient whose term is at most `rounding_tolerance` at the largest size is set to zero.
     """
 
-    def __init__(self, has_square: bool = False) -> None:
-        self.coefficient_count = 3 if has_square else 2
+    def __init__(self, has_quadratic_term: bool = False) -> None:
+        self.coefficient_count = 3 if has_quadratic_term else 2
 
     def fit(self, sizes: Sequence[float], values: Sequence[float]) -> LinearFit:
         """Fits values over sizes. ValueError with fewer points than coefficients."""
--- a/src/pearhead/testbed/capacity/mechanisms.py
+++ b/src/pearhead/testbed/capacity/mechanisms.py
@@ -10,8 +10,8 @@
     DAY_SECONDS,
     POLLS_PER_SECOND,
     TARGET,
+    AxisFits,
     FleetProfile,
-    Slopes,
     Value,
     value_text,
 )
@@ -56,34 +56,34 @@
     alternatives: tuple[Alternative, Alternative]
 
 
-def _term_exchange_bytes(s: Slopes) -> float:
+def _term_exchange_bytes(s: AxisFits) -> float:
     """Bytes of one term request and its answer, from the traffic of a node that asks ten times a second."""
     request_rate = s.mean("nodes", "term questions at a core, a second") / s.mean_size("nodes") * 3
     return (s.mean("nodes", "term in a node, B/s") + s.mean("nodes", "term out a node, B/s")) / request_rate
 
 
-def _change_bytes(s: Slopes, z: FleetProfile) -> float:
+def _change_bytes(s: AxisFits, z: FleetProfile) -> float:
     return s.at("tenants", "bytes of an apply a node", z.tenants)
 
 
-def _shard_bytes(s: Slopes, z: FleetProfile) -> float:
+def _shard_bytes(s: AxisFits, z: FleetProfile) -> float:
     """Assumes that each model's new weights are announced once a day, and that each apply changes one part."""
     bumps = (z.models * BUMP_LIMIT + z.applies_per_day) / DAY_SECONDS
     return VOLUME_SHARDS * SHARD_MESSAGE_BYTES / TABLE_INTERVAL_SECONDS + bumps * BUMP_MESSAGE_BYTES
 
 
-def _load_bytes(s: Slopes, z: FleetProfile) -> float:
+def _load_bytes(s: AxisFits, z: FleetProfile) -> float:
     return s.slope("state", "bytes to a node a confirmed load")
 
 
-def _event_cores(s: Slopes, z: FleetProfile) -> float:
+def _event_cores(s: AxisFits, z: FleetProfile) -> float:
     micros = s.at_largest("blocks", "reading an event off the wire, µs") + s.at_largest(
         "blocks", "taking an event in, µs"
     )
     return z.events * micros / 1e6
 
 
-def _poll_cores(s: Slopes, workers: float) -> float:
+def _poll_cores(s: AxisFits, workers: float) -> float:
     """Processor time of one poll a second for each of so many workers.
 
     It is a quarter of what a worker costs its holder, lease renewals and reports included, as a holder polls four times
@@ -92,7 +92,7 @@
     return REAL_NODES * s.slope("workers", "node, cores") * workers / POLLS_PER_SECOND
 
 
-def _shard_cores(s: Slopes, z: FleetProfile) -> float:
+def _shard_cores(s: AxisFits, z: FleetProfile) -> float:
     return _event_cores(s, z) / SHARDS + _poll_cores(s, z.workers / SHARDS)
 
 
@@ -343,7 +343,7 @@
 )
 
 
-def node_control_traffic(s: Slopes, z: FleetProfile) -> list[tuple[str, float]]:
+def node_control_traffic(s: AxisFits, z: FleetProfile) -> list[tuple[str, float]]:
     """Traffic of a node's control with all the ways that were chosen, by need, in bytes per second."""
     chosen = {m.need: m.chosen.value(s, z) for m in MECHANISMS if m.chosen.unit == "B/s"}
     return [
@@ -355,7 +355,7 @@
     ]
 
 
-def mechanism_lines(s: Slopes, z: FleetProfile = TARGET) -> list[str]:
+def mechanism_lines(s: AxisFits, z: FleetProfile = TARGET) -> list[str]:
     """The comparison and the sums for a node as Markdown tables, as docs/CAPACITY.md shows them."""
     lines = ["| need | replaces | way | its figure | at the target | |", "| --- | --- | --- | --- | --- | --- |"]
     for mechanism in MECHANISMS:
--- a/src/pearhead/testbed/capacity/model.py
+++ b/src/pearhead/testbed/capacity/model.py
@@ -75,7 +75,7 @@
 )
 
 
-class Slopes:
+class AxisFits:
     """The fits of all axes that were run, and the values measured. KeyError for a figure that no run gave."""
 
     def __init__(self, rows: Rows) -> None:
@@ -85,9 +85,9 @@
         for name, rows_by_size in rows.items():
             axis = AXES[name]
             sizes = sorted(int(size) for size in rows_by_size)
-            for figure, has_square in axis.fitted_figures.items():
+            for figure, has_quadratic_term in axis.fitted_figures.items():
                 values = [rows_by_size[str(size)][figure] for size in sizes]
-                self.fits[name, figure] = Fitter(has_square).fit(sizes, values)
+                self.fits[name, figure] = Fitter(has_quadratic_term).fit(sizes, values)
                 self.largest[name, figure] = max(abs(v) for v in values)
                 self.points[name, figure] = (sizes, values)
 
@@ -120,7 +120,7 @@
 
 
 # In the tables below, `s` is the fits and `z` the fleet.
-Value = Callable[[Slopes, FleetProfile], float]
+Value = Callable[[AxisFits, FleetProfile], float]
 
 
 @dataclass(frozen=True)
@@ -141,20 +141,20 @@
     budget_source: str = ""
     estimate: str = ""
 
-    def is_over(self, slopes: Slopes, size: FleetProfile) -> bool:
+    def is_over(self, axis_fits: AxisFits, size: FleetProfile) -> bool:
         """Whether the figure exceeds its budget at this size; False without a budget."""
-        return self.budget is not None and self.value(slopes, size) > self.budget
+        return self.budget is not None and self.value(axis_fits, size) > self.budget
 
 
 def _workers_per_node(size: FleetProfile) -> float:
     return size.workers / size.nodes
 
 
-def _event_bytes(s: Slopes) -> float:
+def _event_bytes(s: AxisFits) -> float:
     return s.at_largest("blocks", "bytes of an event on the wire")
 
 
-def _event_micros(s: Slopes) -> float:
+def _event_micros(s: AxisFits) -> float:
     """Processor time of one event, at the largest index that was measured.
 
     The cost grows as the index outgrows the processor's caches.
@@ -692,7 +692,7 @@
     return f"{text} {unit}".strip()
 
 
-def capacity_lines(slopes: Slopes, size: FleetProfile = TARGET) -> list[str]:
+def capacity_lines(axis_fits: AxisFits, size: FleetProfile = TARGET) -> list[str]:
     """A table per role, as docs/CAPACITY.md shows them."""
     lines: list[str] = []
     for role in dict.fromkeys(c.role for c in COST_FIGURES):
@@ -704,14 +704,14 @@
         ]
         for cost_figure in (c for c in COST_FIGURES if c.role == role):
             budget = value_text(cost_figure.budget, cost_figure.unit) if cost_figure.budget is not None else ""
-            verdict = "" if cost_figure.budget is None else "over" if cost_figure.is_over(slopes, size) else "within"
+            verdict = "" if cost_figure.budget is None else "over" if cost_figure.is_over(axis_fits, size) else "within"
             axes = ", ".join(dict.fromkeys(f"`{axis}`" for axis, _ in cost_figure.sources))
-            spread = max((slopes.relative_residual(a, f) for a, f in cost_figure.sources), default=0.0)
+            spread = max((axis_fits.relative_residual(a, f) for a, f in cost_figure.sources), default=0.0)
             note = f"estimate: {cost_figure.estimate}" if cost_figure.estimate else ""
             shown = [
                 cost_figure.quantity,
                 cost_figure.formula,
-                value_text(cost_figure.value(slopes, size), cost_figure.unit),
+                value_text(cost_figure.value(axis_fits, size), cost_figure.unit),
                 f"{budget} ({cost_figure.budget_source})" if budget else "",
                 verdict,
                 axes,
@@ -723,7 +723,7 @@
     return lines
 
 
-def growth_lines(slopes: Slopes, node_counts: tuple[int, ...] = (12, 60, 200, 600, 1_200)) -> list[str]:
+def growth_lines(axis_fits: AxisFits, node_counts: tuple[int, ...] = (12, 60, 200, 600, 1_200)) -> list[str]:
     """Every figure with a budget at growing sizes of the fleet; it shows what exceeds its budget first."""
     lines = [
         "| role | | budget | " + " | ".join(f"{n:,} nodes" for n in node_counts) + " |",
@@ -735,8 +735,8 @@
         shown = []
         for count in node_counts:
             size = TARGET.scaled(count)
-            text = value_text(cost_figure.value(slopes, size), cost_figure.unit)
-            shown.append(f"**{text}**" if cost_figure.is_over(slopes, size) else text)
+            text = value_text(cost_figure.value(axis_fits, size), cost_figure.unit)
+            shown.append(f"**{text}**" if cost_figure.is_over(axis_fits, size) else text)
         lines.append(
             "| "
             + " | ".join(
--- a/src/pearhead/testbed/capacity/page.py
+++ b/src/pearhead/testbed/capacity/page.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from pearhead.testbed.capacity.mechanisms import mechanism_lines
-from pearhead.testbed.capacity.model import Rows, Slopes, capacity_lines, fit_lines, growth_lines
+from pearhead.testbed.capacity.model import AxisFits, Rows, capacity_lines, fit_lines, growth_lines
 
 
 def page_parts(rows: Rows) -> dict[str, list[str]]:
     """Lines by part: costs of each role, their growth, the alternatives to today's mechanisms, and the measurements."""
-    slopes = Slopes(rows)
+    axis_fits = AxisFits(rows)
     return {
-        "roles": capacity_lines(slopes),
-        "growth": growth_lines(slopes),
-        "mechanisms": mechanism_lines(slopes),
+        "roles": capacity_lines(axis_fits),
+        "growth": growth_lines(axis_fits),
+        "mechanisms": mechanism_lines(axis_fits),
         "measured": fit_lines(rows),
     }
 
--- a/src/pearhead/testbed/capacity/report.py
+++ b/src/pearhead/testbed/capacity/report.py
@@ -38,8 +38,8 @@
 def fit_axis(axis: Axis, sizes: Sequence[int], rows: Sequence[Row]) -> list[FigureFit]:
     """One fit per fitted figure; a figure with too few sizes is left out."""
     figure_fits = []
-    for figure, has_square in axis.fitted_figures.items():
-        fitter = Fitter(has_square)
+    for figure, has_quadratic_term in axis.fitted_figures.items():
+        fitter = Fitter(has_quadratic_term)
         if len(sizes) <= fitter.coefficient_count:
             continue
         values = [row[figure] for row in rows]
--- a/src/pearhead/testbed/emulator/client.py
+++ b/src/pearhead/testbed/emulator/client.py
@@ -39,7 +39,8 @@
 class SiteRequest:
     """A client's request. Times are whole microseconds.
 
-    `aim_micros` is the route's latency target, `pause_micros` the longest gap between pieces within the target.
+    `latency_target_micros` is the route's latency target, `gap_target_micros` the longest gap between pieces within the
+    target.
     """
 
     route: str
@@ -52,8 +53,8 @@
     key: str
     headers: dict[str, str]
     deadline_micros: int
-    aim_micros: int
-    pause_micros: int
+    latency_target_micros: int
+    gap_target_micros: int
 
     @property
     def is_repeatable(self) -> bool:
@@ -68,7 +69,7 @@
     @property
     def silence_micros(self) -> int:
         """How long the client waits for further bytes before it gives up."""
-        return max(MIN_SILENCE_MICROS, 4 * self.aim_micros, 8 * self.pause_micros)
+        return max(MIN_SILENCE_MICROS, 4 * self.latency_target_micros, 8 * self.gap_target_micros)
 
 
 class RequestGenerator:
--- a/src/pearhead/testbed/emulator/engine.py
+++ b/src/pearhead/testbed/emulator/engine.py
@@ -260,7 +260,7 @@
         self.step_slowness = 1.0
         self._planned_tokens: dict[int, int] = {}
         self.load: _Load | None = None
-        self.call_count = 0
+        self.accepted_order_count = 0
         self.highest_fence = 0
         self.last_ticket = 0
         self.reports: deque[tuple[int, dict[str, Any]]] = deque(maxlen=64)
@@ -382,7 +382,7 @@
             "Phase": "both",
             "Models": [{"Name": self.model, "Revision": self.version, "Adapters": []}],
             "Saturated": self.load is not None,
-            "CallSeq": self.call_count,
+            "CallSeq": self.accepted_order_count,
             "Queued": len(self.queue),
             "Active": len(self.running),
             "CacheUsed": (self.cache.used_blocks - self.cache.evictable_blocks()) * 16,
@@ -736,12 +736,12 @@
         if self.settings.is_fenced and fence < self.highest_fence:
             return 412
         self.highest_fence = max(self.highest_fence, fence)
-        if self.load is not None or body.get("Expected", self.call_count) != self.call_count:
+        if self.load is not None or body.get("Expected", self.accepted_order_count) != self.accepted_order_count:
             return 409
         return 200 if version == self.version else 202
 
     def _start_order(self, now: int, body: dict[str, Any]) -> None:
-        self.call_count += 1
+        self.accepted_order_count += 1
         self.load = _Load(body["Revision"], body.get("Mode", "wait"))
         for entry in [r for r in (*self.queue, *self.running) if not r.is_begun]:
             self._remove(entry)
--- a/src/pearhead/testbed/simulator/control_scenarios.py
+++ b/src/pearhead/testbed/simulator/control_scenarios.py
@@ -43,7 +43,7 @@
 
     body: ControlScenarioBody
     core_count: int
-    digest_every: int
+    entries_per_snapshot: int
 
     async def run(self, fleet: SimFleet) -> None:
         """Runs the steps between the checks that all control scenarios share."""
@@ -57,13 +57,13 @@
 
 
 def control_scenario(
-    core_count: int = 3, digest_every: int = 400
+    core_count: int = 3, entries_per_snapshot: int = 400
 ) -> Callable[[ControlScenarioBody], ControlScenarioBody]:
     """Registers a control scenario under its function's name, with hyphens for underscores."""
 
     def register(body: ControlScenarioBody) -> ControlScenarioBody:
         name = body.__name__.replace("_", "-")
-        CONTROL_SCENARIOS[name] = ControlScenario(body, core_count, digest_every)
+        CONTROL_SCENARIOS[name] = ControlScenario(body, core_count, entries_per_snapshot)
         return body
 
     return register
@@ -327,19 +327,19 @@
         await operators.resend_to_all_cores(change)
 
 
-@control_scenario(digest_every=10)
+@control_scenario(entries_per_snapshot=10)
 async def operators_contend(scenario_run: ControlScenarioRun) -> None:
     """Operators contend for the next number at three cores."""
     await contend_through_faults(scenario_run, 8)
 
 
-@control_scenario(core_count=5, digest_every=10)
+@control_scenario(core_count=5, entries_per_snapshot=10)
 async def operators_contend_at_five_cores(scenario_run: ControlScenarioRun) -> None:
     """Operators contend for the next number at five cores."""
     await contend_through_faults(scenario_run, 5)
 
 
-@control_scenario(digest_every=40)
+@control_scenario(entries_per_snapshot=40)
 async def repeats_after_hundreds_of_changes(scenario_run: ControlScenarioRun) -> None:
     """Of 259 changes, the first two and the last are sent again to each core.
 
--- a/src/pearhead/testbed/simulator/fleet.py
+++ b/src/pearhead/testbed/simulator/fleet.py
@@ -61,7 +61,7 @@
     kinds that it contains.
 
     Attributes:
-        digest_every: Number of log entries after which a core writes a snapshot.
+        entries_per_snapshot: Number of log entries after which a core writes a snapshot.
         ledger: What the run did, for the checkers.
         fault_log: The active and past faults.
         cores: Core processes by name, also of machines that are down.
@@ -82,11 +82,16 @@
     """
 
     def __init__(
-        self, world: World, deployment: Deployment, node_count: int = 0, worker_count: int = 0, digest_every: int = 400
+        self,
+        world: World,
+        deployment: Deployment,
+        node_count: int = 0,
+        worker_count: int = 0,
+        entries_per_snapshot: int = 400,
     ) -> None:
         self.world = world
         self.deployment = deployment
-        self.digest_every = digest_every
+        self.entries_per_snapshot = entries_per_snapshot
         self.ledger = Ledger(deployment)
         self.fault_log = self.ledger.fault_log
         self.node_count = node_count or deployment.node_count
@@ -132,8 +137,8 @@
             seeds=self.core_addresses,
             founders=founders,
             dataFolder="disk",
-            digestEvery=self.digest_every,
-            keptEntries=self.digest_every // 4,
+            digestEvery=self.entries_per_snapshot,
+            keptEntries=self.entries_per_snapshot // 4,
             toleratedLosses=(self.deployment.core_count - 1) // 2,
         )
 
@@ -356,9 +361,9 @@
         else:
             self.fault_log.end("disk", (name,), self.world.now())
 
-    def set_datagram_loss(self, loss: float, double: float = 0.0) -> None:
+    def set_datagram_loss(self, loss: float, duplication: float = 0.0) -> None:
         """Sets the shares of datagrams that are lost and duplicated."""
-        self.world.datagram_loss, self.world.datagram_duplication = loss, double
+        self.world.datagram_loss, self.world.datagram_duplication = loss, duplication
         self.fault_log.record_disturbance(self.world.now())
 
     def destroy_core(self, name: str) -> None:
@@ -391,8 +396,8 @@
             dataFolder="disk",
             seeds=live_addresses or self.core_addresses,
             founders=self.core_addresses,
-            digestEvery=self.digest_every,
-            keptEntries=self.digest_every // 4,
+            digestEvery=self.entries_per_snapshot,
+            keptEntries=self.entries_per_snapshot // 4,
             toleratedLosses=(self.deployment.core_count - 1) // 2,
         )
         self.start(name)
@@ -615,7 +620,7 @@
 
     def start_load(self, jobs_per_second: float) -> None:
         """Starts random jobs of all tenants, with exponentially distributed intervals, until end_load()."""
-        self.ledger.is_loaded = True
+        self.ledger.has_load = True
         self.background_tasks.append(self.world.loop.create_task(self._generate_load(jobs_per_second)))
 
     async def end_load(self) -> None:
--- a/src/pearhead/testbed/simulator/ledger.py
+++ b/src/pearhead/testbed/simulator/ledger.py
@@ -107,7 +107,7 @@
     budgeted_job_count: int = 0
     end_micros: int = 0
     planned_operation_count: int = 0
-    is_loaded: bool = False
+    has_load: bool = False
     last_revisions: set[int] = field(default_factory=set)
     last_weights: int = 0
     last_parts: dict[str, dict[int, int]] = field(default_factory=dict)
@@ -221,7 +221,7 @@
                     faults.append(f"{upstream_id} on {send.node} under {send.description_revision}: {fault}")
         if (
             self.acknowledged_applies
-            and self.is_loaded
+            and self.has_load
             and self._has_success_after(max(a for _, a in self.acknowledged_applies) + CONFIG_PROPAGATION_LIMIT_MICROS)
         ):
             newest = max(r for r, _ in self.acknowledged_applies)
@@ -263,7 +263,7 @@
         for revision, ack_micros, name in self.weights_changes:
             limit_micros = ack_micros + self.deployment.weights_limit_micros
             is_served = any(r >= revision and at <= limit_micros for r, at in first_start_micros.items())
-            if self.is_loaded and not is_served and self._was_healthy(ack_micros, limit_micros):
+            if self.has_load and not is_served and self._was_healthy(ack_micros, limit_micros):
                 faults.append(f"no job began on {name} within the limit")
         return faults
 
@@ -341,7 +341,7 @@
         Healthy is what the platform could know to be so. No job sent there is refused or lost, except for refusals that
         follow from a description of the run.
         """
-        if not self.is_loaded:
+        if not self.has_load:
             return []
         required_jobs = [t for t in self.jobs.values() if self._must_succeed(t)]
         if not required_jobs:
--- a/src/pearhead/testbed/simulator/mutations.py
+++ b/src/pearhead/testbed/simulator/mutations.py
@@ -215,10 +215,10 @@
     """Every node considers itself first in rank for each worker, and the core grants the lease to whoever asks."""
 
     def apply_hold(self: FleetState, index: int, command: TakeHold) -> dict[str, Any]:
-        grant = self.holds.get(command.worker, {})
+        grant = self.leases.get(command.worker, {})
         if grant.get("holder") == command.holder:
             return {"status": "done", "fence": grant["fence"]}
-        self.holds[command.worker] = {"holder": command.holder, "fence": index}
+        self.leases[command.worker] = {"holder": command.holder, "fence": index}
         return {"status": "done", "fence": index}
 
     FleetState._apply_hold = apply_hold  # type: ignore[method-assign]
--- a/src/pearhead/testbed/simulator/scenarios.py
+++ b/src/pearhead/testbed/simulator/scenarios.py
@@ -1020,7 +1020,7 @@
     if control is None:
         return SimFleet(world, deployment, node_count)
     deployment = dataclasses.replace(deployment, core_count=control.core_count)
-    return SimFleet(world, deployment, NODE_COUNT, WORKER_COUNT, control.digest_every)
+    return SimFleet(world, deployment, NODE_COUNT, WORKER_COUNT, control.entries_per_snapshot)
 
 
 def run_scenario(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -62,13 +62,13 @@
         line = Fitter().fit(sizes, [3 + 2 * x for x in sizes])
         self.assertAlmostEqual(line.predict(100), 203)
         self.assertAlmostEqual(line.max_residual, 0)
-        parabola = Fitter(has_square=True).fit(sizes, [1 + x * x for x in sizes])
+        parabola = Fitter(has_quadratic_term=True).fit(sizes, [1 + x * x for x in sizes])
         self.assertAlmostEqual(parabola.predict(10), 101)
         check = Fitter().check([9, 1, 2, 5], [99, 5, 7, 13])
         self.assertAlmostEqual(check.predicted, 21)
         self.assertAlmostEqual(check.relative_error(), 78 / 99)
         with self.assertRaises(ValueError):
-            Fitter(has_square=True).fit([1, 2], [1, 2])
+            Fitter(has_quadratic_term=True).fit([1, 2], [1, 2])
 
 
 class ScaleRunTest(unittest.TestCase):
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -12,7 +12,7 @@
 
 from pearhead.testbed.capacity.axes import AXES
 from pearhead.testbed.capacity.mechanisms import MECHANISMS
-from pearhead.testbed.capacity.model import COST_FIGURES, TARGET, Slopes, growth_lines, value_text
+from pearhead.testbed.capacity.model import COST_FIGURES, TARGET, AxisFits, growth_lines, value_text
 from pearhead.testbed.capacity.page import page_lines
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -22,7 +22,7 @@
 class CapacityTest(unittest.TestCase):
     def setUp(self) -> None:
         self.rows: dict[str, Any] = json.loads(RESULTS.read_text())
-        self.slopes = Slopes(self.rows)
+        self.axis_fits = AxisFits(self.rows)
 
     def test_every_line_of_the_page_follows_from_what_was_measured(self) -> None:
         page = (ROOT / "docs" / "CAPACITY.md").read_text().splitlines()
@@ -38,12 +38,12 @@
         self.assertAlmostEqual(small.events / small.workers, TARGET.events / TARGET.workers)
         self.assertEqual(small.models, 1)
         budgeted = [c for c in COST_FIGURES if c.budget is not None]
-        self.assertEqual(len(growth_lines(self.slopes)), len(budgeted) + 2)
+        self.assertEqual(len(growth_lines(self.axis_fits)), len(budgeted) + 2)
         for cost_figure in budgeted:
             self.assertTrue(cost_figure.budget_source)
             self.assertEqual(
-                cost_figure.is_over(self.slopes, TARGET),
-                cost_figure.value(self.slopes, TARGET) > (cost_figure.budget or 0),
+                cost_figure.is_over(self.axis_fits, TARGET),
+                cost_figure.value(self.axis_fits, TARGET) > (cost_figure.budget or 0),
             )
 
     def test_every_mechanism_names_sections_of_the_design_and_is_weighed_against_two(self) -> None:
@@ -52,7 +52,7 @@
             for section in mechanism.replaces.split(", "):
                 self.assertIn(f"\n### {section.removeprefix('§')} ", design)
             for alternative in (mechanism.chosen, *mechanism.alternatives):
-                self.assertGreater(alternative.value(self.slopes, TARGET), 0)
+                self.assertGreater(alternative.value(self.axis_fits, TARGET), 0)
 
     def test_values_are_told_in_their_units(self) -> None:
         self.assertEqual(value_text(1_234_567, "B"), "1.23 MB")
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -171,11 +171,11 @@
 
 
 class CatchingUpTest(unittest.TestCase):
-    def run_scenario(self, scenario: Scenario, digest_every: int = 100, seed: int = 1) -> None:
+    def run_scenario(self, scenario: Scenario, entries_per_snapshot: int = 100, seed: int = 1) -> None:
         async def run(fleet: SimFleet) -> None:
             for name, startup in list(fleet.startups.items()):
                 fleet.startups[name] = dataclasses.replace(
-                    startup, digestEvery=digest_every, keptEntries=digest_every // 4
+                    startup, digestEvery=entries_per_snapshot, keptEntries=entries_per_snapshot // 4
                 )
             cluster = CatchUpCluster(self, fleet)
             await scenario(cluster, await cluster.begin())
@@ -260,7 +260,7 @@
             self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, list(fleet.cores))), 2.0)
             await cluster.check_needed_for_majority(name)
 
-        self.run_scenario(scenario, digest_every=20)
+        self.run_scenario(scenario, entries_per_snapshot=20)
 
     async def lose_power_during_install(self, cluster: CatchUpCluster, name: str, sync_number: int) -> None:
         """Loses power before the sync with this number, counted from when the whole snapshot was received."""
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -377,7 +377,7 @@
         late, later = self.hold(), self.hold()
         fence = self.apply(later)["fence"]
         self.assertEqual(self.apply(late)["status"], "refused")
-        self.assertEqual(self.fleet.holds["w"]["fence"], fence, "the holder does not know a later fence")
+        self.assertEqual(self.fleet.leases["w"]["fence"], fence, "the holder does not know a later fence")
 
     def test_a_repeat_has_the_outcome_of_the_first_also_behind_a_snapshot(self) -> None:
         command = self.hold()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -396,14 +396,14 @@
         )
 
     def test_holder_takeover(self) -> None:
-        real_check = CoreProcess._check_hold_expiry
+        real_check = CoreProcess._check_lease_expiry
 
         def check_and_forget(self: CoreProcess, command: Command) -> None:
-            seen = dict(self.hold_last_seen)
+            seen = dict(self.lease_last_seen)
             real_check(self, command)
-            self.hold_last_seen = seen
+            self.lease_last_seen = seen
 
-        self.check(holder_takeover, self.replace_attribute(CoreProcess, "_check_hold_expiry", check_and_forget), 20)
+        self.check(holder_takeover, self.replace_attribute(CoreProcess, "_check_lease_expiry", check_and_forget), 20)
 
     def test_drain_against_accept(self) -> None:
         async def drain(self: NodeProcess) -> None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -48,7 +48,13 @@
 from pearhead.runtime.invariants import Invariant, InvariantCounters, InvariantViolationError  # noqa: E402
 from pearhead.runtime.loop_lag import LoopLag  # noqa: E402
 from pearhead.runtime.metrics import METRICS_PATH, build_registry, serve_metrics  # noqa: E402
-from pearhead.runtime.socketnet import FRAME_EXPIRY_MICROS, QUEUE_LIMIT, OutgoingConnection, SocketNet, split_address  # noqa: E402
+from pearhead.runtime.socketnet import (
+    FRAME_EXPIRY_MICROS,
+    MAXIMUM_QUEUED_FRAMES,
+    OutgoingConnection,
+    SocketNet,
+    split_address,
+)  # noqa: E402
 from pearhead.testbed.simulator.world import World, pause, run_in_virtual_time  # noqa: E402
 from tests.test_relay import RelayFleet  # noqa: E402
 from tests.workerfleet import WorkerFleet  # noqa: E402
@@ -209,16 +215,16 @@
         runtime = FakeRuntime()
         net = SocketNet("127.0.0.1:1", runtime)
         link = net.outgoing_connections["a:1"] = OutgoingConnection("a:1", runtime, net.losses)
-        for _ in range(QUEUE_LIMIT + 3):
+        for _ in range(MAXIMUM_QUEUED_FRAMES + 3):
             link.push(b"12345")
         registry = build_registry([LinkCollector(net)])
         samples = read(registry)
-        self.assertEqual(samples["link_queued_frames"], QUEUE_LIMIT)
-        self.assertEqual(samples["link_queued_bytes"], 5 * QUEUE_LIMIT)
+        self.assertEqual(samples["link_queued_frames"], MAXIMUM_QUEUED_FRAMES)
+        self.assertEqual(samples["link_queued_bytes"], 5 * MAXIMUM_QUEUED_FRAMES)
         self.assertEqual(samples["link_frames_dropped_total{queue_full}"], 3)
         runtime.now_micros += FRAME_EXPIRY_MICROS + 1
         link._drop_stale_frames()
-        self.assertEqual(read(registry)["link_frames_dropped_total{stale}"], QUEUE_LIMIT)
+        self.assertEqual(read(registry)["link_frames_dropped_total{stale}"], MAXIMUM_QUEUED_FRAMES)
         self.assertEqual(read(registry)["link_queued_bytes"], 0)
 
 
--- a/tests/test_site_engine.py
+++ b/tests/test_site_engine.py
@@ -325,7 +325,7 @@
         self.assertEqual(engine.order(0, order(2, fence=5)), 409, "an order is under way")
         self.assertEqual(engine.order(0, order(2, fence=4)), 412)
         self.run_engine(limit=SECOND)
-        self.assertEqual((engine.version, engine.call_count), (2, 1))
+        self.assertEqual((engine.version, engine.accepted_order_count), (2, 1))
         self.assertEqual(engine.order(SECOND, order(2, fence=5)), 200)
 
     def test_wait_lets_runs_end_and_refuses_what_has_not_begun(self) -> None:
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -302,8 +302,8 @@
                 elif action == "lead":
                     # A new leader knows the fences from its log, but not when they were granted (§7.2).
                     fleet.core.leader_since_micros = fleet.world.now()
-                    fleet.core.hold_last_seen = {
-                        w: (h["fence"], fleet.world.now()) for w, h in fleet.core.fleet.holds.items()
+                    fleet.core.lease_last_seen = {
+                        w: (h["fence"], fleet.world.now()) for w, h in fleet.core.fleet.leases.items()
                     }
                 elif action == "name":
                     version += 1
--- a/tests/workerfleet.py
+++ b/tests/workerfleet.py
@@ -244,7 +244,7 @@
         self.world = world
         self.fleet = FleetState()
         self.index = 0
-        self.hold_last_seen: dict[str, tuple[int, int]] = {}
+        self.lease_last_seen: dict[str, tuple[int, int]] = {}
         self.leader_since_micros = 0
         self.startup = SimpleNamespace(holdMicros=HOLD_MICROS)
         self.clock = world
@@ -259,11 +259,11 @@
         name = command.WhichOneof("body") or ""
         self.commands.append((self.world.now(), name))
         if name == "hold":
-            CoreProcess._check_hold_expiry(cast(CoreProcess, self), command)
+            CoreProcess._check_lease_expiry(cast(CoreProcess, self), command)
         self.index += 1
         outcome = self.fleet.apply(self.index, command.SerializeToString())
         if name == "hold" and outcome["status"] == "done":
-            self.hold_last_seen[command.hold.worker] = (outcome["fence"], self.world.now())
+            self.lease_last_seen[command.hold.worker] = (outcome["fence"], self.world.now())
         delta = self.fleet.delta_since(self.view.index, self.view.hash)
         if delta is not None:
             self.view = View().with_delta(self.fleet.delta_since(0, "") or delta) or self.view
