--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -18,8 +18,8 @@
 from pearhead.runtime.clock import MILLI, SECOND
 from pearhead.testbed.simulator.fleet import SimFleet
 from pearhead.testbed.simulator.world import Machine, World, pause
-from tests.test_change import route, whole_description
-from tests.test_members import all_agree, clear_founders, run_cores, seconds_until
+from tests.test_core_membership import all_agree, clear_founders, run_cores, seconds_until
+from tests.test_description_change import route, whole_description
 
 CHANGE_COUNT = 300
 ONGOING_CHANGE_COUNT = 20
@@ -171,11 +171,11 @@
 
 
 class CatchingUpTest(unittest.TestCase):
-    def run_scenario(self, scenario: Scenario, digest_every: int = 100, seed: int = 1) -> None:
+    def run_scenario(self, scenario: Scenario, entries_per_snapshot: int = 100, seed: int = 1) -> None:
         async def run(fleet: SimFleet) -> None:
             for name, startup in list(fleet.startups.items()):
                 fleet.startups[name] = dataclasses.replace(
-                    startup, digestEvery=digest_every, keptEntries=digest_every // 4
+                    startup, digestEvery=entries_per_snapshot, keptEntries=entries_per_snapshot // 4
                 )
             cluster = CatchUpCluster(self, fleet)
             await scenario(cluster, await cluster.begin())
@@ -260,7 +260,7 @@
             self.assertLess(await seconds_until(fleet, lambda: all_agree(fleet, list(fleet.cores))), 2.0)
             await cluster.check_needed_for_majority(name)
 
-        self.run_scenario(scenario, digest_every=20)
+        self.run_scenario(scenario, entries_per_snapshot=20)
 
     async def lose_power_during_install(self, cluster: CatchUpCluster, name: str, sync_number: int) -> None:
         """Loses power before the sync with this number, counted from when the whole snapshot was received."""
