--- a/review/1/case.py
+++ b/review/1/case.py
@@ -11,7 +11,7 @@
 
 from harness import Ask, CaseError, Client, Record, ReviewSite, SiteSize, has_trouble, run_case
 
-from pearhead.testbed.emulator.raw_http import ask as http
+from pearhead.testbed.emulator.raw_http import send_request as http
 
 # AckMs of the site's page, which binds while the core is settled and no link is in trouble.
 ACK_SECONDS = 4.0
@@ -53,7 +53,7 @@
         served = 0
         statuses: dict[int, int] = {}
         for number in range(CALLS):
-            front = plan.of("router")[number % len(plan.of("router"))]
+            front = plan.machines_of("router")[number % len(plan.machines_of("router"))]
             client = Client(f"{front.ip}:{FRONT_PORT}")
             try:
                 await client.open()
@@ -76,7 +76,7 @@
 
     async def restart_all(present: int) -> None:
         """Not judged: whether an operator can help himself by starting all cores again with their disks."""
-        cores = [machine.name for machine in plan.of("control_plane")]
+        cores = [machine.name for machine in plan.machines_of("control_plane")]
         for name in cores:
             site.send_signal(name, signal.SIGKILL)
         await asyncio.to_thread(site.wait_until, lambda: not any(map(site.is_alive, cores)), "cores ended")
--- a/review/5/case.py
+++ b/review/5/case.py
@@ -27,7 +27,7 @@
     async def call_all(key: str, what: str) -> int:
         outcomes: Counter[str] = Counter()
         for number in range(REQUESTS):
-            front = plan.of("router")[number % len(plan.of("router"))]
+            front = plan.machines_of("router")[number % len(plan.machines_of("router"))]
             client = Client(f"{front.ip}:{FRONT_PORT}")
             await client.open()
             result = await client.call(Ask(route, plan.model, key, "ab12cd34", 92, 60, 7), os.urandom(8).hex())
@@ -56,7 +56,7 @@
     if served / REQUESTS < all_share / 4:
         return [
             f"Starved: {served} of {REQUESTS} requests of an acknowledged tenant are served, {others_served} of "
-            f"{REQUESTS} of another, {len(plan.of('router'))} front nodes sound and in touch"
+            f"{REQUESTS} of another, {len(plan.machines_of('router'))} front nodes sound and in touch"
         ]
     return []
 
--- a/review/harness.py
+++ b/review/harness.py
@@ -174,7 +174,7 @@
         record.note(f"a site of {len(site.plan['processes'])} processes, trouble={has_trouble()}")
         if is_begun:
             site.up()
-            site.set_up()
+            site.apply_initial_configuration()
             site.wait_ready()
             record.note("the first configuration is acknowledged, all front nodes are ready")
         breaches = play(site, record)
--- a/review/thaw.py
+++ b/review/thaw.py
@@ -38,7 +38,7 @@
     """
     plan, config = site.site, site.plan["config"]
     route = next(r for r in config["RouteTable"] if not r["Resume"])
-    fronts = plan.of("router")
+    fronts = plan.machines_of("router")
     front = fronts[1]
 
     def ask_of(some_key: str) -> Ask:
